--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -44,7 +44,7 @@
     sent_at: Millis = 0
 
 
-class PauseBook:
+class PauseTable:
     """Pauses by incarnation: an address says nothing of who asked."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self._last_until: Millis = 0
 
     def __repr__(self) -> str:
-        return f"PauseBook(rows={len(self._rows)})"
+        return f"PauseTable(rows={len(self._rows)})"
 
     def asked(self, incarnation: Incarnation, until: Millis) -> None:
         """Note that an upstream wants nothing until a time; a shorter one is void."""
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -14,7 +14,7 @@
 from leadseam.routing.balance import Balancer, service_of
 from leadseam.routing.cold import ColdBudget
 from leadseam.routing.flight import Flight
-from leadseam.routing.pauses import PauseBook
+from leadseam.routing.pauses import PauseTable
 from leadseam.routing.plain import PLACES, WAIT_PART, PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import MEMORY, UsageBook
@@ -88,7 +88,7 @@
         self._health = health
         self._clock = clock
         self._rng = rng
-        self._pauses = PauseBook()
+        self._pauses = PauseTable()
         self._cold = ColdBudget(
             entry,
             rate_of=self._cold_rate,
--- a/tests/routing/test_pauses.py
+++ b/tests/routing/test_pauses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from leadseam.incarnation import Incarnation
-from leadseam.routing.pauses import FORGOTTEN, NEXT_TRIAL, PauseBook
+from leadseam.routing.pauses import FORGOTTEN, NEXT_TRIAL, PauseTable
 from tests.routing.samples import make_upstream
 
 ROW = make_upstream(1)
@@ -11,7 +11,7 @@
 
 
 def test_nothing_is_allowed_until_a_pause_is_over() -> None:
-    book = PauseBook()
+    book = PauseTable()
     assert book.allows(ONE, 1_000)
     book.asked(ONE, 4_000)
     assert not book.allows(ONE, 3_999)
@@ -21,7 +21,7 @@
 
 
 def test_a_later_shorter_pause_does_not_end_a_longer_one() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 4_000)
     book.asked(ONE, 2_000)
     assert book.until(ONE) == 4_000
@@ -30,14 +30,14 @@
 
 
 def test_a_pause_is_of_one_start_and_not_of_an_address() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 4_000)
     assert book.allows(Incarnation(ONE.instance, 7), 1_000)
     assert book.allows(make_upstream(2).incarnation, 1_000)
 
 
 def test_after_a_pause_load_grows_with_answers() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 1_000)
     sent = []
     for now in (1_000, 1_010, 1_020):
@@ -54,7 +54,7 @@
 
 
 def test_answers_during_a_pause_are_to_earlier_requests() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 4_000)
     for _ in range(10):
         assert not book.answered(ROW, 2_000)
@@ -63,7 +63,7 @@
 
 
 def test_a_request_that_is_never_answered_does_not_end_all_trials() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 1_000)
     book.sent(ONE, 1_000)
     assert not book.allows(ONE, 1_000 + NEXT_TRIAL - 1)
@@ -71,7 +71,7 @@
 
 
 def test_one_that_asks_again_gets_nothing_more() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 1_000)
     book.sent(ONE, 1_000)
     book.asked(ONE, 3_000)
@@ -81,7 +81,7 @@
 
 
 def test_what_is_over_is_forgotten() -> None:
-    book = PauseBook()
+    book = PauseTable()
     book.asked(ONE, 1_000)
     book.sweep(1_000 + FORGOTTEN)
     assert book.until(ONE) == 1_000
