--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -98,16 +98,16 @@
     def read_answer(self, status: int, headers: MultiMapping[str]) -> AnswerHead:
         """Read the head of an upstream's answer."""
         content_type = headers.get("Content-Type", "")
-        pause, odd_pause = 0, ""
+        pause, invalid_pause = 0, ""
         if status == SERVICE_UNAVAILABLE:
-            pause, odd_pause = read_pause(headers.getall(names.RETRY_AFTER, []))
+            pause, invalid_pause = read_pause(headers.getall(names.RETRY_AFTER, []))
         return AnswerHead(
             request_id=headers.get(names.REQUEST_ID),
             not_run=names.NOT_RUN in headers,
             signed=names.SIGNATURE in headers,
             event_stream=content_type.startswith(EVENT_STREAM),
             pause=pause,
-            odd_pause=odd_pause,
+            invalid_pause=invalid_pause,
             leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),
         )
 
--- a/src/leadseam/routing/dialect.py
+++ b/src/leadseam/routing/dialect.py
@@ -112,7 +112,7 @@
         event_stream: Whether the body is a sequence of events.
         pause: Milliseconds in which the upstream wants nothing more from this entry;
             0 if it does not say.
-        odd_pause: What it said of a pause that could not be read, or an empty text.
+        invalid_pause: What it said of a pause that could not be read, or an empty text.
         leaving: Whether it says that it is about to end.
     """
 
@@ -121,7 +121,7 @@
     signed: bool
     event_stream: bool
     pause: Millis = 0
-    odd_pause: str = ""
+    invalid_pause: str = ""
     leaving: bool = False
 
 
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -343,7 +343,7 @@
         if status == MISDIRECTED:
             # Whoever answers there is not the upstream that was meant.
             return
-        if head.pause or head.odd_pause:
+        if head.pause or head.invalid_pause:
             self.request_log.asks_pause(upstream, admitted, head)
         if head.pause:
             self.placer.pause(upstream, head.pause)
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -130,7 +130,7 @@
                 **self._context(admitted),
                 "instance": str(upstream.incarnation),
                 "pause_ms": head.pause,
-                "not_read": head.odd_pause,
+                "not_read": head.invalid_pause,
             }
             log.info("upstream asks for a pause", extra=extra)
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -97,7 +97,7 @@
     values: list[str], pause: int, odd: str
 ) -> None:
     head = answer_with(503, *(("Retry-After", value) for value in values))
-    assert (head.pause, head.odd_pause) == (pause, odd)
+    assert (head.pause, head.invalid_pause) == (pause, odd)
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
--- a/tests/routing/samples.py
+++ b/tests/routing/samples.py
@@ -81,7 +81,7 @@
     request_id: str = "r-1",
     not_run: bool = False,
     pause: int = 0,
-    odd_pause: str = "",
+    invalid_pause: str = "",
     leaving: bool = False,
 ) -> AnswerHead:
     """Return the head of a signed answer."""
@@ -91,6 +91,6 @@
         signed=True,
         event_stream=False,
         pause=pause,
-        odd_pause=odd_pause,
+        invalid_pause=invalid_pause,
         leaving=leaving,
     )
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -195,7 +195,7 @@
     with caplog.at_level("INFO"):
         for status, head in (
             (503, make_head(pause=3_000)),
-            (503, make_head(odd_pause="soon")),
+            (503, make_head(invalid_pause="soon")),
             (200, make_head(leaving=True)),
             (421, make_head(pause=3_000, leaving=True)),
         ):
