--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -114,7 +114,7 @@
         """When the first byte went to the caller, `NOT_YET` before."""
         return self._reply.first_byte_at
 
-    def look_at_deadline(self) -> None:
+    def reset_deadline_timer(self) -> None:
         """Set the timer to the time that is left: it leaves out suspended time."""
         if self._limit is not None:
             left = self._request.deadline - self._gateway.now()
@@ -131,7 +131,7 @@
         """Return the finished response; the caller's connection may be cut instead."""
         try:
             async with asyncio.timeout(None) as self._limit:
-                self.look_at_deadline()
+                self.reset_deadline_timer()
                 return await self._forward()
         except TimeoutError:
             return self._out_of_time()
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -184,7 +184,7 @@
     def resumed(self) -> None:
         """Look at all that may be due after the box was suspended."""
         for exchange in list(self._running):
-            exchange.look_at_deadline()
+            exchange.reset_deadline_timer()
         self.placer.look()
         extra = {
             "requests": len(self._running),
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -318,7 +318,7 @@
     Variant(
         "timers are not looked at after a suspension",
         "routing/gateway.py",
-        "            exchange.look_at_deadline()\n",
+        "            exchange.reset_deadline_timer()\n",
         "            pass\n",
         "tests/platform/test_suspended_box.py"
         "::test_what_is_past_its_deadline_ends_before_what_has_time_left",
