--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -169,7 +169,7 @@
             self._view.sweep(self._clock.now())
             if self._gateway is not None:
                 self._gateway.crash_guard.review()
-                self._gateway.request_log.show_dropped()
+                self._gateway.request_log.update_dropped_lines()
                 self._gateway.placer.sweep()
                 paused = self._gateway.placer.paused()
                 self._routing_metrics.paused_upstreams.set({}, paused)
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -59,7 +59,7 @@
         self._metrics = metrics
         self._lines = LineBudget(clock)
 
-    def show_dropped(self) -> None:
+    def update_dropped_lines(self) -> None:
         """Show how many lines were left out, here or for want of an outlet."""
         dropped = self._lines.suppressed + lines_not_written()
         self._metrics.logs_dropped.set({}, dropped)
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -163,7 +163,7 @@
     entry = Entry(metrics)
     for number in range(LINES_PER_SECOND + 7):
         entry.gateway._refuse(Sender(f"r-{number}", None), NotRun(Reason.NO_KEY), 0)
-    entry.gateway.request_log.show_dropped()
+    entry.gateway.request_log.update_dropped_lines()
     assert b"leadseam_log_lines_dropped 7" in metrics.render()
 
 
