--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -40,7 +40,7 @@
 """Upstreams tried for one request, those that did not run it included."""
 MIN_TIME_LEFT: Millis = 20
 """Time left below which nothing more is sent: a few round trips between boxes."""
-COME_BACK_PART = 1 / 3
+RETRY_AFTER_SHARE = 1 / 3
 """Part of the time left that a caller may be told to wait; more is not heeded."""
 MAX_COME_BACK: Millis = 4_000
 """Longest pause told: bursts last a few seconds."""
@@ -369,7 +369,7 @@
             # Sooner there is nobody to serve it, and not all are to return at once.
             return paused + self._gateway.spread(RETURN_SPREAD)
         left = max(self._request.deadline - self._gateway.now(), 0)
-        return self._gateway.spread(min(round(left * COME_BACK_PART), MAX_COME_BACK))
+        return self._gateway.spread(min(round(left * RETRY_AFTER_SHARE), MAX_COME_BACK))
 
     def _out_of_time(self) -> web.StreamResponse:
         if self._reply.begun:
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -20,7 +20,7 @@
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
-from leadseam.routing.exchange import COME_BACK_PART, MAX_SENDS
+from leadseam.routing.exchange import MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
 from leadseam.wire.codec import decode
@@ -140,7 +140,7 @@
         served = await self._attempt(entry, account, began)
         if not served and account != VISITOR:
             left = began + PATIENCE - self.clock.now()
-            pause = round(left * COME_BACK_PART)
+            pause = round(left * RETRY_AFTER_SHARE)
             await sleep(self._rng.randint(pause // 2, pause))
             other = self._rng.randrange(ENTRIES)
             served = await self._attempt(other, account, began)
