--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -63,7 +63,7 @@
 EXCESS_LAG: Millis = 10
 """The same for accounts that have had their share, refused before their request is even
 read: what they send beyond it is most of what makes an entry late."""
-MAX_KEPT = 256
+MAX_KEPT_ALIVE = 256
 """Callers' connections above which answers end their connection: an idle one takes some
 16 KB, and callers that open one for each request leave thousands."""
 UNDECIDED_PAUSE: Millis = 1_000
@@ -197,7 +197,7 @@
         """End the caller's connection after this response where that is due."""
         if response.prepared:
             return
-        if self.stopping or self._connections() > MAX_KEPT:
+        if self.stopping or self._connections() > MAX_KEPT_ALIVE:
             response.force_close()
 
     async def _serve(self, http: web.BaseRequest) -> web.StreamResponse:
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -12,7 +12,7 @@
 import pytest
 
 from leadseam.platform import names
-from leadseam.routing.gateway import MAX_KEPT
+from leadseam.routing.gateway import MAX_KEPT_ALIVE
 from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
 from tools.platform.nodes import HOST, KEY, document
 from tools.platform.standin import LARGE_BEGIN, LARGE_BODY, WHOLE_STREAM, event
@@ -409,7 +409,7 @@
         assert await is_kept("/stream/few")
         idle = [
             await asyncio.open_connection(entry, platform.front_port)
-            for _ in range(MAX_KEPT + 1)
+            for _ in range(MAX_KEPT_ALIVE + 1)
         ]
         assert not await is_kept("/once/many")
         assert not await is_kept("/stream/many")
