--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -18,7 +18,7 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-NEXT_TRIAL: Millis = 500
+TRIAL_INTERVAL: Millis = 500
 """Time after which an upstream gets one more request although it has not answered the
 last one: its caller may have gone, or it may take long."""
 GROWTH = 2
@@ -86,7 +86,7 @@
             return True
         if now < row.until:
             return False
-        return row.credit > 0 or now - row.sent_at >= NEXT_TRIAL
+        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL
 
     def sent(self, incarnation: Incarnation, now: Millis) -> None:
         """Note that a request is sent to an upstream."""
--- a/tests/routing/test_pauses.py
+++ b/tests/routing/test_pauses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from leadseam.incarnation import Incarnation
-from leadseam.routing.pauses import FORGOTTEN, NEXT_TRIAL, PauseTable
+from leadseam.routing.pauses import FORGOTTEN, TRIAL_INTERVAL, PauseTable
 from tests.routing.samples import make_upstream
 
 ROW = make_upstream(1)
@@ -66,8 +66,8 @@
     book = PauseTable()
     book.asked(ONE, 1_000)
     book.sent(ONE, 1_000)
-    assert not book.allows(ONE, 1_000 + NEXT_TRIAL - 1)
-    assert book.allows(ONE, 1_000 + NEXT_TRIAL)
+    assert not book.allows(ONE, 1_000 + TRIAL_INTERVAL - 1)
+    assert book.allows(ONE, 1_000 + TRIAL_INTERVAL)
 
 
 def test_one_that_asks_again_gets_nothing_more() -> None:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -422,7 +422,7 @@
     Variant(
         "the end of a pause is a step of load",
         "routing/pauses.py",
-        "        return row.credit > 0 or now - row.sent_at >= NEXT_TRIAL",
+        "        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL",
         "        return True",
         f"{WORDS}::test_the_end_of_a_rest_is_no_step_of_load",
     ),
