--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -25,7 +25,7 @@
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
 from leadseam.routing.balance import service_of
-from leadseam.routing.exchange import MAX_COME_BACK, MAX_SENDS, RETRY_AFTER_SHARE
+from leadseam.routing.exchange import MAX_RETRY_PAUSE, MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
 from leadseam.wire.codec import decode
@@ -140,7 +140,7 @@
         if await self._try(arrival, arrival.entry, deadline):
             return
         left = deadline - self._clock.now()
-        pause = min(round(left * RETRY_AFTER_SHARE), MAX_COME_BACK)
+        pause = min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
         await sleep(self._rng.randint(pause // 2, pause))
         other = self._rng.randrange(self._cfg.entries)
         if not await self._try(arrival, other, deadline):
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -42,7 +42,7 @@
 """Time left below which nothing more is sent: a few round trips between boxes."""
 RETRY_AFTER_SHARE = 1 / 3
 """Part of the time left that a caller may be told to wait; more is not heeded."""
-MAX_COME_BACK: Millis = 4_000
+MAX_RETRY_PAUSE: Millis = 4_000
 """Longest pause told: bursts last a few seconds."""
 RETURN_SPREAD: Millis = 500
 """Time over which callers come back once an upstream takes requests again."""
@@ -369,7 +369,9 @@
             # Sooner there is nobody to serve it, and not all are to return at once.
             return paused + self._gateway.spread(RETURN_SPREAD)
         left = max(self._request.deadline - self._gateway.now(), 0)
-        return self._gateway.spread(min(round(left * RETRY_AFTER_SHARE), MAX_COME_BACK))
+        return self._gateway.spread(
+            min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
+        )
 
     def _out_of_time(self) -> web.StreamResponse:
         if self._reply.begun:
