--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -23,7 +23,7 @@
 from leadseam.feed.totals import LoadSummer
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.balance import service_of
 from leadseam.routing.exchange import MAX_RETRY_PAUSE, MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
@@ -149,7 +149,7 @@
     async def _try(self, arrival: Arrival, entry: int, deadline: Millis) -> bool:
         placer = self._placers[entry]
         now = self._clock.now()
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             req=arrival.req,
             body=b"",
             route=self._routes[arrival.kind.name],
--- a/src/leadseam/routing/admitted.py
+++ b/src/leadseam/routing/admitted.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """A request that may be forwarded.
 
     Args:
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -25,7 +25,7 @@
     from leadseam.crashes.fingerprint import Fingerprint
     from leadseam.feed.client import FeedClient
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.attempt import Ending
     from leadseam.routing.client import UpstreamClient
     from leadseam.routing.exchange import Exchange
@@ -65,7 +65,7 @@
     def __repr__(self) -> str:
         return f"CrashGuard({self._suspects!r})"
 
-    def refusal(self, admitted: Admitted) -> Reason | None:
+    def refusal(self, admitted: AdmittedRequest) -> Reason | None:
         """Return why a request must not be sent to an upstream now, if so.
 
         One that would be convicted by an end that is not certain yet is not sent
@@ -84,7 +84,7 @@
     def note_ending(
         self,
         upstream: Registration,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         ending: Ending,
         *,
         early: bool,
@@ -130,7 +130,7 @@
         return Crashes(rows) if rows else None
 
     def _broke(
-        self, upstream: Registration, admitted: Admitted, *, early: bool
+        self, upstream: Registration, admitted: AdmittedRequest, *, early: bool
     ) -> None:
         suspect = _suspect(admitted)
         incarnation = upstream.incarnation
@@ -144,7 +144,9 @@
         if await self._client.is_refused(upstream.ip, upstream.port):
             self.ended(upstream.incarnation)
 
-    def _answered_whole(self, upstream: Registration, admitted: Admitted) -> None:
+    def _answered_whole(
+        self, upstream: Registration, admitted: AdmittedRequest
+    ) -> None:
         now = self._clock.now()
         self._suspects.answered(upstream.incarnation, now)
         if not self._may_know(admitted):
@@ -153,7 +155,7 @@
         if row is not None:
             self._feed.tell(Crashes((row,)))
 
-    def _may_know(self, admitted: Admitted) -> bool:
+    def _may_know(self, admitted: AdmittedRequest) -> bool:
         return self._suspects.may_know(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
@@ -196,5 +198,5 @@
         return self._may_know(admitted) and admitted.fingerprint() == fingerprint
 
 
-def _suspect(admitted: Admitted) -> Suspect:
+def _suspect(admitted: AdmittedRequest) -> Suspect:
     return Suspect(admitted.fingerprint(), admitted.account or "", len(admitted.body))
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from leadseam.clock import Millis
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.flight import Flight
     from leadseam.routing.gateway import Gateway
     from leadseam.routing.placement import Placement
@@ -77,7 +77,7 @@
     """
 
     def __init__(
-        self, gateway: Gateway, http: web.BaseRequest, admitted: Admitted
+        self, gateway: Gateway, http: web.BaseRequest, admitted: AdmittedRequest
     ) -> None:
         self._gateway = gateway
         self._request = admitted
@@ -95,7 +95,7 @@
         self.placement: Placement | None = None
 
     @property
-    def admitted(self) -> Admitted:
+    def admitted(self) -> AdmittedRequest:
         """The request."""
         return self._request
 
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -9,7 +9,7 @@
 
 from leadseam.entry.answers import error_response
 from leadseam.outcome import NotRun, Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import (
     FIRST_REDIRECTION,
     FIRST_SERVER_ERROR,
@@ -216,7 +216,7 @@
         if not self.stopping:
             await self._first_configuration.wait(req.patience)
         admitted = self._admit(req, body, arrived)
-        if isinstance(admitted, Admitted):
+        if isinstance(admitted, AdmittedRequest):
             admitted = self._checked(admitted)
         if isinstance(admitted, NotRun):
             return self._refuse(Sender(req.request_id, req.key), admitted, arrived)
@@ -236,7 +236,7 @@
         )
 
     async def _run(
-        self, http: web.BaseRequest, admitted: Admitted
+        self, http: web.BaseRequest, admitted: AdmittedRequest
     ) -> web.StreamResponse:
         exchange = Exchange(self, http, admitted)
         self._running.add(exchange)
@@ -253,7 +253,7 @@
 
     def _admit(
         self, req: RoutedRequest, body: bytes, arrived: Millis
-    ) -> Admitted | NotRun:
+    ) -> AdmittedRequest | NotRun:
         route = self._router.match(req.host, req.path)
         if route is None:
             return self._absent(Reason.UNKNOWN_ROUTE)
@@ -267,7 +267,7 @@
         limit = route.time_limit
         if req.patience is not None:
             limit = min(limit, req.patience)
-        return Admitted(
+        return AdmittedRequest(
             req=req,
             body=body,
             route=route,
@@ -280,7 +280,7 @@
             ),
         )
 
-    def _checked(self, admitted: Admitted) -> Admitted | NotRun:
+    def _checked(self, admitted: AdmittedRequest) -> AdmittedRequest | NotRun:
         """Refuse a request that ends upstreams, or may do so."""
         match self.crash_guard.refusal(admitted):
             case None:
@@ -337,7 +337,11 @@
         return allowed
 
     def note_head(
-        self, upstream: Registration, admitted: Admitted, status: int, head: AnswerHead
+        self,
+        upstream: Registration,
+        admitted: AdmittedRequest,
+        status: int,
+        head: AnswerHead,
     ) -> None:
         """Learn what an upstream says of itself in an answer, whatever it is worth."""
         if status == MISDIRECTED:
@@ -380,7 +384,7 @@
         if left_alone:
             self.request_log.left_alone(upstream, ending)
 
-    def note_silence(self, upstream: Registration, admitted: Admitted) -> None:
+    def note_silence(self, upstream: Registration, admitted: AdmittedRequest) -> None:
         """Learn about an upstream that has not answered for too long."""
         left_alone = self._health.failed(upstream.incarnation, self.now())
         self.request_log.silence(upstream, admitted, left_alone=left_alone)
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -26,7 +26,7 @@
     from leadseam.clock import Clock, Millis
     from leadseam.feed.client import FeedClient
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.dialect import RoutedRequest
     from leadseam.routing.health import UpstreamHealth
     from leadseam.routing.placement import Placement
@@ -129,7 +129,7 @@
         return self._usage.standing(account, now)
 
     async def place(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Flight | Reason:
         """Find the upstream for an attempt; it may wait for room the first time.
 
@@ -229,7 +229,7 @@
         self._pump_soon()
 
     def _place_at_once(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Placement | EngineProfile | _Wait | None:
         """Place a request that need not wait; else return its pool's profile."""
         rows = self._candidates(admitted.scope)
@@ -259,7 +259,7 @@
         return placement if taken < PLACES * row.slots else None
 
     async def _wait_for_plain(
-        self, admitted: Admitted, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
@@ -275,7 +275,7 @@
         return await self._until_done(self._plain.withdraw, waiter, woken)
 
     async def _wait_for_room(
-        self, admitted: Admitted, profile: EngineProfile, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, profile: EngineProfile, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -18,7 +18,7 @@
     from leadseam.clock import Clock, Millis
     from leadseam.feed.client import FeedClient
     from leadseam.routing.account_log import AccountLog
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.attempt import Ending
     from leadseam.routing.dialect import AnswerHead
     from leadseam.routing.exchange import Exchange
@@ -89,7 +89,12 @@
             log.info("request refused", extra=extra)
 
     def attempt(
-        self, exchange: Exchange, admitted: Admitted, ending: Ending, *, retry: bool
+        self,
+        exchange: Exchange,
+        admitted: AdmittedRequest,
+        ending: Ending,
+        *,
+        retry: bool,
     ) -> None:
         """Write a line for an attempt that did not end well."""
         failed = isinstance(ending, Whole) and ending.status >= FIRST_SERVER_ERROR
@@ -109,7 +114,7 @@
             log.info("attempt failed", extra=extra)
 
     def silence(
-        self, upstream: Registration, admitted: Admitted, *, left_alone: bool
+        self, upstream: Registration, admitted: AdmittedRequest, *, left_alone: bool
     ) -> None:
         """Write a line for an upstream that has not answered for too long."""
         if self._lines.take():
@@ -121,7 +126,7 @@
             log.info("upstream silent", extra=extra)
 
     def asks_pause(
-        self, upstream: Registration, admitted: Admitted, head: AnswerHead
+        self, upstream: Registration, admitted: AdmittedRequest, head: AnswerHead
     ) -> None:
         """Note that an upstream turns a request away and asks for a pause."""
         self._metrics.pauses_asked.inc("read" if head.pause else "not_read")
@@ -135,7 +140,7 @@
             log.info("upstream asks for a pause", extra=extra)
 
     def says_it_leaves(
-        self, upstream: Registration, admitted: Admitted, status: int
+        self, upstream: Registration, admitted: AdmittedRequest, status: int
     ) -> None:
         """Write a line, outside the budget, for an upstream that is about to end."""
         extra = {
@@ -155,7 +160,7 @@
         extra = {"instance": str(upstream.incarnation), "ip": upstream.ip}
         log.info("address is held by another upstream", extra=extra)
 
-    def end(self, exchange: Exchange, admitted: Admitted) -> None:
+    def end(self, exchange: Exchange, admitted: AdmittedRequest) -> None:
         """Note the end of an admitted request."""
         now = self._clock.now()
         outcome: Outcome = exchange.outcome
@@ -170,7 +175,11 @@
             self._log_end(exchange, admitted, outcome, now)
 
     def _log_end(
-        self, exchange: Exchange, admitted: Admitted, outcome: Outcome, now: Millis
+        self,
+        exchange: Exchange,
+        admitted: AdmittedRequest,
+        outcome: Outcome,
+        now: Millis,
     ) -> None:
         extra = {
             **self._context(admitted),
@@ -196,7 +205,7 @@
             extra["standing"] = self._standing(admitted.account, now).name.lower()
         log.info("request ended", extra=extra)
 
-    def _context(self, admitted: Admitted) -> dict[str, object]:
+    def _context(self, admitted: AdmittedRequest) -> dict[str, object]:
         return {
             "request": admitted.req.request_id,
             "route": admitted.route.name,
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -19,7 +19,7 @@
 from leadseam.feed.totals import LoadSummer
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.exchange import MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
@@ -151,7 +151,7 @@
     async def _attempt(self, entry: int, account: str, began: int) -> bool:
         self._numbers += 1
         route = make_route("r", "/", "p")
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             req=make_request(request_id=f"r-{self._numbers}"),
             body=b"",
             route=msgspec.structs.replace(route, latency_objective=OBJECTIVE),
--- a/tests/emulate/test_plain_service.py
+++ b/tests/emulate/test_plain_service.py
@@ -22,7 +22,7 @@
 from leadseam.feed.entry_count import EntryCount
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
 from tests.routing.samples import make_request, make_route, make_upstream
@@ -73,7 +73,7 @@
         now = clock.now()
         asked[account] += 1
         req = make_request(request_id=f"{account}-{asked[account]}")
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             req=req,
             body=b"",
             route=make_route("r", "/", "p"),
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -23,7 +23,7 @@
 from leadseam.membership.view import UpstreamView
 from leadseam.platform import names
 from leadseam.platform.headers import PlatformDialect
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.budget import RetryLimits
 from leadseam.routing.client import WithheldError
 from leadseam.routing.exchange import Exchange
@@ -253,7 +253,7 @@
         request_id = f"r-{self._numbers}"
         subject = f"subject-{self._numbers % SUBJECTS}"
         req = make_request(subject, "own", request_id=request_id)
-        admitted = Admitted(
+        admitted = AdmittedRequest(
             req=replace(req, headers=((names.REQUEST_ID, request_id),)),
             body=b"{}",
             route=msgspec.structs.replace(route, latency_objective=400),
--- a/tests/routing/samples.py
+++ b/tests/routing/samples.py
@@ -4,7 +4,7 @@
 
 from leadseam.control.routes import PoolShare, Repeat, Route
 from leadseam.incarnation import NO_START, Incarnation
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.dialect import AnswerHead, PromptPart, RoutedRequest
 from leadseam.wire.feed import Registration
 
@@ -63,9 +63,9 @@
 
 def make_admitted(
     request_id: str = "r-1", *, arrived: int = 0, deadline: int = 5_000
-) -> Admitted:
+) -> AdmittedRequest:
     """Return a request for the pool `p` that came in through a safe route."""
-    return Admitted(
+    return AdmittedRequest(
         req=make_request(request_id=request_id),
         body=b"{}",
         route=make_route("r", "/chat/", "p"),
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -11,7 +11,7 @@
 from leadseam.clock import ManualClock
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import Broken, Whole
 from leadseam.routing.crash_guard import LOOK_DELAY, CrashGuard
 from leadseam.wire.crashes import Crashes, CrashRow
@@ -50,9 +50,9 @@
         self.guard.note_ending(upstream, admitted(), BROKEN, early=True)
 
 
-def admitted(body: bytes = b"{}") -> Admitted:
+def admitted(body: bytes = b"{}") -> AdmittedRequest:
     """Return a request of an account."""
-    return Admitted(
+    return AdmittedRequest(
         req=make_request(),
         body=body,
         route=make_route("r", "/chat/", "p"),
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -10,7 +10,7 @@
 
 from leadseam.control.routes import Repeat
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import Whole, Withheld
 from leadseam.routing.exchange import Exchange
 from leadseam.routing.reply import CallerGoneError
@@ -73,7 +73,7 @@
 def make_exchange(shared: Shared, repeat: Repeat = Repeat.SAFE) -> Exchange:
     """Return an exchange of a request that may be repeated or not."""
     route = msgspec.structs.replace(make_route("r", "/chat/", "p"), repeat=repeat)
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         req=make_request(),
         body=b"{}",
         route=route,
