--- a/src/leadseam/emulate/callers.py
+++ b/src/leadseam/emulate/callers.py
@@ -128,7 +128,7 @@
             target="/",
             headers=(),
             key=None,
-            patience=kind.patience,
+            max_wait=kind.patience,
             parts=parts,
             tokens_in=kind.shared + own,
             tokens_out=kind.made,
--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -65,7 +65,7 @@
             target=http.raw_path,
             headers=_end_to_end(http),
             key=read_key(headers.get(names.AUTHORIZATION)),
-            patience=_read_number(headers.get(names.DEADLINE)),
+            max_wait=_read_number(headers.get(names.DEADLINE)),
             parts=read_parts(headers.get(names.PROMPT_PARTS, "")),
             tokens_in=tokens_in,
             tokens_out=tokens_out,
--- a/src/leadseam/routing/dialect.py
+++ b/src/leadseam/routing/dialect.py
@@ -56,7 +56,7 @@
         target: Raw path and query.
         headers: End-to-end headers to pass on unchanged.
         key: The caller's bearer key, or None.
-        patience: Milliseconds that the caller will wait, or None if it does not say.
+        max_wait: Milliseconds that the caller will wait, or None if it does not say.
         parts: Parts of the prompt in order; empty for other work.
         tokens_in: Tokens of the prompt.
         tokens_out: Most tokens to be generated.
@@ -69,7 +69,7 @@
     target: str
     headers: Headers
     key: str | None
-    patience: Millis | None
+    max_wait: Millis | None
     parts: tuple[PromptPart, ...]
     tokens_in: int
     tokens_out: int
--- a/src/leadseam/routing/first_configuration.py
+++ b/src/leadseam/routing/first_configuration.py
@@ -32,15 +32,15 @@
     def __repr__(self) -> str:
         return f"FirstConfiguration(waiting={self._waiting})"
 
-    async def wait(self, patience: Millis | None) -> None:
+    async def wait(self, max_wait: Millis | None) -> None:
         """Return once there is a configuration, or after a while without one.
 
         Args:
-            patience: Milliseconds that the caller will wait, or None if unknown.
+            max_wait: Milliseconds that the caller will wait, or None if unknown.
         """
         if self._feed.confirmed or self._waiting >= MAX_WAITING:
             return
-        limit = LONGEST_WAIT if patience is None else min(LONGEST_WAIT, patience)
+        limit = LONGEST_WAIT if max_wait is None else min(LONGEST_WAIT, max_wait)
         self._waiting += 1
         try:
             async with asyncio.timeout(seconds(limit)):
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -214,7 +214,7 @@
         except web.HTTPRequestEntityTooLarge:
             return self.error(NotRun(Reason.BODY_TOO_LARGE))
         if not self.stopping:
-            await self._first_configuration.wait(req.patience)
+            await self._first_configuration.wait(req.max_wait)
         admitted = self._admit(req, body, arrived)
         if isinstance(admitted, AdmittedRequest):
             admitted = self._checked(admitted)
@@ -265,8 +265,8 @@
         if self._lag.millis > MAX_LAG:
             return self._busy()
         limit = route.time_limit
-        if req.patience is not None:
-            limit = min(limit, req.patience)
+        if req.max_wait is not None:
+            limit = min(limit, req.max_wait)
         return AdmittedRequest(
             req=req,
             body=body,
--- a/tests/routing/test_first_configuration.py
+++ b/tests/routing/test_first_configuration.py
@@ -22,9 +22,9 @@
         )
         self.first = FirstConfiguration(cast("Any", self.feed))
 
-    def come(self, patience: int | None = None) -> asyncio.Task[None]:
+    def come(self, max_wait: int | None = None) -> asyncio.Task[None]:
         """Let a request come."""
-        return asyncio.create_task(self.first.wait(patience))
+        return asyncio.create_task(self.first.wait(max_wait))
 
 
 async def turns() -> None:
@@ -43,7 +43,7 @@
 
 
 async def test_it_does_not_wait_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    await Entry().come(patience=1)
+    await Entry().come(max_wait=1)
     monkeypatch.setattr(first_configuration, "LONGEST_WAIT", 1)
     await Entry().come()
 
