--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -203,7 +203,7 @@
     def _end_attempts(self, over: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
         over = tuple(over)
-        ended = self._gateway.restarts.over(over)
+        ended = self._gateway.restarts.end_attempts(over)
         for incarnation in over:
             self._gateway.crash_guard.ended(incarnation)
         if ended:
--- a/src/leadseam/routing/restarts.py
+++ b/src/leadseam/routing/restarts.py
@@ -38,7 +38,7 @@
             if not attempts:
                 self._attempts.pop(incarnation, None)
 
-    def over(self, incarnations: Iterable[Incarnation]) -> int:
+    def end_attempts(self, incarnations: Iterable[Incarnation]) -> int:
         """End the attempts at incarnations that are over; return their number."""
         ended = [
             on_restart
--- a/tests/routing/test_restarts.py
+++ b/tests/routing/test_restarts.py
@@ -17,8 +17,8 @@
         restarts.watch(EARLIER, lambda: ended.append("second")),
         restarts.watch(LATER, lambda: ended.append("later")),
     ):
-        assert restarts.over([Incarnation("other", 1)]) == 0
-        assert restarts.over([EARLIER]) == 2
+        assert restarts.end_attempts([Incarnation("other", 1)]) == 0
+        assert restarts.end_attempts([EARLIER]) == 2
     assert ended == ["first", "second"]
 
 
@@ -26,7 +26,7 @@
     restarts = Restarts()
     with restarts.watch(EARLIER, lambda: None):
         pass
-    assert restarts.over([EARLIER]) == 0
+    assert restarts.end_attempts([EARLIER]) == 0
     assert repr(restarts) == "Restarts(incarnations=0)"
 
 
