--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -211,7 +211,7 @@
 
     def _take_crashes(self, message: Crashes) -> None:
         assert self._gateway is not None
-        self._gateway.crash_guard.take(message)
+        self._gateway.crash_guard.receive(message)
 
     def _greeting(self) -> Crashes | None:
         assert self._gateway is not None
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -119,7 +119,7 @@
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
-    def take(self, message: Crashes) -> None:
+    def receive(self, message: Crashes) -> None:
         """Take what other entries have seen."""
         convicted = self._suspects.told(message.rows, self._clock.now())
         self._convict(convicted)
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -129,7 +129,7 @@
     row = CrashRow(
         one.fingerprint(), "bank", len(one.body), incarnations, early=incarnations
     )
-    entry.guard.take(Crashes((row,)))
+    entry.guard.receive(Crashes((row,)))
     assert ended == ["deadly"]
     assert entry.guard.refusal(one) is Reason.CRASHES_UPSTREAMS
 
