--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -215,7 +215,7 @@
 
     def _greeting(self) -> Crashes | None:
         assert self._gateway is not None
-        return self._gateway.crash_guard.greeting()
+        return self._gateway.crash_guard.initial_report()
 
     def _configure(self, configuration: Configuration) -> None:
         assert self._gateway is not None
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -124,7 +124,7 @@
         convicted = self._suspects.told(message.rows, self._clock.now())
         self._convict(convicted)
 
-    def greeting(self) -> Crashes | None:
+    def initial_report(self) -> Crashes | None:
         """Return what a replica has to know that is followed anew, or None."""
         rows = self._suspects.book.rows()
         return Crashes(rows) if rows else None
