--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -367,9 +367,9 @@
         paused = self._gateway.placer.pause_left(self._request.scope)
         if paused:
             # Sooner there is nobody to serve it, and not all are to return at once.
-            return paused + self._gateway.spread(RETURN_SPREAD)
+            return paused + self._gateway.jitter(RETURN_SPREAD)
         left = max(self._request.deadline - self._gateway.now(), 0)
-        return self._gateway.spread(
+        return self._gateway.jitter(
             min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
         )
 
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -289,11 +289,11 @@
                 # Nobody is to come back with it, so no pause is told.
                 return NotRun(reason)
             case reason:
-                return NotRun(reason, self.spread(UNDECIDED_PAUSE))
+                return NotRun(reason, self.jitter(UNDECIDED_PAUSE))
 
     def _busy(self) -> NotRun:
         pause = self._spell.refused(self.now())
-        return NotRun(Reason.ENTRY_BUSY, self.spread(pause))
+        return NotRun(Reason.ENTRY_BUSY, self.jitter(pause))
 
     def _has_had_its_share(self, sender: Sender, now: Millis) -> bool:
         """Tell whether a sender's account is ahead of others, by its key alone."""
@@ -325,7 +325,7 @@
 
     # Shared by exchanges
 
-    def spread(self, pause: Millis) -> Millis:
+    def jitter(self, pause: Millis) -> Millis:
         """Return a pause between half of the given one and all of it."""
         return self._rng.randint(pause // 2, pause)
 
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -116,7 +116,7 @@
 
 async def test_what_has_no_upstream_has_not_run() -> None:
     shared = Shared(Reason.NO_UPSTREAM)
-    shared.spread = lambda pause: pause  # type: ignore[attr-defined]
+    shared.jitter = lambda pause: pause  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
     exchange = make_exchange(shared)
     await exchange.run()
@@ -126,7 +126,7 @@
 async def test_where_all_upstreams_pause_callers_are_told_when_one_is_back() -> None:
     shared = Shared(Reason.UPSTREAMS_PAUSED)
     shared.paused = 2_750
-    shared.spread = lambda pause: pause // 2  # type: ignore[attr-defined]
+    shared.jitter = lambda pause: pause // 2  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
     exchange = make_exchange(shared)
     await exchange.run()
