--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -85,7 +85,10 @@
         headers = [
             (name, value)
             for name, value in req.headers
-            if not (attempt.keyed and name.lower() == names.AUTHORIZATION.lower())
+            if not (
+                attempt.uses_account_keys
+                and name.lower() == names.AUTHORIZATION.lower()
+            )
         ]
         headers.append((names.DEADLINE, str(attempt.time_left)))
         headers.append((names.EXPECT_INSTANCE, attempt.instance))
--- a/src/leadseam/routing/dialect.py
+++ b/src/leadseam/routing/dialect.py
@@ -89,14 +89,14 @@
         instance: Id of the upstream that must answer; any other has to refuse. It
             does not tell two starts of one upstream apart.
         account: Client account that pays, or None.
-        keyed: Whether bearer keys are this system's own and stay here.
+        uses_account_keys: Whether bearer keys are this system's own and stay here.
         time_left: Milliseconds until the request is given up.
         resume_after: Identity of the last event already delivered, or None.
     """
 
     instance: str
     account: str | None
-    keyed: bool
+    uses_account_keys: bool
     time_left: Millis
     resume_after: str | None
 
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -235,7 +235,7 @@
         head = AttemptHead(
             instance=upstream.instance,
             account=request.account,
-            keyed=self._gateway.keyed,
+            uses_account_keys=self._gateway.uses_account_keys,
             time_left=max(request.deadline - self._gateway.now(), 1),
             resume_after=self._reply.last_event,
         )
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -142,9 +142,9 @@
         self._router = Router(configuration)
 
     @property
-    def keyed(self) -> bool:
+    def uses_account_keys(self) -> bool:
         """Whether callers' bearer keys belong to client accounts."""
-        return self._router.keyed
+        return self._router.uses_account_keys
 
     def now(self) -> Millis:
         """Return the time."""
@@ -311,7 +311,7 @@
         return account.name if account is not None else None
 
     def _account(self, req: RoutedRequest, route: Route) -> Account | NotRun | None:
-        if not self._router.keyed:
+        if not self._router.uses_account_keys:
             return None
         if req.key is None:
             return None if route.anonymous else self._absent(Reason.NO_KEY)
--- a/src/leadseam/routing/router.py
+++ b/src/leadseam/routing/router.py
@@ -38,7 +38,7 @@
         return f"Router(hosts={len(self._hosts)}, keys={len(self._accounts)})"
 
     @property
-    def keyed(self) -> bool:
+    def uses_account_keys(self) -> bool:
         """Whether there are client accounts at all."""
         return bool(self._accounts)
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -21,7 +21,11 @@
 )
 
 HEAD = AttemptHead(
-    instance="i-1", account="bank", keyed=True, time_left=900, resume_after=None
+    instance="i-1",
+    account="bank",
+    uses_account_keys=True,
+    time_left=900,
+    resume_after=None,
 )
 
 
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -46,7 +46,7 @@
         self.restarts = Restarts()
         self.request_log = SimpleNamespace(attempt=lambda *_, **__: None)
         self.prepare = None
-        self.keyed = False
+        self.uses_account_keys = False
 
     def now(self) -> int:
         return 1_000
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -33,10 +33,10 @@
     digest = hashlib.sha256(b"secret").hexdigest()
     account = Account("bank", key_hashes=(digest,))
     router = Router(Configuration(accounts={"bank": account}))
-    assert router.keyed
+    assert router.uses_account_keys
     assert router.account("secret") == account
     assert router.account("Secret") is None
-    assert not Router(Configuration()).keyed
+    assert not Router(Configuration()).uses_account_keys
 
 
 def test_a_pool_without_weight_gets_nothing() -> None:
