--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -54,7 +54,7 @@
     def __repr__(self) -> str:
         return f"PauseTable(rows={len(self._rows)})"
 
-    def asked(self, incarnation: Incarnation, until: Millis) -> None:
+    def pause(self, incarnation: Incarnation, until: Millis) -> None:
         """Note that an upstream wants nothing until a time; a shorter one is void."""
         row = self._rows.get(incarnation)
         if row is not None:
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -178,7 +178,7 @@
         """Send nothing to an upstream for a while, as it asks."""
         spread = self._rng.randint(0, length // PAUSE_SPREAD)
         until = self._clock.now() + length + spread
-        self._pauses.asked(row.incarnation, until)
+        self._pauses.pause(row.incarnation, until)
         self._sound.clear()
 
     def answered(self, row: Registration) -> None:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -393,7 +393,7 @@
     Variant(
         "a pause is not kept",
         "routing/placer.py",
-        "        self._pauses.asked(row.incarnation, until)",
+        "        self._pauses.pause(row.incarnation, until)",
         "        pass",
         f"{WORDS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
     ),
