--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -36,7 +36,7 @@
 EVACUATIONS = "tests/control/test_evacuations.py"
 EVACUATION = "tests/platform/test_evacuation.py"
 COLD = "tests/routing/test_cold.py"
-WORDS = "tests/routing/test_words_of_upstreams.py"
+WORDS = "tests/routing/test_upstream_announcements.py"
 
 VARIANTS = (
     Variant(
