--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -9,7 +9,7 @@
 
 from leadseam.entry.answers import error_response
 from leadseam.outcome import NotRun, Reason
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import (
     FIRST_REDIRECTION,
     FIRST_SERVER_ERROR,
@@ -63,7 +63,7 @@
 EXCESS_LAG: Millis = 10
 """The same for accounts that have had their share, refused before their request is even
 read: what they send beyond it is most of what makes an entry late."""
-MAX_KEPT = 256
+MAX_KEPT_ALIVE = 256
 """Callers' connections above which answers end their connection: an idle one takes some
 16 KB, and callers that open one for each request leave thousands."""
 UNDECIDED_PAUSE: Millis = 1_000
@@ -142,9 +142,9 @@
         self._router = Router(configuration)
 
     @property
-    def keyed(self) -> bool:
+    def uses_account_keys(self) -> bool:
         """Whether callers' bearer keys belong to client accounts."""
-        return self._router.keyed
+        return self._router.uses_account_keys
 
     def now(self) -> Millis:
         """Return the time."""
@@ -184,7 +184,7 @@
     def resumed(self) -> None:
         """Look at all that may be due after the box was suspended."""
         for exchange in list(self._running):
-            exchange.look_at_deadline()
+            exchange.reset_deadline_timer()
         self.placer.look()
         extra = {
             "requests": len(self._running),
@@ -197,7 +197,7 @@
         """End the caller's connection after this response where that is due."""
         if response.prepared:
             return
-        if self.stopping or self._connections() > MAX_KEPT:
+        if self.stopping or self._connections() > MAX_KEPT_ALIVE:
             response.force_close()
 
     async def _serve(self, http: web.BaseRequest) -> web.StreamResponse:
@@ -214,9 +214,9 @@
         except web.HTTPRequestEntityTooLarge:
             return self.error(NotRun(Reason.BODY_TOO_LARGE))
         if not self.stopping:
-            await self._first_configuration.wait(req.patience)
+            await self._first_configuration.wait(req.max_wait)
         admitted = self._admit(req, body, arrived)
-        if isinstance(admitted, Admitted):
+        if isinstance(admitted, AdmittedRequest):
             admitted = self._checked(admitted)
         if isinstance(admitted, NotRun):
             return self._refuse(Sender(req.request_id, req.key), admitted, arrived)
@@ -236,7 +236,7 @@
         )
 
     async def _run(
-        self, http: web.BaseRequest, admitted: Admitted
+        self, http: web.BaseRequest, admitted: AdmittedRequest
     ) -> web.StreamResponse:
         exchange = Exchange(self, http, admitted)
         self._running.add(exchange)
@@ -253,7 +253,7 @@
 
     def _admit(
         self, req: RoutedRequest, body: bytes, arrived: Millis
-    ) -> Admitted | NotRun:
+    ) -> AdmittedRequest | NotRun:
         route = self._router.match(req.host, req.path)
         if route is None:
             return self._absent(Reason.UNKNOWN_ROUTE)
@@ -265,9 +265,9 @@
         if self._lag.millis > MAX_LAG:
             return self._busy()
         limit = route.time_limit
-        if req.patience is not None:
-            limit = min(limit, req.patience)
-        return Admitted(
+        if req.max_wait is not None:
+            limit = min(limit, req.max_wait)
+        return AdmittedRequest(
             req=req,
             body=body,
             route=route,
@@ -280,7 +280,7 @@
             ),
         )
 
-    def _checked(self, admitted: Admitted) -> Admitted | NotRun:
+    def _checked(self, admitted: AdmittedRequest) -> AdmittedRequest | NotRun:
         """Refuse a request that ends upstreams, or may do so."""
         match self.crash_guard.refusal(admitted):
             case None:
@@ -289,11 +289,11 @@
                 # Nobody is to come back with it, so no pause is told.
                 return NotRun(reason)
             case reason:
-                return NotRun(reason, self.spread(UNDECIDED_PAUSE))
+                return NotRun(reason, self.jitter(UNDECIDED_PAUSE))
 
     def _busy(self) -> NotRun:
         pause = self._spell.refused(self.now())
-        return NotRun(Reason.ENTRY_BUSY, self.spread(pause))
+        return NotRun(Reason.ENTRY_BUSY, self.jitter(pause))
 
     def _has_had_its_share(self, sender: Sender, now: Millis) -> bool:
         """Tell whether a sender's account is ahead of others, by its key alone."""
@@ -311,7 +311,7 @@
         return account.name if account is not None else None
 
     def _account(self, req: RoutedRequest, route: Route) -> Account | NotRun | None:
-        if not self._router.keyed:
+        if not self._router.uses_account_keys:
             return None
         if req.key is None:
             return None if route.anonymous else self._absent(Reason.NO_KEY)
@@ -325,7 +325,7 @@
 
     # Shared by exchanges
 
-    def spread(self, pause: Millis) -> Millis:
+    def jitter(self, pause: Millis) -> Millis:
         """Return a pause between half of the given one and all of it."""
         return self._rng.randint(pause // 2, pause)
 
@@ -337,13 +337,17 @@
         return allowed
 
     def note_head(
-        self, upstream: Registration, admitted: Admitted, status: int, head: AnswerHead
+        self,
+        upstream: Registration,
+        admitted: AdmittedRequest,
+        status: int,
+        head: AnswerHead,
     ) -> None:
         """Learn what an upstream says of itself in an answer, whatever it is worth."""
         if status == MISDIRECTED:
             # Whoever answers there is not the upstream that was meant.
             return
-        if head.pause or head.odd_pause:
+        if head.pause or head.invalid_pause:
             self.request_log.asks_pause(upstream, admitted, head)
         if head.pause:
             self.placer.pause(upstream, head.pause)
@@ -380,7 +384,7 @@
         if left_alone:
             self.request_log.left_alone(upstream, ending)
 
-    def note_silence(self, upstream: Registration, admitted: Admitted) -> None:
+    def note_silence(self, upstream: Registration, admitted: AdmittedRequest) -> None:
         """Learn about an upstream that has not answered for too long."""
         left_alone = self._health.failed(upstream.incarnation, self.now())
         self.request_log.silence(upstream, admitted, left_alone=left_alone)
--- a/tests/routing/samples.py
+++ b/tests/routing/samples.py
@@ -4,7 +4,7 @@
 
 from leadseam.control.routes import PoolShare, Repeat, Route
 from leadseam.incarnation import NO_START, Incarnation
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.dialect import AnswerHead, PromptPart, RoutedRequest
 from leadseam.wire.feed import Registration
 
@@ -18,7 +18,7 @@
         target="/chat/1",
         headers=(),
         key=None,
-        patience=None,
+        max_wait=None,
         parts=tuple(PromptPart(part, 100) for part in parts),
         tokens_in=100 * len(parts),
         tokens_out=50,
@@ -63,9 +63,9 @@
 
 def make_admitted(
     request_id: str = "r-1", *, arrived: int = 0, deadline: int = 5_000
-) -> Admitted:
+) -> AdmittedRequest:
     """Return a request for the pool `p` that came in through a safe route."""
-    return Admitted(
+    return AdmittedRequest(
         req=make_request(request_id=request_id),
         body=b"{}",
         route=make_route("r", "/chat/", "p"),
@@ -81,7 +81,7 @@
     request_id: str = "r-1",
     not_run: bool = False,
     pause: int = 0,
-    odd_pause: str = "",
+    invalid_pause: str = "",
     leaving: bool = False,
 ) -> AnswerHead:
     """Return the head of a signed answer."""
@@ -91,6 +91,6 @@
         signed=True,
         event_stream=False,
         pause=pause,
-        odd_pause=odd_pause,
+        invalid_pause=invalid_pause,
         leaving=leaving,
     )
