--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.routing.estimate import EstimateBook
-from leadseam.routing.load import Load, LoadBook
+from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.order import MAX_LOOKED, EngineOrders
 from leadseam.routing.placement import Placement
 from leadseam.routing.prompts import PromptBook
@@ -118,7 +118,7 @@
     ) -> None:
         self._on_begin = on_begin
         self._allows = allows
-        self.loads = LoadBook()
+        self.loads = LoadTable()
         self.prompts = PromptBook()
         self.estimates = EstimateBook()
         self.orders = EngineOrders()
--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -60,7 +60,7 @@
 NOTHING = Load()
 
 
-class LoadBook:
+class LoadTable:
     """Loads by upstream, as this entry knows them."""
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
         self._stale = True
 
     def __repr__(self) -> str:
-        return f"LoadBook(own={len(self._own)}, others={len(self._others)})"
+        return f"LoadTable(own={len(self._own)}, others={len(self._others)})"
 
     def begin(self, incarnation: Incarnation, load: Load) -> None:
         """Count a request that is sent."""
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -4,7 +4,7 @@
 
 from leadseam.feed.totals import LoadSummer
 from leadseam.incarnation import Incarnation
-from leadseam.routing.load import KEPT_REPORTS, TOTALS_LIMIT, Load, LoadBook
+from leadseam.routing.load import KEPT_REPORTS, TOTALS_LIMIT, Load, LoadTable
 from leadseam.wire.codec import decode
 from leadseam.wire.feed import LoadRow, LoadSums, LoadTotals, UsageRow
 
@@ -16,7 +16,7 @@
     return decode(totals.data, LoadSums)
 
 
-def exchange(books: list[LoadBook], now: int = 0) -> None:
+def exchange(books: list[LoadTable], now: int = 0) -> None:
     """Have every book report, and take the totals."""
     sums = LoadSummer()
     for number, book in enumerate(books):
@@ -26,7 +26,7 @@
 
 
 def test_every_entry_sees_what_all_have_in_flight() -> None:
-    books = [LoadBook() for _ in range(3)]
+    books = [LoadTable() for _ in range(3)]
     for number, book in enumerate(books, start=1):
         book.begin(ENGINE, Load(requests=number, unread=10 * number, memory=100))
     exchange(books)
@@ -35,7 +35,7 @@
 
 
 def test_the_own_part_is_always_what_it_is_now() -> None:
-    books = [LoadBook(), LoadBook()]
+    books = [LoadTable(), LoadTable()]
     books[0].begin(ENGINE, Load(requests=2, unread=50))
     books[1].begin(ENGINE, Load(requests=1, unread=5))
     exchange(books)
@@ -47,7 +47,7 @@
 
 
 def test_old_totals_do_not_count() -> None:
-    books = [LoadBook(), LoadBook()]
+    books = [LoadTable(), LoadTable()]
     books[1].begin(ENGINE, Load(requests=1))
     exchange(books)
     assert books[0].total(ENGINE, TOTALS_LIMIT).requests == 1
@@ -55,7 +55,7 @@
 
 
 def test_totals_of_a_report_that_was_forgotten_count_the_own_part_twice() -> None:
-    book = LoadBook()
+    book = LoadTable()
     book.begin(ENGINE, Load(requests=1))
     sums = LoadSummer()
     sums.take(0, book.report(()), 0)
@@ -68,7 +68,7 @@
 
 def test_a_replica_drops_old_reports_and_sums_usage() -> None:
     sums = LoadSummer()
-    book = LoadBook()
+    book = LoadTable()
     book.begin(ENGINE, Load(requests=1))
     sums.take(1, book.report([UsageRow("bank", 10, 20)]), 0)
     sums.take(2, book.report([UsageRow("bank", 1, 2), UsageRow("shop", 3, 4)]), 900)
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -18,7 +18,7 @@
 from leadseam.membership.view import UpstreamView
 from leadseam.routing.budget import PoolRetryBudget, RetryLimits
 from leadseam.routing.health import UpstreamHealth
-from leadseam.routing.load import Load, LoadBook
+from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.usage import UsageBook
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.wire.crashes import CrashRow
@@ -71,7 +71,7 @@
 
 def load_of_others() -> Ask:
     """Requests of others that count at an engine."""
-    books = [LoadBook(), LoadBook()]
+    books = [LoadTable(), LoadTable()]
     books[1].begin(ENGINE, Load(requests=1))
     exchange(books)
     return lambda now: books[0].total(ENGINE, now).requests
