--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from leadseam.outcome import Reason
-    from leadseam.routing.usage import UsageBook
+    from leadseam.routing.usage import UsageTable
 
 INTERVAL: Millis = 1_000
 """Pause between two lines: fairness is judged second by second."""
@@ -43,7 +43,7 @@
         clock: Source of time.
     """
 
-    def __init__(self, usage: UsageBook, clock: Clock) -> None:
+    def __init__(self, usage: UsageTable, clock: Clock) -> None:
         self._usage = usage
         self._clock = clock
         self._accounts: dict[str, _Second] = {}
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -17,7 +17,7 @@
 from leadseam.routing.pauses import PauseBook
 from leadseam.routing.plain import PLACES, WAIT_PART, PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
-from leadseam.routing.usage import MEMORY, UsageBook
+from leadseam.routing.usage import MEMORY, UsageTable
 
 if TYPE_CHECKING:
     import random
@@ -96,7 +96,7 @@
             entries=feed.entries.most,
         )
         self._balancer = Balancer(rng, allows=self._allows, on_begin=self._note_begin)
-        self._usage = UsageBook()
+        self._usage = UsageTable()
         self.account_log = AccountLog(self._usage, clock)
         self._admission = Admission(
             balancer=self._balancer,
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -115,7 +115,7 @@
     asked: _Decaying = field(default_factory=_Decaying)
 
 
-class UsageBook:
+class UsageTable:
     """Service by account of late, fading with `MEMORY`."""
 
     def __init__(self) -> None:
@@ -125,7 +125,7 @@
         self.shares = Shares()
 
     def __repr__(self) -> str:
-        return f"UsageBook(accounts={len(self._own)}, {self.shares!r})"
+        return f"UsageTable(accounts={len(self._own)}, {self.shares!r})"
 
     def asked(self, account: str, service: int, now: Millis) -> None:
         """Count a request that arrived."""
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_summing.py
@@ -10,7 +10,7 @@
 
 from leadseam.feed.summing import PROBE_INTERVAL, SILENCE_LIMIT, SummingReplica
 from leadseam.routing.load import TOTALS_LIMIT
-from leadseam.routing.usage import Standing, UsageBook
+from leadseam.routing.usage import Standing, UsageTable
 from leadseam.wire.feed import LoadSums, UsageRow
 
 NAMES = {"10.2.0.1:7", "10.1.0.1:7", "10.3.0.1:7"}
@@ -60,7 +60,7 @@
 
 
 def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
-    book = UsageBook()
+    book = UsageTable()
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
     book.take_sums(LoadSums((), rows), None, capacity=900, now=0)
     assert book.standing("notes", TOTALS_LIMIT) is Standing.STOPPED
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -8,7 +8,7 @@
 from leadseam.clock import ManualClock
 from leadseam.outcome import Reason
 from leadseam.routing.account_log import MOST_ACCOUNTS, AccountLog
-from leadseam.routing.usage import UsageBook
+from leadseam.routing.usage import UsageTable
 from leadseam.wire.feed import LoadSums, UsageRow
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    usage = UsageBook()
+    usage = UsageTable()
     rows = (UsageRow("menus", 900, 2_000), UsageRow("pay", 100, 1_000))
     usage.take_sums(LoadSums((), rows), None, capacity=1_000, now=100)
     lines = AccountLog(usage, ManualClock(140))
@@ -53,7 +53,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageBook(), ManualClock())
+    lines = AccountLog(UsageTable(), ManualClock())
     lines.asked("menus", 300)
     lines.write()
     assert written(caplog) == []
@@ -63,7 +63,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageBook(), ManualClock())
+    lines = AccountLog(UsageTable(), ManualClock())
     for number in range(MOST_ACCOUNTS + 3):
         for _ in range(number + 1):
             lines.refused(f"a{number}", Reason.UPSTREAM_FULL)
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -10,7 +10,7 @@
     MEMORY,
     Shares,
     Standing,
-    UsageBook,
+    UsageTable,
     fair_level,
     given_capacity,
     lead_level,
@@ -39,7 +39,7 @@
 
 
 def test_an_account_is_beyond_its_share_only_for_a_while() -> None:
-    book = UsageBook()
+    book = UsageTable()
     book.served("menus", 900, 0)
     book.asked("menus", 2_000, 0)
     book.served("pay", 50, 0)
@@ -56,7 +56,7 @@
 
 
 def test_service_fades_steadily() -> None:
-    book = UsageBook()
+    book = UsageTable()
     book.served("menus", 1_000, 0)
     assert [book.level("menus", at) for at in (0, 500, 1_000, 2_000, 4_001, 8_000)] == [
         1_000,
@@ -73,7 +73,7 @@
 
 
 def test_who_is_far_ahead_gets_work_again_before_what_it_got_is_forgotten() -> None:
-    book = UsageBook()
+    book = UsageTable()
     shares = Shares(stated=400, even=460, stop=520)
     for at in (0, 100, 200):
         book.served("burst", 300, at)
@@ -93,7 +93,7 @@
         UsageRow("other", served=720, asked=3_000),
         UsageRow("small", served=80, asked=80),
     )
-    book = UsageBook()
+    book = UsageTable()
     book.take_sums(LoadSums((), rows), None, capacity=1_000, now=0)
     # Shares: 460 of the stated 1,000; 710 of the 1,500 that engines gave.
     assert book.standing("large", 0) is Standing.EVEN
@@ -103,7 +103,7 @@
 
 def test_nothing_is_stated_where_operators_say_nothing() -> None:
     rows = (UsageRow("a", served=700, asked=900), UsageRow("b", served=100, asked=900))
-    book = UsageBook()
+    book = UsageTable()
     book.take_sums(LoadSums((), rows), None, capacity=0, now=0)
     assert book.standing("a", 0) is Standing.STOPPED
     assert book.standing("b", 0) is Standing.WITHIN
@@ -125,7 +125,7 @@
 
 
 def test_one_that_is_far_ahead_of_a_short_one_stops() -> None:
-    book = UsageBook()
+    book = UsageTable()
     rows = (
         UsageRow("ahead", served=470, asked=1_000),
         UsageRow("behind", served=300, asked=900),
@@ -137,7 +137,7 @@
 
 
 def test_nobody_stops_within_the_stated_share() -> None:
-    book = UsageBook()
+    book = UsageTable()
     rows = (
         UsageRow("ahead", served=470, asked=1_000),
         UsageRow("behind", served=300, asked=900),
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -19,7 +19,7 @@
 from leadseam.routing.budget import PoolRetryBudget, RetryLimits
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.load import Load, LoadTable
-from leadseam.routing.usage import UsageBook
+from leadseam.routing.usage import UsageTable
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.wire.crashes import CrashRow
 from tests.control.cluster import elected
@@ -79,7 +79,7 @@
 
 def service_of_late() -> Ask:
     """Service of an account that still counts, of 1,000 tokens."""
-    book = UsageBook()
+    book = UsageTable()
     book.served("tellers", 1_000, 0)
     return lambda now: sum(row.served for row in book.rows(now))
 
