--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.estimate import EstimateBook
+from leadseam.routing.estimate import EstimateTable
 from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.order import MAX_LOOKED, EngineOrders
 from leadseam.routing.placement import Placement
@@ -120,7 +120,7 @@
         self._allows = allows
         self.loads = LoadTable()
         self.prompts = PromptBook()
-        self.estimates = EstimateBook()
+        self.estimates = EstimateTable()
         self.orders = EngineOrders()
         self._rng = rng
 
--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -62,7 +62,7 @@
         self.rate = 1 / (1 / self.rate + WEIGHT * (1 / rate - 1 / self.rate))
 
 
-class EstimateBook:
+class EstimateTable:
     """What was learned of each engine and of each pool."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self._pools: dict[str, FirstTokenEstimate] = {}
 
     def __repr__(self) -> str:
-        return f"EstimateBook(engines={len(self._engines)}, pools={self._pools!r})"
+        return f"EstimateTable(engines={len(self._engines)}, pools={self._pools!r})"
 
     def engine(self, row: Registration) -> FirstTokenEstimate:
         """Return the estimate of an engine, or its pool's before its first answer."""
