--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -15,7 +15,7 @@
 from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.order import MAX_LOOKED, EngineOrders
 from leadseam.routing.placement import Placement
-from leadseam.routing.prompts import PromptBook
+from leadseam.routing.prompts import PromptTable
 from leadseam.routing.usage import MADE_TOKEN
 
 if TYPE_CHECKING:
@@ -119,7 +119,7 @@
         self._on_begin = on_begin
         self._allows = allows
         self.loads = LoadTable()
-        self.prompts = PromptBook()
+        self.prompts = PromptTable()
         self.estimates = EstimateTable()
         self.orders = EngineOrders()
         self._rng = rng
--- a/src/leadseam/routing/prompts.py
+++ b/src/leadseam/routing/prompts.py
@@ -17,7 +17,7 @@
 """Parts remembered, by any engine: 5 to 8 MB, as most are held by one or two."""
 
 
-class PromptBook:
+class PromptTable:
     """Parts that this entry has sent to each engine."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self._sent: OrderedDict[str, dict[Incarnation, Millis]] = OrderedDict()
 
     def __repr__(self) -> str:
-        return f"PromptBook(parts={len(self._sent)})"
+        return f"PromptTable(parts={len(self._sent)})"
 
     def sent(
         self, incarnation: Incarnation, parts: tuple[PromptPart, ...], now: Millis
