--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -185,7 +185,7 @@
         """Look at all that may be due after the box was suspended."""
         for exchange in list(self._running):
             exchange.look_at_deadline()
-        self.placer.look()
+        self.placer.place_waiting()
         extra = {
             "requests": len(self._running),
             "connections_closed": self.client.drop_idle(),
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -206,7 +206,7 @@
         """Forget what is over."""
         self._pauses.sweep(self._clock.now())
 
-    def look(self) -> None:
+    def place_waiting(self) -> None:
         """Look at all that waits now, whatever its timers say."""
         now = self._clock.now()
         self._admission.pump(now)
@@ -360,7 +360,7 @@
 
     def _pump(self) -> None:
         self._pumping = False
-        self.look()
+        self.place_waiting()
 
 
 def _without(
