--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -175,7 +175,7 @@
             if lag <= MAX_LAG:
                 return None
             service = service_of_tokens(sender.own_tokens, sender.tokens_out)
-            self.placer.asked_service(account, service, now)
+            self.placer.record_requested_service(account, service, now)
         refusal = self._busy()
         self._note_refusal(sender, refusal, now)
         self._metrics.refusals.inc(refusal.reason.value)
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -117,9 +117,9 @@
 
     def asked(self, account: str, req: RoutedRequest, now: Millis) -> None:
         """Count a request of a client account, placed later or not."""
-        self.asked_service(account, service_of(req), now)
+        self.record_requested_service(account, service_of(req), now)
 
-    def asked_service(self, account: str, service: int, now: Millis) -> None:
+    def record_requested_service(self, account: str, service: int, now: Millis) -> None:
         """Count a request of a client account by the service that it would take."""
         self._usage.asked(account, service, now)
         self.account_log.asked(account, service)
