--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -158,7 +158,7 @@
             arrived=now,
             deadline=deadline,
         )
-        placer.asked(arrival.account, arrival.req, now)
+        placer.record_request(arrival.account, arrival.req, now)
         tried: set[Incarnation] = set()
         while len(tried) < MAX_SENDS:
             flight = await placer.place(admitted, tried, again=bool(tried))
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -261,7 +261,7 @@
         if isinstance(account, NotRun):
             return account
         if account is not None:
-            self.placer.asked(account.name, req, arrived)
+            self.placer.record_request(account.name, req, arrived)
         if self._lag.millis > MAX_LAG:
             return self._busy()
         limit = route.time_limit
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -115,7 +115,7 @@
     def __repr__(self) -> str:
         return f"Placer(waiting={len(self._admission)}, {self._balancer!r})"
 
-    def asked(self, account: str, req: RoutedRequest, now: Millis) -> None:
+    def record_request(self, account: str, req: RoutedRequest, now: Millis) -> None:
         """Count a request of a client account, placed later or not."""
         self.record_requested_service(account, service_of(req), now)
 
--- a/tests/emulate/test_plain_service.py
+++ b/tests/emulate/test_plain_service.py
@@ -82,7 +82,7 @@
             arrived=now,
             deadline=now + 800,
         )
-        placer.asked(account, req, now)
+        placer.record_request(account, req, now)
         flight = await placer.place(admitted, set(), again=False)
         if isinstance(flight, Reason):
             return
