--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -121,7 +121,7 @@
 
     def record_requested_service(self, account: str, service: int, now: Millis) -> None:
         """Count a request of a client account by the service that it would take."""
-        self._usage.asked(account, service, now)
+        self._usage.record_requested(account, service, now)
         self.account_log.asked(account, service)
 
     def standing(self, account: str, now: Millis) -> Standing:
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -127,7 +127,7 @@
     def __repr__(self) -> str:
         return f"UsageTable(accounts={len(self._own)}, {self.shares!r})"
 
-    def asked(self, account: str, service: int, now: Millis) -> None:
+    def record_requested(self, account: str, service: int, now: Millis) -> None:
         """Count a request that arrived."""
         self._account(account).asked.add(service, now)
 
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -41,7 +41,7 @@
 def test_an_account_is_beyond_its_share_only_for_a_while() -> None:
     book = UsageTable()
     book.served("menus", 900, 0)
-    book.asked("menus", 2_000, 0)
+    book.record_requested("menus", 2_000, 0)
     book.served("pay", 50, 0)
     own = LoadReport(1, (), book.rows(0))
     assert own.usage == (UsageRow("menus", 900, 2_000), UsageRow("pay", 50, 0))
