--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -158,7 +158,7 @@
             )
         if admitted.account is not None:
             service = service_of(admitted.req)
-            self._usage.served(admitted.account, service, self._clock.now())
+            self._usage.record_served(admitted.account, service, self._clock.now())
             self.account_log.placed(admitted.account, service)
         return Flight(
             placement, admitted.req, self._balancer, self._clock, self._pump_soon
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -131,7 +131,7 @@
         """Count a request that arrived."""
         self._account(account).asked.add(service, now)
 
-    def served(self, account: str, service: int, now: Millis) -> None:
+    def record_served(self, account: str, service: int, now: Millis) -> None:
         """Count a request that was sent to an upstream."""
         self._account(account).served.add(service, now)
 
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -40,9 +40,9 @@
 
 def test_an_account_is_beyond_its_share_only_for_a_while() -> None:
     book = UsageTable()
-    book.served("menus", 900, 0)
+    book.record_served("menus", 900, 0)
     book.record_requested("menus", 2_000, 0)
-    book.served("pay", 50, 0)
+    book.record_served("pay", 50, 0)
     own = LoadReport(1, (), book.rows(0))
     assert own.usage == (UsageRow("menus", 900, 2_000), UsageRow("pay", 50, 0))
     totals = LoadSums((), (*own.usage, UsageRow("pay", 250, 300)))
@@ -57,7 +57,7 @@
 
 def test_service_fades_steadily() -> None:
     book = UsageTable()
-    book.served("menus", 1_000, 0)
+    book.record_served("menus", 1_000, 0)
     assert [book.level("menus", at) for at in (0, 500, 1_000, 2_000, 4_001, 8_000)] == [
         1_000,
         779,
@@ -68,7 +68,7 @@
     ]
     # A steady rate counts as so much of it as passes in the memory.
     for at in range(0, 20_000, 10):
-        book.served("chat", 30, at)
+        book.record_served("chat", 30, at)
     assert book.level("chat", 20_000) == pytest.approx(3 * MEMORY, rel=0.01)
 
 
@@ -76,7 +76,7 @@
     book = UsageTable()
     shares = Shares(stated=400, even=460, stop=520)
     for at in (0, 100, 200):
-        book.served("burst", 300, at)
+        book.record_served("burst", 300, at)
     standings = {
         at: shares.standing(book.level("burst", at)) for at in (300, 1_500, 2_500)
     }
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -80,7 +80,7 @@
 def service_of_late() -> Ask:
     """Service of an account that still counts, of 1,000 tokens."""
     book = UsageTable()
-    book.served("tellers", 1_000, 0)
+    book.record_served("tellers", 1_000, 0)
     return lambda now: sum(row.served for row in book.rows(now))
 
 
