--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -51,15 +51,15 @@
     def __repr__(self) -> str:
         return f"AccountLog(accounts={len(self._accounts)})"
 
-    def asked(self, account: str, service: int) -> None:
+    def record_requested(self, account: str, service: int) -> None:
         """Count a request that arrived."""
         self._second(account).asked += service
 
-    def placed(self, account: str, service: int) -> None:
+    def record_placed(self, account: str, service: int) -> None:
         """Count a request that was sent to an upstream."""
         self._second(account).placed += service
 
-    def refused(self, account: str, reason: Reason) -> None:
+    def record_refused(self, account: str, reason: Reason) -> None:
         """Count a request that did not run."""
         self._second(account).refused[reason.value] += 1
 
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -122,7 +122,7 @@
     def record_requested_service(self, account: str, service: int, now: Millis) -> None:
         """Count a request of a client account by the service that it would take."""
         self._usage.record_requested(account, service, now)
-        self.account_log.asked(account, service)
+        self.account_log.record_requested(account, service)
 
     def standing(self, account: str, now: Millis) -> Standing:
         """Return what a client account may claim."""
@@ -159,7 +159,7 @@
         if admitted.account is not None:
             service = service_of(admitted.req)
             self._usage.record_served(admitted.account, service, self._clock.now())
-            self.account_log.placed(admitted.account, service)
+            self.account_log.record_placed(admitted.account, service)
         return Flight(
             placement, admitted.req, self._balancer, self._clock, self._pump_soon
         )
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -28,10 +28,10 @@
     rows = (UsageRow("menus", 900, 2_000), UsageRow("pay", 100, 1_000))
     usage.take_sums(LoadSums((), rows), None, capacity=1_000, now=100)
     lines = AccountLog(usage, ManualClock(140))
-    lines.asked("menus", 300)
-    lines.placed("menus", 200)
-    lines.refused("menus", Reason.UPSTREAM_FULL)
-    lines.refused("menus", Reason.ENTRY_BUSY)
+    lines.record_requested("menus", 300)
+    lines.record_placed("menus", 200)
+    lines.record_refused("menus", Reason.UPSTREAM_FULL)
+    lines.record_refused("menus", Reason.ENTRY_BUSY)
     lines.write()
     lines.write()
     (line,) = written(caplog)
@@ -54,7 +54,7 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     lines = AccountLog(UsageTable(), ManualClock())
-    lines.asked("menus", 300)
+    lines.record_requested("menus", 300)
     lines.write()
     assert written(caplog) == []
 
@@ -66,7 +66,7 @@
     lines = AccountLog(UsageTable(), ManualClock())
     for number in range(MOST_ACCOUNTS + 3):
         for _ in range(number + 1):
-            lines.refused(f"a{number}", Reason.UPSTREAM_FULL)
+            lines.record_refused(f"a{number}", Reason.UPSTREAM_FULL)
     lines.write()
     (line,) = written(caplog)
     assert [row["account"] for row in line["accounts"]][:2] == ["a10", "a9"]
