--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -222,7 +222,7 @@
             await sleep(interval)
             for number, totals in self._summer.totals(self._clock.now()).items():
                 sums = decode(totals.data, LoadSums)
-                self._placers[number].take_sums(totals.included, sums)
+                self._placers[number].apply_sums(totals.included, sums)
                 interval = self._cfg.interval or interval_for(len(totals.data))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -198,7 +198,7 @@
 
     def _take_sums(self, included: int, sums: LoadSums) -> None:
         assert self._gateway is not None
-        self._gateway.placer.take_sums(included, sums)
+        self._gateway.placer.apply_sums(included, sums)
 
     def _end_attempts(self, over: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -119,7 +119,7 @@
         self._reports.append(report)
         return report
 
-    def take_sums(
+    def apply_sums(
         self, included: int, sums: LoadSums, now: Millis
     ) -> LoadReport | None:
         """Take the sums of all entries.
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -216,16 +216,16 @@
         """Return this entry's counts for the other entries."""
         return self._balancer.loads.report(self._usage.rows(self._clock.now()))
 
-    def take_sums(self, included: int, sums: LoadSums) -> None:
+    def apply_sums(self, included: int, sums: LoadSums) -> None:
         """Take the counts of all entries, with the own report of a number in them."""
         now = self._clock.now()
-        own = self._balancer.loads.take_sums(included, sums, now)
+        own = self._balancer.loads.apply_sums(included, sums, now)
         cfg = self._feed.configuration
         engines = [name for name, pool in cfg.pools.items() if pool.engine is not None]
         # What is evacuated makes no tokens, so nobody may count on a share of it.
         rate = cfg.limits.tokens_per_s * self._feed.view.part_left(engines)
         capacity = round(rate * MEMORY / MILLIS_PER_SECOND)
-        self._usage.take_sums(sums, own, capacity=capacity, now=now)
+        self._usage.apply_sums(sums, own, capacity=capacity, now=now)
         self._pump_soon()
 
     def _place_at_once(
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -168,7 +168,7 @@
                 del self._own[name]
         return tuple(rows)
 
-    def take_sums(
+    def apply_sums(
         self,
         sums: LoadSums,
         own: LoadReport | None,
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -188,7 +188,7 @@
             await sleep(SUMS)
             for entry, totals in self._summer.totals(self.clock.now()).items():
                 sums = decode(totals.data, LoadSums)
-                self._placers[entry].take_sums(totals.included, sums)
+                self._placers[entry].apply_sums(totals.included, sums)
 
 
 def play_plain(*, rate: int, upstreams: int, seed: int, span: int) -> PlainFleet:
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_summing.py
@@ -62,7 +62,7 @@
 def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
     book = UsageTable()
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
-    book.take_sums(LoadSums((), rows), None, capacity=900, now=0)
+    book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
     assert book.standing("notes", TOTALS_LIMIT) is Standing.STOPPED
     assert book.level("notes", TOTALS_LIMIT) == 900
     assert book.standing("notes", TOTALS_LIMIT + 1) is Standing.WITHIN
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -26,7 +26,7 @@
     caplog.set_level(logging.INFO)
     usage = UsageTable()
     rows = (UsageRow("menus", 900, 2_000), UsageRow("pay", 100, 1_000))
-    usage.take_sums(LoadSums((), rows), None, capacity=1_000, now=100)
+    usage.apply_sums(LoadSums((), rows), None, capacity=1_000, now=100)
     lines = AccountLog(usage, ManualClock(140))
     lines.record_requested("menus", 300)
     lines.record_placed("menus", 200)
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -22,7 +22,7 @@
     for number, book in enumerate(books):
         sums.take(number, book.report(()), now)
     for number, totals in sums.totals(now).items():
-        books[number].take_sums(totals.included, sums_of(totals), now)
+        books[number].apply_sums(totals.included, sums_of(totals), now)
 
 
 def test_every_entry_sees_what_all_have_in_flight() -> None:
@@ -62,7 +62,7 @@
     totals = sums.totals(0)[0]
     for _ in range(KEPT_REPORTS):
         book.report(())
-    assert book.take_sums(totals.included, sums_of(totals), 0) is None
+    assert book.apply_sums(totals.included, sums_of(totals), 0) is None
     assert book.total(ENGINE, 0).requests == 2
 
 
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -46,7 +46,7 @@
     own = LoadReport(1, (), book.rows(0))
     assert own.usage == (UsageRow("menus", 900, 2_000), UsageRow("pay", 50, 0))
     totals = LoadSums((), (*own.usage, UsageRow("pay", 250, 300)))
-    book.take_sums(totals, own, capacity=1_000, now=0)
+    book.apply_sums(totals, own, capacity=1_000, now=0)
     assert book.level("menus", 0) == 900
     # The two shares are 700 of the stated 1,000, and 850 of the 1,200 given.
     assert book.standing("menus", 0) is Standing.AHEAD
@@ -94,7 +94,7 @@
         UsageRow("small", served=80, asked=80),
     )
     book = UsageTable()
-    book.take_sums(LoadSums((), rows), None, capacity=1_000, now=0)
+    book.apply_sums(LoadSums((), rows), None, capacity=1_000, now=0)
     # Shares: 460 of the stated 1,000; 710 of the 1,500 that engines gave.
     assert book.standing("large", 0) is Standing.EVEN
     assert book.standing("other", 0) is Standing.AHEAD
@@ -104,7 +104,7 @@
 def test_nothing_is_stated_where_operators_say_nothing() -> None:
     rows = (UsageRow("a", served=700, asked=900), UsageRow("b", served=100, asked=900))
     book = UsageTable()
-    book.take_sums(LoadSums((), rows), None, capacity=0, now=0)
+    book.apply_sums(LoadSums((), rows), None, capacity=0, now=0)
     assert book.standing("a", 0) is Standing.STOPPED
     assert book.standing("b", 0) is Standing.WITHIN
 
@@ -130,7 +130,7 @@
         UsageRow("ahead", served=470, asked=1_000),
         UsageRow("behind", served=300, asked=900),
     )
-    book.take_sums(LoadSums((), rows), None, capacity=900, now=0)
+    book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
     # The fair level is 450; 1.5 times what the short one got is 450 too.
     assert book.standing("ahead", 0) is Standing.STOPPED
     assert book.standing("behind", 0) is Standing.WITHIN
@@ -142,7 +142,7 @@
         UsageRow("ahead", served=470, asked=1_000),
         UsageRow("behind", served=300, asked=900),
     )
-    book.take_sums(LoadSums((), rows), None, capacity=1_000, now=0)
+    book.apply_sums(LoadSums((), rows), None, capacity=1_000, now=0)
     assert book.standing("ahead", 0) is Standing.WITHIN
 
 
