--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -24,7 +24,7 @@
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
-from leadseam.routing.balance import service_of
+from leadseam.routing.balance import expected_service
 from leadseam.routing.exchange import COME_BACK_PART, MAX_COME_BACK, MAX_SENDS
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
@@ -135,7 +135,7 @@
 
     async def _serve(self, arrival: Arrival) -> None:
         """Send a request, and once more to another entry if it is refused."""
-        self.tally.arrived(arrival, service_of(arrival.req))
+        self.tally.arrived(arrival, expected_service(arrival.req))
         deadline = self._clock.now() + arrival.kind.patience
         if await self._try(arrival, arrival.entry, deadline):
             return
@@ -190,7 +190,7 @@
             now = self._clock.now()
             placer.answered(flight.upstream)
             in_time = now - arrival.at <= arrival.kind.objective
-            service = service_of(arrival.req)
+            service = expected_service(arrival.req)
             self.tally.answered(arrival, service, now, in_time=in_time)
 
         def arrive() -> None:
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -279,7 +279,7 @@
     return req.tokens_in - shared // 2 + made
 
 
-def service_of(req: RoutedRequest) -> int:
+def expected_service(req: RoutedRequest) -> int:
     """Return the service that a request is expected to take, for its account."""
     return service_of_tokens(own_tokens(req), req.tokens_out)
 
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -11,7 +11,7 @@
 from leadseam.outcome import Reason
 from leadseam.routing.account_log import AccountLog
 from leadseam.routing.admission import Admission, Waiter
-from leadseam.routing.balance import Balancer, service_of
+from leadseam.routing.balance import Balancer, expected_service
 from leadseam.routing.cold import ColdBudget
 from leadseam.routing.flight import Flight
 from leadseam.routing.pauses import PauseBook
@@ -117,7 +117,7 @@
 
     def record_request(self, account: str, req: RoutedRequest, now: Millis) -> None:
         """Count a request of a client account, placed later or not."""
-        self.record_requested_service(account, service_of(req), now)
+        self.record_requested_service(account, expected_service(req), now)
 
     def record_requested_service(self, account: str, service: int, now: Millis) -> None:
         """Count a request of a client account by the service that it would take."""
@@ -157,7 +157,7 @@
                 Reason.UPSTREAMS_PAUSED if self.pause_left(admitted.scope) else reason
             )
         if admitted.account is not None:
-            service = service_of(admitted.req)
+            service = expected_service(admitted.req)
             self._usage.record_served(admitted.account, service, self._clock.now())
             self.account_log.record_placed(admitted.account, service)
         return Flight(
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from leadseam.control.routes import EngineProfile
-from leadseam.routing.balance import Balancer, memory_need, service_of
+from leadseam.routing.balance import Balancer, memory_need, expected_service
 from leadseam.routing.dialect import PromptPart
 from leadseam.routing.load import Load
 from leadseam.routing.order import affinity_key, rank, ranked_for
@@ -119,7 +119,7 @@
 
 
 def test_service_and_memory_of_a_request() -> None:
-    assert service_of(CHAT) == 100 + 2 * 50
+    assert expected_service(CHAT) == 100 + 2 * 50
     assert memory_need(CHAT) == 300 - 200 // 2 + 50
     assert memory_need(make_request()) == 50
 
