--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -281,10 +281,10 @@
 
 def expected_service(req: RoutedRequest) -> int:
     """Return the service that a request is expected to take, for its account."""
-    return service_of_tokens(own_tokens(req), req.tokens_out)
+    return expected_service_of_tokens(own_tokens(req), req.tokens_out)
 
 
-def service_of_tokens(own: int, most_made: int) -> int:
+def expected_service_of_tokens(own: int, most_made: int) -> int:
     """Return the expected service of prompt tokens and of tokens to be generated."""
     return own + MADE_TOKEN * min(most_made, EXPECTED_MADE)
 
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -21,7 +21,7 @@
     Whole,
     Withheld,
 )
-from leadseam.routing.balance import service_of_tokens
+from leadseam.routing.balance import expected_service_of_tokens
 from leadseam.routing.budget import PoolRetryBudget
 from leadseam.routing.busy import BusySpell
 from leadseam.routing.crash_guard import CrashGuard
@@ -174,7 +174,7 @@
         if not self._has_had_its_share(sender, now):
             if lag <= MAX_LAG:
                 return None
-            service = service_of_tokens(sender.own_tokens, sender.tokens_out)
+            service = expected_service_of_tokens(sender.own_tokens, sender.tokens_out)
             self.placer.record_requested_service(account, service, now)
         refusal = self._busy()
         self._note_refusal(sender, refusal, now)
