--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -45,7 +45,7 @@
         """Return the expected time to the first token behind so many prompt tokens."""
         return self.base + unread / self.rate
 
-    def measured(self, unread: int, millis: int) -> None:
+    def add_measurement(self, unread: int, millis: int) -> None:
         """Learn from an answer.
 
         Args:
@@ -80,16 +80,16 @@
         """Return the estimate of all engines of a pool together."""
         return self._pools.setdefault(pool, FirstTokenEstimate())
 
-    def measured(self, row: Registration, unread: int, millis: int) -> None:
-        """Learn from an answer of an engine; see `FirstTokenEstimate.measured`."""
+    def add_measurement(self, row: Registration, unread: int, millis: int) -> None:
+        """Learn from an answer of an engine; see `FirstTokenEstimate.add_measurement`."""
         pool = self.pool(row.pool)
         engine = self._engines.get(row.incarnation)
         if engine is None:
             engine = FirstTokenEstimate(pool.rate, pool.base)
             self._engines[row.incarnation] = engine
             self._bound()
-        engine.measured(unread, millis)
-        pool.measured(unread, millis)
+        engine.add_measurement(unread, millis)
+        pool.add_measurement(unread, millis)
 
     def _bound(self) -> None:
         while len(self._engines) > MAX_ENGINES:
--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -74,7 +74,7 @@
         incarnation = self.upstream.incarnation
         self._balancer.loads.read(incarnation, self._placement.load.unread)
         self._balancer.prompts.sent(incarnation, self._req.parts, now)
-        self._balancer.estimates.measured(
+        self._balancer.estimates.add_measurement(
             self.upstream, self._placement.unread, now - self._sent
         )
         self._on_room()
--- a/tests/routing/test_any_deployment.py
+++ b/tests/routing/test_any_deployment.py
@@ -44,7 +44,7 @@
     balancer = Balancer(random.Random(seed))
     for row, millis in zip(rows, millis_per_1k, strict=False):
         for _ in range(50):
-            balancer.estimates.measured(row, 10_000, 45 + 10 * millis)
+            balancer.estimates.add_measurement(row, 10_000, 45 + 10 * millis)
     parts = (PromptPart("shared", shared), PromptPart("own", own))
     req = replace(make_request(), parts=parts, tokens_in=shared + own)
     profile = EngineProfile(
--- a/tests/routing/test_estimate.py
+++ b/tests/routing/test_estimate.py
@@ -16,8 +16,8 @@
 def answers(book: EstimateTable, number: int = 200) -> None:
     """Let one engine read 100 tokens a millisecond, and another one 10."""
     for _ in range(number):
-        book.measured(FAST, 10_000, round(FIRST_BASE) + 100)
-        book.measured(SLOW, 10_000, round(FIRST_BASE) + 1_000)
+        book.add_measurement(FAST, 10_000, round(FIRST_BASE) + 100)
+        book.add_measurement(SLOW, 10_000, round(FIRST_BASE) + 1_000)
 
 
 def test_nothing_is_known_at_first() -> None:
@@ -37,7 +37,7 @@
     answers(book)
     assert book.engine(NEW) is book.pool("p")
     assert 145 < book.engine(NEW).millis(10_000) < 1_045
-    book.measured(NEW, 10_000, 145)
+    book.add_measurement(NEW, 10_000, 145)
     assert book.engine(NEW) is not book.pool("p")
 
 
@@ -45,7 +45,7 @@
     monkeypatch.setattr(estimate, "MAX_ENGINES", 2)
     book = EstimateTable()
     for number in range(1, 6):
-        book.measured(make_upstream(number), 10_000, 145)
+        book.add_measurement(make_upstream(number), 10_000, 145)
     # The oldest is forgotten, and counts as new again.
     assert book.engine(FAST) is book.pool("p")
     assert book.engine(make_upstream(5)) is not book.pool("p")
--- a/tests/routing/test_placing_cost.py
+++ b/tests/routing/test_placing_cost.py
@@ -94,8 +94,8 @@
     rows = ROWS[:engines]
     for row in rows:
         millis = rng.randrange(20, 400)
-        balancer.estimates.measured(row, 0, millis)
-        balancer.estimates.measured(row, 20_000, 45 + millis)
+        balancer.estimates.add_measurement(row, 0, millis)
+        balancer.estimates.add_measurement(row, 20_000, 45 + millis)
         load = Load(rng.randrange(SLOTS + 2), rng.choice([0, 0, 5_000, 40_000]), 0)
         balancer.loads.begin(row.incarnation, load)
     for number in range(20):
