--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -17,7 +17,7 @@
 from leadseam.routing.pauses import PauseBook
 from leadseam.routing.plain import PLACES, WAIT_PART, PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
-from leadseam.routing.usage import MEMORY, UsageTable
+from leadseam.routing.usage import DECAY_TIME, UsageTable
 
 if TYPE_CHECKING:
     import random
@@ -224,7 +224,7 @@
         engines = [name for name, pool in cfg.pools.items() if pool.engine is not None]
         # What is evacuated makes no tokens, so nobody may count on a share of it.
         rate = cfg.limits.tokens_per_s * self._feed.view.part_left(engines)
-        capacity = round(rate * MEMORY / MILLIS_PER_SECOND)
+        capacity = round(rate * DECAY_TIME / MILLIS_PER_SECOND)
         self._usage.apply_sums(sums, own, capacity=capacity, now=now)
         self._pump_soon()
 
--- a/src/leadseam/routing/plain.py
+++ b/src/leadseam/routing/plain.py
@@ -29,7 +29,7 @@
 WAIT_PART = 0.25
 """Part of the objective that a request waits at most: the upstream's queue and its work
 take the rest, and a caller that is refused so early may still come back in time."""
-MEMORY: Millis = 2_000
+DECAY_TIME: Millis = 2_000
 """Time after which 0.37 of a request that was sent still counts."""
 
 
@@ -66,7 +66,7 @@
     at: Millis = 0
 
     def until(self, now: Millis) -> float:
-        return self.count * exp(-max(now - self.at, 0) / MEMORY)
+        return self.count * exp(-max(now - self.at, 0) / DECAY_TIME)
 
 
 @dataclass(slots=True)
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -24,7 +24,7 @@
     from leadseam.clock import Millis
     from leadseam.wire.feed import LoadReport, LoadSums
 
-MEMORY: Millis = 2_000
+DECAY_TIME: Millis = 2_000
 """Time after which 0.37 of a service still counts. It makes a steady rate count as two
 seconds of it; the mean age of what counts is that of the 4 s in which the platform
 takes shares."""
@@ -106,7 +106,7 @@
         """Return what is left of it."""
         if not self.value:
             return 0.0
-        return self.value * exp(-max(now - self.at, 0) / MEMORY)
+        return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)
 
 
 @dataclass(slots=True)
@@ -116,7 +116,7 @@
 
 
 class UsageTable:
-    """Service by account of late, fading with `MEMORY`."""
+    """Service by account of late, fading with `DECAY_TIME`."""
 
     def __init__(self) -> None:
         self._own: dict[str, _Account] = {}
@@ -181,7 +181,7 @@
         Args:
             sums: The sums.
             own: The own report that they contain, or None.
-            capacity: Service that all upstreams give in `MEMORY`; 0 if unknown.
+            capacity: Service that all upstreams give in `DECAY_TIME`; 0 if unknown.
             now: Current time.
         """
         self._totals_at = now
@@ -203,7 +203,7 @@
 
     Args:
         rows: The sums of all entries.
-        capacity: Service that all upstreams give in `MEMORY` as the operators state it;
+        capacity: Service that all upstreams give in `DECAY_TIME` as the operators state it;
             0 if they do not.
     """
     demands = [max(row.asked, row.served) for row in rows]
@@ -222,7 +222,7 @@
 
 
 def given_capacity(rows: Sequence[UsageRow], capacity: int) -> int:
-    """Return the service that upstreams give in `MEMORY`, as far as is known.
+    """Return the service that upstreams give in `DECAY_TIME`, as far as is known.
 
     They may give more than is stated, or far less: engines are gone, their places are
     taken by long answers, or shared parts of prompts are read again. Were shares taken
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from leadseam.routing.usage import (
-    MEMORY,
+    DECAY_TIME,
     Shares,
     Standing,
     UsageTable,
@@ -51,8 +51,8 @@
     # The two shares are 700 of the stated 1,000, and 850 of the 1,200 given.
     assert book.standing("menus", 0) is Standing.AHEAD
     assert book.standing("pay", 0) is Standing.WITHIN
-    assert book.standing("menus", 20 * MEMORY) is Standing.WITHIN
-    assert book.rows(20 * MEMORY) == ()
+    assert book.standing("menus", 20 * DECAY_TIME) is Standing.WITHIN
+    assert book.rows(20 * DECAY_TIME) == ()
 
 
 def test_service_fades_steadily() -> None:
@@ -69,7 +69,7 @@
     # A steady rate counts as so much of it as passes in the memory.
     for at in range(0, 20_000, 10):
         book.record_served("chat", 30, at)
-    assert book.level("chat", 20_000) == pytest.approx(3 * MEMORY, rel=0.01)
+    assert book.level("chat", 20_000) == pytest.approx(3 * DECAY_TIME, rel=0.01)
 
 
 def test_who_is_far_ahead_gets_work_again_before_what_it_got_is_forgotten() -> None:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -231,7 +231,7 @@
     Variant(
         "service never fades",
         "routing/usage.py",
-        "        return self.value * exp(-max(now - self.at, 0) / MEMORY)\n",
+        "        return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)\n",
         "        return self.value\n",
         "tests/routing/test_usage.py::test_service_fades_steadily",
     ),
