--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -36,7 +36,7 @@
 STOP_LEAD = 1.3
 """How far an account may be ahead of one that is short at all. The platform compares
 spans of six seconds, and counts lag; so it is well below 2 too."""
-SCARCE = 1.25
+SCARCITY_RATIO = 1.25
 """How much more must be asked for than served for engines to be taken as full: more
 than what waits for up to its objective while there is room for all."""
 GIVEN_PART = 0.75
@@ -238,7 +238,7 @@
     if served >= capacity * GIVEN_PART:
         return max(served, capacity)
     asked = sum(max(row.asked, row.served) for row in rows)
-    return served if asked > SCARCE * served else capacity
+    return served if asked > SCARCITY_RATIO * served else capacity
 
 
 def fair_level(demands: Iterable[int], capacity: int) -> float:
