--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -35,7 +35,7 @@
 READING_AHEAD: Millis = 100
 """Reading that may be ahead of a request at an engine. The rest waits here, where those
 that are short go first and none stands behind a long prompt by chance."""
-BEYOND_AHEAD: Millis = 0
+MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0
 """The same for an account beyond its share of the stated capacity: it gets an engine
 that has nothing else to read, while there is no room to spare."""
 
@@ -214,7 +214,7 @@
             case Standing.WITHIN:
                 return READING_AHEAD
             case Standing.EVEN | Standing.AHEAD:
-                return READING_AHEAD if self._has_spare(waiter, now) else BEYOND_AHEAD
+                return READING_AHEAD if self._has_spare(waiter, now) else MAX_READING_AHEAD_BEYOND_SHARE
             case Standing.STOPPED:
                 return None
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -66,8 +66,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "BEYOND_AHEAD: Millis = 0",
-                "BEYOND_AHEAD: Millis = 50",
+                "MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0",
+                "MAX_READING_AHEAD_BEYOND_SHARE: Millis = 50",
             ),
         ),
     ),
