--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -32,7 +32,7 @@
 LEAST_WAIT_PART = 0.22
 """Part of the objective that a request waits at least, also one whose prompt is too
 long for the objective: it may find an engine with nothing to read."""
-READING_AHEAD: Millis = 100
+MAX_READING_AHEAD: Millis = 100
 """Reading that may be ahead of a request at an engine. The rest waits here, where those
 that are short go first and none stands behind a long prompt by chance."""
 MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0
@@ -209,12 +209,12 @@
     def _ahead(self, waiter: Waiter, now: Millis) -> Millis | None:
         """Return the reading that may be ahead of a request, or None for no room."""
         if not waiter.account:
-            return READING_AHEAD
+            return MAX_READING_AHEAD
         match self.standing(waiter.account, now):
             case Standing.WITHIN:
-                return READING_AHEAD
+                return MAX_READING_AHEAD
             case Standing.EVEN | Standing.AHEAD:
-                return READING_AHEAD if self._has_spare(waiter, now) else MAX_READING_AHEAD_BEYOND_SHARE
+                return MAX_READING_AHEAD if self._has_spare(waiter, now) else MAX_READING_AHEAD_BEYOND_SHARE
             case Standing.STOPPED:
                 return None
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -9,7 +9,7 @@
 from leadseam.routing.admission import (
     ENTITLED_PART,
     LEAST_WAIT_PART,
-    READING_AHEAD,
+    MAX_READING_AHEAD,
     Admission,
     Waiter,
 )
@@ -116,7 +116,7 @@
 
 def test_the_engines_queue_is_kept_short_for_all() -> None:
     room = Room()
-    room.read(READING_AHEAD + 1)
+    room.read(MAX_READING_AHEAD + 1)
     waiter = room.enter("a")
     # It could be in time behind 270 ms of reading; who is short might come meanwhile.
     assert not waiter.done
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -55,8 +55,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "READING_AHEAD: Millis = 100",
-                "READING_AHEAD: Millis = 10_000",
+                "MAX_READING_AHEAD: Millis = 100",
+                "MAX_READING_AHEAD: Millis = 10_000",
             ),
         ),
     ),
