--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -29,7 +29,7 @@
 
 ENTITLED_PART = 0.85
 """Part of the objective that the expected first token may take."""
-LEAST_WAIT_PART = 0.22
+MIN_WAIT_PART = 0.22
 """Part of the objective that a request waits at least, also one whose prompt is too
 long for the objective: it may find an engine with nothing to read."""
 MAX_READING_AHEAD: Millis = 100
@@ -118,7 +118,7 @@
         """Return how long a request may wait and still be in time, if it is alone."""
         alone = self.balancer.alone(waiter.scope.pool, waiter.req)
         in_time = waiter.objective * ENTITLED_PART - alone
-        return round(max(in_time, waiter.objective * LEAST_WAIT_PART))
+        return round(max(in_time, waiter.objective * MIN_WAIT_PART))
 
     def _may_wait(self, waiter: Waiter, now: Millis) -> bool:
         """Tell whether a request has a claim to room that becomes free."""
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -8,7 +8,7 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import (
     ENTITLED_PART,
-    LEAST_WAIT_PART,
+    MIN_WAIT_PART,
     MAX_READING_AHEAD,
     Admission,
     Waiter,
@@ -110,7 +110,7 @@
     for _ in range(4):
         room.enter("a")
     waiter = room.enter("a", 100, prompt=50_000)
-    assert waiter.refuse_at == 100 + round(OBJECTIVE * LEAST_WAIT_PART)
+    assert waiter.refuse_at == 100 + round(OBJECTIVE * MIN_WAIT_PART)
     assert waiter.refuse_at < 100 + OBJECTIVE / 4
 
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -100,8 +100,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "return round(max(in_time, waiter.objective * LEAST_WAIT_PART))",
-                "return round(min(in_time, waiter.objective * LEAST_WAIT_PART))",
+                "return round(max(in_time, waiter.objective * MIN_WAIT_PART))",
+                "return round(min(in_time, waiter.objective * MIN_WAIT_PART))",
             ),
         ),
     ),
