--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -15,7 +15,7 @@
 from leadseam.routing.cold import ColdBudget
 from leadseam.routing.flight import Flight
 from leadseam.routing.pauses import PauseBook
-from leadseam.routing.plain import MAX_REQUESTS_PER_SLOT, WAIT_PART, PlainQueue, PlainWaiter
+from leadseam.routing.plain import MAX_PER_SLOT, WAIT_PART, PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import DECAY_TIME, UsageTable
 
@@ -256,7 +256,7 @@
             return None
         row = placement.upstream
         taken = self._balancer.loads.total(row.incarnation, now).requests
-        return placement if taken < MAX_REQUESTS_PER_SLOT * row.slots else None
+        return placement if taken < MAX_PER_SLOT * row.slots else None
 
     async def _wait_for_plain(
         self, admitted: Admitted, tried: set[Incarnation]
--- a/src/leadseam/routing/plain.py
+++ b/src/leadseam/routing/plain.py
@@ -23,7 +23,7 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-MAX_REQUESTS_PER_SLOT = 3.0
+MAX_PER_SLOT = 3.0
 """Requests under way at an upstream for each of its slots, up to which it has room. The
 loads of other entries are some 100 ms old, and slots must not stand empty meanwhile."""
 WAIT_PART = 0.25
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -436,7 +436,7 @@
     Variant(
         "a full plain pool lets nobody wait",
         "routing/placer.py",
-        "        return placement if taken < MAX_REQUESTS_PER_SLOT * row.slots else None",
+        "        return placement if taken < MAX_PER_SLOT * row.slots else None",
         "        return placement",
         "tests/emulate/test_plain_entries.py",
     ),
