--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -214,7 +214,11 @@
             case Standing.WITHIN:
                 return MAX_READING_AHEAD
             case Standing.EVEN | Standing.AHEAD:
-                return MAX_READING_AHEAD if self._has_spare(waiter, now) else MAX_READING_AHEAD_BEYOND_SHARE
+                return (
+                    MAX_READING_AHEAD
+                    if self._has_spare(waiter, now)
+                    else MAX_READING_AHEAD_BEYOND_SHARE
+                )
             case Standing.STOPPED:
                 return None
 
--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -81,7 +81,7 @@
         return self._pools.setdefault(pool, FirstTokenEstimate())
 
     def add_measurement(self, row: Registration, unread: int, millis: int) -> None:
-        """Learn from an answer of an engine; see `FirstTokenEstimate.add_measurement`."""
+        """Add a measurement; see `FirstTokenEstimate.add_measurement`."""
         pool = self.pool(row.pool)
         engine = self._engines.get(row.incarnation)
         if engine is None:
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -203,8 +203,8 @@
 
     Args:
         rows: The sums of all entries.
-        capacity: Service that all upstreams give in `DECAY_TIME` as the operators state it;
-            0 if they do not.
+        capacity: Service that all upstreams give in `DECAY_TIME` as the operators
+            state it; 0 if they do not.
     """
     demands = [max(row.asked, row.served) for row in rows]
     given = given_capacity(rows, capacity)
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -8,8 +8,8 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import (
     ENTITLED_PART,
-    MIN_WAIT_PART,
     MAX_READING_AHEAD,
+    MIN_WAIT_PART,
     Admission,
     Waiter,
 )
