--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -171,7 +171,7 @@
                 self._gateway.crash_guard.review()
                 self._gateway.request_log.show_dropped()
                 self._gateway.placer.sweep()
-                paused = self._gateway.placer.paused()
+                paused = self._gateway.placer.paused_count()
                 self._routing_metrics.paused_upstreams.set({}, paused)
             evacuated = len(self._view.evacuated)
             self._routing_metrics.evacuated_domains.set({}, evacuated)
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -198,7 +198,7 @@
         ends = (self._pauses.until(row.incarnation) for row in self._upstreams(scope))
         return max(min(ends, default=0) - now, 0)
 
-    def paused(self) -> int:
+    def paused_count(self) -> int:
         """Return the number of upstreams that are paused."""
         return self._pauses.count(self._clock.now())
 
