--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -188,7 +188,7 @@
         def first() -> None:
             flight.first_byte()
             now = self._clock.now()
-            placer.answered(flight.upstream)
+            placer.record_answer(flight.upstream)
             in_time = now - arrival.at <= arrival.kind.objective
             service = expected_service(arrival.req)
             self.tally.answered(arrival, service, now, in_time=in_time)
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -348,7 +348,7 @@
         if head.pause:
             self.placer.pause(upstream, head.pause)
         elif status < FIRST_REDIRECTION:
-            self.placer.answered(upstream)
+            self.placer.record_answer(upstream)
         if head.leaving and self._feed.view.left([upstream.incarnation]):
             # Heartbeats may not say it, or this entry may not be told of them.
             self.request_log.says_it_leaves(upstream, admitted, status)
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -181,7 +181,7 @@
         self._pauses.asked(row.incarnation, until)
         self._sound.clear()
 
-    def answered(self, row: Registration) -> None:
+    def record_answer(self, row: Registration) -> None:
         """Note a good answer of an upstream, which may get more after a pause."""
         if self._pauses.answered(row, self._clock.now()):
             self._pump_soon()
