--- a/src/leadseam/routing/order.py
+++ b/src/leadseam/routing/order.py
@@ -41,7 +41,7 @@
     def __repr__(self) -> str:
         return f"EngineOrders(pools={len(self._orders)})"
 
-    def of(
+    def order_for(
         self, scope: Scope, rows: Sequence[Registration], req: RoutedRequest
     ) -> Sequence[Registration]:
         """Return the engines that a request looks at, the preferred one first.
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -241,7 +241,7 @@
                 return self._balancer.least_loaded(_without(rows, tried), now)
             return _Wait() if _without(rows, tried) else None
         if again:
-            order = self._balancer.orders.of(admitted.scope, rows, admitted.req)
+            order = self._balancer.orders.order_for(admitted.scope, rows, admitted.req)
             ranked = _without(order, tried)
             return self._balancer.place_anyway(ranked, admitted.req, now)
         return profile if _without(rows, tried) else None
--- a/tests/routing/test_placing_cost.py
+++ b/tests/routing/test_placing_cost.py
@@ -70,7 +70,7 @@
     with mock.patch.object(balancer, "_score", wraps=balancer._score) as score:
         for number in range(requests):
             req, objective = make_prompt(rng, number)
-            order = balancer.orders.of(Scope("p"), rows, req)
+            order = balancer.orders.order_for(Scope("p"), rows, req)
             placement = balancer.place(order, req, PROFILE, 0.85 * objective, number)
             if placement is not None:
                 upstream = placement.upstream.incarnation
@@ -113,10 +113,10 @@
 def test_an_order_is_worked_out_once_while_the_engines_stay_the_same() -> None:
     orders = EngineOrders()
     req = make_request("system", "subject", "own")
-    first = orders.of(Scope("p"), ROWS[:39], req)
+    first = orders.order_for(Scope("p"), ROWS[:39], req)
     assert first == ranked_for(ROWS[:39], req)
-    assert orders.of(Scope("p"), ROWS[:39], req) is first
-    assert orders.of(Scope("p"), ROWS[:38], req) == ranked_for(ROWS[:38], req)
+    assert orders.order_for(Scope("p"), ROWS[:39], req) is first
+    assert orders.order_for(Scope("p"), ROWS[:38], req) == ranked_for(ROWS[:38], req)
 
 
 def test_a_request_looks_at_few_engines_of_a_large_pool() -> None:
@@ -132,7 +132,7 @@
     for number in range(200):
         req, objective = make_prompt(rng, number)
         req = replace(req, request_id=f"r-{number}")
-        order = balancer.orders.of(Scope("p"), rows, req)
+        order = balancer.orders.order_for(Scope("p"), rows, req)
         assert len(order) == MAX_LOOKED
         assert list(order[:FIRST_LOOKED]) == list(ranked_for(rows, req))
         looked |= {rows.index(row) for row in order[FIRST_LOOKED:]}
@@ -143,7 +143,7 @@
     assert len(looked) > 1_500
     kept = [len(order) for order in balancer.orders._orders[Scope("p")].values()]
     assert set(kept) == {FIRST_LOOKED}
-    plain = balancer.orders.of(Scope("p"), rows, make_request())
+    plain = balancer.orders.order_for(Scope("p"), rows, make_request())
     assert len(plain) == MAX_LOOKED
 
 
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -185,7 +185,7 @@
             PromptPart("own", 1_800),
         )
         req = replace(make_request(), parts=parts, tokens_in=2_368)
-        order = balancer.orders.of(Scope("p"), rows, req)
+        order = balancer.orders.order_for(Scope("p"), rows, req)
         balancer.place(order, req, profile, 212, 0, ahead=100)
 
     return cpu_of(work, 2_000)
