--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -201,7 +201,7 @@
 
     async def _answered(self, flight: Flight, watch: SilenceWatch) -> Ending:
         route = self._request.route
-        watch.wait(first_limit(route.latency_objective, flight.expected))
+        watch.wait(first_limit(route.latency_objective, flight.expected_first_token))
         ending = await self._attempt(flight.upstream)
         if isinstance(ending, Streaming):
             ending = await self._stream(ending, flight, watch)
--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -58,7 +58,7 @@
         return self._placement
 
     @property
-    def expected(self) -> float:
+    def expected_first_token(self) -> float:
         """Milliseconds that the first token is expected to take; 0 if unknown."""
         if not self._placement.unread:
             return 0.0
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -63,7 +63,7 @@
         flight = SimpleNamespace(
             upstream=make_upstream(1),
             placement=None,
-            expected=0,
+            expected_first_token=0,
             end=lambda: None,
             ended_early=lambda: True,
         )
