--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -20,7 +20,7 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import LoadSums
 
-TOTALS_LIMIT: Millis = 1_000
+MAX_TOTALS_AGE: Millis = 1_000
 """Age beyond which totals are ignored: five of their longest intervals."""
 KEPT_REPORTS = 64
 """Own reports kept to be taken off the totals that contain them: 3 s of them."""
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self._own: dict[Incarnation, Load] = {}
         self._others: dict[int, Load] = {}
-        self._others_at: Millis = -TOTALS_LIMIT
+        self._others_at: Millis = -MAX_TOTALS_AGE
         self._reports: deque[LoadReport] = deque(maxlen=KEPT_REPORTS)
         self._sequence = 0
         self._sums: dict[Incarnation, Load] = {}
@@ -99,7 +99,7 @@
 
     def total(self, incarnation: Incarnation, now: Millis) -> Load:
         """Return what all entries have in flight there, as far as is known."""
-        stale = now - self._others_at > TOTALS_LIMIT
+        stale = now - self._others_at > MAX_TOTALS_AGE
         if stale is not self._stale:
             self._stale = stale
             self._sums.clear()
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -15,7 +15,7 @@
 from math import exp
 from typing import TYPE_CHECKING
 
-from leadseam.routing.load import TOTALS_LIMIT
+from leadseam.routing.load import MAX_TOTALS_AGE
 from leadseam.wire.feed import UsageRow
 
 if TYPE_CHECKING:
@@ -192,7 +192,7 @@
         self.shares = shares_of(sums.usage, capacity)
 
     def _knows_others(self, now: Millis) -> bool:
-        return self._totals_at is not None and now - self._totals_at <= TOTALS_LIMIT
+        return self._totals_at is not None and now - self._totals_at <= MAX_TOTALS_AGE
 
     def _account(self, name: str) -> _Account:
         return self._own.setdefault(name, _Account())
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_summing.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from leadseam.feed.summing import PROBE_INTERVAL, SILENCE_LIMIT, SummingReplica
-from leadseam.routing.load import TOTALS_LIMIT
+from leadseam.routing.load import MAX_TOTALS_AGE
 from leadseam.routing.usage import Standing, UsageTable
 from leadseam.wire.feed import LoadSums, UsageRow
 
@@ -38,7 +38,7 @@
         choice.targets(NAMES, now)
     assert choice.chosen == SECOND
     assert SILENCE_LIMIT < now <= SILENCE_LIMIT + 2 * INTERVAL
-    assert now < TOTALS_LIMIT
+    assert now < MAX_TOTALS_AGE
     assert choice.answered(SECOND)
 
 
@@ -63,7 +63,7 @@
     book = UsageTable()
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
     book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
-    assert book.standing("notes", TOTALS_LIMIT) is Standing.STOPPED
-    assert book.level("notes", TOTALS_LIMIT) == 900
-    assert book.standing("notes", TOTALS_LIMIT + 1) is Standing.WITHIN
-    assert book.level("notes", TOTALS_LIMIT + 1) == 0
+    assert book.standing("notes", MAX_TOTALS_AGE) is Standing.STOPPED
+    assert book.level("notes", MAX_TOTALS_AGE) == 900
+    assert book.standing("notes", MAX_TOTALS_AGE + 1) is Standing.WITHIN
+    assert book.level("notes", MAX_TOTALS_AGE + 1) == 0
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -4,7 +4,7 @@
 
 from leadseam.feed.totals import LoadSummer
 from leadseam.incarnation import Incarnation
-from leadseam.routing.load import KEPT_REPORTS, TOTALS_LIMIT, Load, LoadTable
+from leadseam.routing.load import KEPT_REPORTS, MAX_TOTALS_AGE, Load, LoadTable
 from leadseam.wire.codec import decode
 from leadseam.wire.feed import LoadRow, LoadSums, LoadTotals, UsageRow
 
@@ -50,8 +50,8 @@
     books = [LoadTable(), LoadTable()]
     books[1].begin(ENGINE, Load(requests=1))
     exchange(books)
-    assert books[0].total(ENGINE, TOTALS_LIMIT).requests == 1
-    assert books[0].total(ENGINE, TOTALS_LIMIT + 1).requests == 0
+    assert books[0].total(ENGINE, MAX_TOTALS_AGE).requests == 1
+    assert books[0].total(ENGINE, MAX_TOTALS_AGE + 1).requests == 0
 
 
 def test_totals_of_a_report_that_was_forgotten_count_the_own_part_twice() -> None:
