--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -68,7 +68,7 @@
         self.req = req
         self.limit = limit
         self.now = now
-        self.memory = memory_need(req)
+        self.memory = expected_memory(req)
         self._estimates = balancer.estimates
         self._holders: frozenset[Incarnation] = frozenset()
         self._part = 0
@@ -258,7 +258,7 @@
         estimate = self.estimates.engine(row)
         wait = estimate.millis(unread)
         penalty = reread_weight(place) * shared / estimate.rate
-        load = Load(requests=1, unread=own, memory=memory_need(req))
+        load = Load(requests=1, unread=own, memory=expected_memory(req))
         cost = wait + penalty + RUNNING_COST * total.requests
         placement = Placement(row, load, unread, shared, place)
         return _Scored(placement, shared, total.unread / estimate.rate, wait, cost)
@@ -269,7 +269,7 @@
     return REREAD_WEIGHT * (1 + RANK_STEP * place)
 
 
-def memory_need(req: RoutedRequest) -> int:
+def expected_memory(req: RoutedRequest) -> int:
     """Return the tokens of memory that a request is expected to hold for itself."""
     made = min(req.tokens_out, EXPECTED_MADE)
     if not req.parts:
--- a/tests/routing/test_any_deployment.py
+++ b/tests/routing/test_any_deployment.py
@@ -10,7 +10,7 @@
 
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import Admission, Waiter
-from leadseam.routing.balance import MEMORY_PART, Balancer, memory_need
+from leadseam.routing.balance import MEMORY_PART, Balancer, expected_memory
 from leadseam.routing.dialect import PromptPart
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import Standing
@@ -48,7 +48,7 @@
     parts = (PromptPart("shared", shared), PromptPart("own", own))
     req = replace(make_request(), parts=parts, tokens_in=shared + own)
     profile = EngineProfile(
-        slots=slots, memory_tokens=round(memory_need(req) / MEMORY_PART) + 1
+        slots=slots, memory_tokens=round(expected_memory(req) / MEMORY_PART) + 1
     )
     waiter = Waiter(
         req=req,
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from leadseam.control.routes import EngineProfile
-from leadseam.routing.balance import Balancer, expected_service, memory_need
+from leadseam.routing.balance import Balancer, expected_service, expected_memory
 from leadseam.routing.dialect import PromptPart
 from leadseam.routing.load import Load
 from leadseam.routing.order import affinity_key, rank, ranked_for
@@ -120,8 +120,8 @@
 
 def test_service_and_memory_of_a_request() -> None:
     assert expected_service(CHAT) == 100 + 2 * 50
-    assert memory_need(CHAT) == 300 - 200 // 2 + 50
-    assert memory_need(make_request()) == 50
+    assert expected_memory(CHAT) == 300 - 200 // 2 + 50
+    assert expected_memory(make_request()) == 50
 
 
 @settings(derandomize=True, database=None)
