--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -102,7 +102,7 @@
             "asked": second.asked,
             "placed": second.placed,
             "refused": dict(second.refused),
-            "served_of_late": self._usage.level(name, now),
+            "served_of_late": self._usage.recent_service(name, now),
             "standing": self._usage.standing(name, now).name.lower(),
         }
 
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -135,7 +135,7 @@
         """Count a request that was sent to an upstream."""
         self._account(account).served.add(service, now)
 
-    def level(self, account: str, now: Millis) -> int:
+    def recent_service(self, account: str, now: Millis) -> int:
         """Return the service that an account got of late, as far as is known."""
         others = self._others.get(account) if self._knows_others(now) else None
         own = round(self._account(account).served.until(now))
@@ -149,7 +149,7 @@
         """
         if not self._knows_others(now):
             return Standing.WITHIN
-        level = self.level(account, now)
+        level = self.recent_service(account, now)
         return self.shares.standing(level)
 
     def sums_age(self, now: Millis) -> Millis:
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_summing.py
@@ -64,6 +64,6 @@
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
     book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
     assert book.standing("notes", MAX_TOTALS_AGE) is Standing.STOPPED
-    assert book.level("notes", MAX_TOTALS_AGE) == 900
+    assert book.recent_service("notes", MAX_TOTALS_AGE) == 900
     assert book.standing("notes", MAX_TOTALS_AGE + 1) is Standing.WITHIN
-    assert book.level("notes", MAX_TOTALS_AGE + 1) == 0
+    assert book.recent_service("notes", MAX_TOTALS_AGE + 1) == 0
