--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -83,13 +83,13 @@
         balancer: Loads and estimates.
         candidates: Returns the upstreams of a scope that may be used.
         standing: Returns what an account may claim.
-        level: Returns the service that an account got of late.
+        recent_service: Returns the service that an account got of late.
     """
 
     balancer: Balancer
     candidates: Callable[[Scope], Sequence[Registration]]
     standing: Callable[[str, Millis], Standing]
-    level: Callable[[str, Millis], int]
+    recent_service: Callable[[str, Millis], int]
     _waiting: list[Waiter] = field(default_factory=list)
     _spare: SpareRoom = field(init=False)
 
@@ -105,7 +105,7 @@
     def enter(self, waiter: Waiter, now: Millis) -> None:
         """Take a request; it is woken at once if there is room and no other's turn."""
         waiter.refuse_at = waiter.arrived + self._longest_wait(waiter)
-        turn = self.level(waiter.account, now) <= self._lowest_level(now)
+        turn = self.recent_service(waiter.account, now) <= self._lowest_level(now)
         placement = self._place(waiter, now) if turn else None
         self._waiting.append(waiter)
         if placement is not None:
@@ -153,7 +153,7 @@
 
     def _sort(self, now: Millis) -> None:
         levels = {
-            account: self.level(account, now)
+            account: self.recent_service(account, now)
             for account in {one.account for one in self._waiting}
         }
         self._waiting.sort(key=lambda one: (levels[one.account], one.arrived))
@@ -169,7 +169,7 @@
 
     def _lowest_level(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
-        return min((self.level(name, now) for name in accounts), default=float("inf"))
+        return min((self.recent_service(name, now) for name in accounts), default=float("inf"))
 
     def _finish(self, waiter: Waiter, placement: Placement | None) -> None:
         waiter.done = True
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -102,7 +102,7 @@
             balancer=self._balancer,
             candidates=self._candidates,
             standing=self._usage.standing,
-            level=self._usage.recent_service,
+            recent_service=self._usage.recent_service,
         )
         self._plain = PlainQueue(
             candidates=self._candidates,
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -40,7 +40,7 @@
             balancer=self.balancer,
             candidates=lambda pool: [ENGINE],
             standing=lambda account, now: self.standings.get(account, Standing.WITHIN),
-            level=lambda account, now: self.levels.get(account, 0),
+            recent_service=lambda account, now: self.levels.get(account, 0),
         )
 
     def read(self, millis: int) -> None:
--- a/tests/routing/test_any_deployment.py
+++ b/tests/routing/test_any_deployment.py
@@ -64,7 +64,7 @@
         balancer=balancer,
         candidates=lambda pool: rows,
         standing=lambda account, now: standing,
-        level=lambda account, now: 0,
+        recent_service=lambda account, now: 0,
     )
     admission.enter(waiter, 0)
     # However long the prompt, slow the engines or short the objective.
