--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -169,7 +169,9 @@
 
     def _lowest_level(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
-        return min((self.recent_service(name, now) for name in accounts), default=float("inf"))
+        return min(
+            (self.recent_service(name, now) for name in accounts), default=float("inf")
+        )
 
     def _finish(self, waiter: Waiter, placement: Placement | None) -> None:
         waiter.done = True
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from leadseam.control.routes import EngineProfile
-from leadseam.routing.balance import Balancer, expected_service, expected_memory
+from leadseam.routing.balance import Balancer, expected_memory, expected_service
 from leadseam.routing.dialect import PromptPart
 from leadseam.routing.load import Load
 from leadseam.routing.order import affinity_key, rank, ranked_for
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -58,7 +58,9 @@
 def test_service_fades_steadily() -> None:
     book = UsageTable()
     book.record_served("menus", 1_000, 0)
-    assert [book.recent_service("menus", at) for at in (0, 500, 1_000, 2_000, 4_001, 8_000)] == [
+    assert [
+        book.recent_service("menus", at) for at in (0, 500, 1_000, 2_000, 4_001, 8_000)
+    ] == [
         1_000,
         779,
         607,
@@ -69,7 +71,9 @@
     # A steady rate counts as so much of it as passes in the memory.
     for at in range(0, 20_000, 10):
         book.record_served("chat", 30, at)
-    assert book.recent_service("chat", 20_000) == pytest.approx(3 * DECAY_TIME, rel=0.01)
+    assert book.recent_service("chat", 20_000) == pytest.approx(
+        3 * DECAY_TIME, rel=0.01
+    )
 
 
 def test_who_is_far_ahead_gets_work_again_before_what_it_got_is_forgotten() -> None:
@@ -78,7 +82,8 @@
     for at in (0, 100, 200):
         book.record_served("burst", 300, at)
     standings = {
-        at: shares.standing(book.recent_service("burst", at)) for at in (300, 1_500, 2_500)
+        at: shares.standing(book.recent_service("burst", at))
+        for at in (300, 1_500, 2_500)
     }
     assert standings == {
         300: Standing.STOPPED,
