--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -59,7 +59,7 @@
         """Count a request that was sent to an upstream."""
         self._second(account).placed += service
 
-    def record_refused(self, account: str, reason: Reason) -> None:
+    def record_refusal(self, account: str, reason: Reason) -> None:
         """Count a request that did not run."""
         self._second(account).refused[reason.value] += 1
 
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -76,7 +76,7 @@
         """Note a request that was not admitted, and the lag of the event loop."""
         self._metrics.requests.inc("not_run")
         if account is not None:
-            self._account_log.record_refused(account, refusal.reason)
+            self._account_log.record_refusal(account, refusal.reason)
         if self._lines.take():
             extra = {
                 "request": request_id,
@@ -165,7 +165,7 @@
             first = exchange.first_byte_at - admitted.arrived
             self._metrics.first_byte.add({}, first / 1_000)
         if isinstance(outcome, NotRun) and admitted.account is not None:
-            self._account_log.record_refused(admitted.account, outcome.reason)
+            self._account_log.record_refusal(admitted.account, outcome.reason)
         if self._lines.take():
             self._log_end(exchange, admitted, outcome, now)
 
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -30,8 +30,8 @@
     lines = AccountLog(usage, ManualClock(140))
     lines.record_requested("menus", 300)
     lines.record_placed("menus", 200)
-    lines.record_refused("menus", Reason.UPSTREAM_FULL)
-    lines.record_refused("menus", Reason.ENTRY_BUSY)
+    lines.record_refusal("menus", Reason.UPSTREAM_FULL)
+    lines.record_refusal("menus", Reason.ENTRY_BUSY)
     lines.write()
     lines.write()
     (line,) = written(caplog)
@@ -66,7 +66,7 @@
     lines = AccountLog(UsageTable(), ManualClock())
     for number in range(MOST_ACCOUNTS + 3):
         for _ in range(number + 1):
-            lines.record_refused(f"a{number}", Reason.UPSTREAM_FULL)
+            lines.record_refusal(f"a{number}", Reason.UPSTREAM_FULL)
     lines.write()
     (line,) = written(caplog)
     assert [row["account"] for row in line["accounts"]][:2] == ["a10", "a9"]
