--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -15,7 +15,12 @@
 from leadseam.routing.cold import ColdBudget
 from leadseam.routing.flight import Flight
 from leadseam.routing.pauses import PauseBook
-from leadseam.routing.plain import MAX_PER_SLOT, WAIT_PART, PlainQueue, PlainWaiter
+from leadseam.routing.plain_queue import (
+    MAX_PER_SLOT,
+    WAIT_PART,
+    PlainQueue,
+    PlainWaiter,
+)
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import DECAY_TIME, UsageTable
 
--- a/tests/routing/test_plain.py
+++ b/tests/routing/test_plain_queue.py
@@ -4,7 +4,7 @@
 
 from leadseam.routing.load import Load
 from leadseam.routing.placement import Placement
-from leadseam.routing.plain import PlainQueue, PlainWaiter
+from leadseam.routing.plain_queue import PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
 from tests.routing.samples import make_upstream
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -442,9 +442,9 @@
     ),
     Variant(
         "who got least of a plain pool does not go first",
-        "routing/plain.py",
+        "routing/plain_queue.py",
         "        return self._level(waiter, now), waiter.arrived",
         "        return 0.0, waiter.arrived",
-        "tests/routing/test_plain.py",
+        "tests/routing/test_plain_queue.py",
     ),
 )
