--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -13,7 +13,7 @@
 
 from leadseam.clock import Millis
 from leadseam.routing.order import MAX_LOOKED
-from leadseam.routing.spare import SpareRoom
+from leadseam.routing.spare_capacity import SpareRoom
 from leadseam.routing.usage import Standing
 
 if TYPE_CHECKING:
--- a/tests/routing/test_spare.py
+++ b/tests/routing/test_spare_capacity.py
@@ -12,7 +12,7 @@
 from leadseam.routing.load import Load
 from leadseam.routing.order import MAX_LOOKED, ranked_for
 from leadseam.routing.scope import Scope
-from leadseam.routing.spare import KEPT, SpareRoom, has_spare_room
+from leadseam.routing.spare_capacity import KEPT, SpareRoom, has_spare_room
 from leadseam.routing.usage import Standing
 from tests.routing.samples import make_request, make_upstream
 from tests.routing.test_admission import Room
