--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -12,7 +12,7 @@
 from leadseam.routing.account_log import AccountLog
 from leadseam.routing.admission import Admission, Waiter
 from leadseam.routing.balance import Balancer, expected_service
-from leadseam.routing.cold import ColdBudget
+from leadseam.routing.cold_budget import ColdBudget
 from leadseam.routing.flight import Flight
 from leadseam.routing.pauses import PauseBook
 from leadseam.routing.plain_queue import (
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold_budget.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadseam.routing.cold import WINDOW, ColdBudget
+from leadseam.routing.cold_budget import WINDOW, ColdBudget
 from tests.routing.samples import make_upstream
 
 RATE = 21.0
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -35,7 +35,7 @@
 DEADLY = "tests/platform/test_deadly_request.py"
 EVACUATIONS = "tests/control/test_evacuations.py"
 EVACUATION = "tests/platform/test_evacuation.py"
-COLD = "tests/routing/test_cold.py"
+COLD = "tests/routing/test_cold_budget.py"
 WORDS = "tests/routing/test_words_of_upstreams.py"
 
 VARIANTS = (
@@ -362,7 +362,7 @@
     ),
     Variant(
         "each entry uses all that a cold upstream bears",
-        "routing/cold.py",
+        "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
         f"{COLD}::test_no_second_holds_more_than_a_cold_upstream_bears",
