--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -10,7 +10,7 @@
 from leadseam.errors import SettingsError
 from leadseam.feed.evacuation_server import RESEND_LIMIT
 from leadseam.platform.names import SETTINGS_VARIABLE
-from leadseam.routing.budget import RetryLimits
+from leadseam.routing.retry_budget import RetryLimits
 from leadseam.settings.models import Endpoint
 
 if TYPE_CHECKING:
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -22,7 +22,6 @@
     Withheld,
 )
 from leadseam.routing.balance import expected_service_of_tokens
-from leadseam.routing.budget import PoolRetryBudget
 from leadseam.routing.busy import BusySpell
 from leadseam.routing.crash_guard import CrashGuard
 from leadseam.routing.dialect import Sender
@@ -33,6 +32,7 @@
 from leadseam.routing.reply import CallerGoneError
 from leadseam.routing.request_log import RequestLog
 from leadseam.routing.restarts import Restarts
+from leadseam.routing.retry_budget import PoolRetryBudget
 from leadseam.routing.router import Router, choose_pool
 from leadseam.routing.scope import allowed_regions
 from leadseam.routing.usage import Standing
@@ -47,9 +47,9 @@
     from leadseam.feed.client import FeedClient
     from leadseam.outcome import Failed, Unknown
     from leadseam.routing.attempt import Ending
-    from leadseam.routing.budget import RetryLimits
     from leadseam.routing.client import UpstreamClient
     from leadseam.routing.dialect import AnswerHead, Dialect, RoutedRequest
+    from leadseam.routing.retry_budget import RetryLimits
     from leadseam.runtime.lag import LoopLag
     from leadseam.runtime.metrics import RoutingMetrics
     from leadseam.wire.feed import Registration
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,7 +6,7 @@
 
 from leadseam.errors import SettingsError
 from leadseam.platform.settings import NodeSettings
-from leadseam.routing.budget import RetryLimits
+from leadseam.routing.retry_budget import RetryLimits
 from leadseam.settings.models import Endpoint
 
 TEXT = """\
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -24,10 +24,10 @@
 from leadseam.platform import names
 from leadseam.platform.headers import PlatformDialect
 from leadseam.routing.admitted import Admitted
-from leadseam.routing.budget import RetryLimits
 from leadseam.routing.client import WithheldError
 from leadseam.routing.exchange import Exchange
 from leadseam.routing.gateway import Gateway
+from leadseam.routing.retry_budget import RetryLimits
 from leadseam.runtime.metrics import Metrics, RoutingMetrics
 from tests.routing.samples import make_request, make_route, make_upstream
 
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -19,10 +19,10 @@
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import NotRun, Reason
 from leadseam.routing.attempt import Declined, Whole
-from leadseam.routing.budget import RetryLimits
 from leadseam.routing.busy import SHORTEST_PAUSE
 from leadseam.routing.dialect import Sender
 from leadseam.routing.gateway import EXCESS_LAG, MAX_LAG, Gateway
+from leadseam.routing.retry_budget import RetryLimits
 from leadseam.routing.router import Router
 from leadseam.routing.usage import Standing
 from leadseam.runtime.logs import LINES_PER_SECOND
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadseam.routing.budget import PoolRetryBudget, RetryLimits
+from leadseam.routing.retry_budget import PoolRetryBudget, RetryLimits
 
 LIMITS = RetryLimits(ratio=0.2, slack=10, window=10_000)
 
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -16,9 +16,9 @@
 from leadseam.incarnation import Incarnation
 from leadseam.membership.registry import Registry
 from leadseam.membership.view import UpstreamView
-from leadseam.routing.budget import PoolRetryBudget, RetryLimits
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.load import Load, LoadTable
+from leadseam.routing.retry_budget import PoolRetryBudget, RetryLimits
 from leadseam.routing.usage import UsageTable
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.wire.crashes import CrashRow
