--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis
-from leadseam.routing.order import MAX_LOOKED
+from leadseam.routing.engine_order import MAX_LOOKED
 from leadseam.routing.spare_capacity import SpareRoom
 from leadseam.routing.usage import Standing
 
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from leadseam.routing.engine_order import MAX_LOOKED, EngineOrders
 from leadseam.routing.estimate import EstimateTable
 from leadseam.routing.load import Load, LoadTable
-from leadseam.routing.order import MAX_LOOKED, EngineOrders
 from leadseam.routing.placement import Placement
 from leadseam.routing.prompts import PromptTable
 from leadseam.routing.usage import MADE_TOKEN
--- a/src/leadseam/routing/spare_capacity.py
+++ b/src/leadseam/routing/spare_capacity.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.order import MAX_LOOKED
+from leadseam.routing.engine_order import MAX_LOOKED
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -12,8 +12,8 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.balance import Balancer, expected_memory, expected_service
 from leadseam.routing.dialect import PromptPart
+from leadseam.routing.engine_order import affinity_key, rank, ranked_for
 from leadseam.routing.load import Load
-from leadseam.routing.order import affinity_key, rank, ranked_for
 from leadseam.routing.placement import Placement
 from tests.routing.samples import make_request, make_upstream
 
--- a/tests/routing/test_placing_cost.py
+++ b/tests/routing/test_placing_cost.py
@@ -24,13 +24,13 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.balance import Balancer, _Search
 from leadseam.routing.dialect import PromptPart, RoutedRequest
-from leadseam.routing.load import Load
-from leadseam.routing.order import (
+from leadseam.routing.engine_order import (
     FIRST_LOOKED,
     MAX_LOOKED,
     EngineOrders,
     ranked_for,
 )
+from leadseam.routing.load import Load
 from leadseam.routing.scope import Scope
 from tests.routing.samples import make_request, make_upstream
 
--- a/tests/routing/test_spare_capacity.py
+++ b/tests/routing/test_spare_capacity.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from leadseam.routing.engine_order import MAX_LOOKED, ranked_for
 from leadseam.routing.load import Load
-from leadseam.routing.order import MAX_LOOKED, ranked_for
 from leadseam.routing.scope import Scope
 from leadseam.routing.spare_capacity import KEPT, SpareRoom, has_spare_room
 from leadseam.routing.usage import Standing
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -110,7 +110,7 @@
         "all entries prefer one engine for the shared parts of a prompt",
         (
             Replacement(
-                "routing/order.py",
+                "routing/engine_order.py",
                 "    if affinity is None:\n        return rows\n",
                 "    if True:\n        return rows\n",
             ),
