--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -24,7 +24,7 @@
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import AdmittedRequest
-from leadseam.routing.balance import service_of
+from leadseam.routing.balance import expected_service
 from leadseam.routing.exchange import MAX_RETRY_PAUSE, MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
@@ -135,7 +135,7 @@
 
     async def _serve(self, arrival: Arrival) -> None:
         """Send a request, and once more to another entry if it is refused."""
-        self.tally.arrived(arrival, service_of(arrival.req))
+        self.tally.arrived(arrival, expected_service(arrival.req))
         deadline = self._clock.now() + arrival.kind.patience
         if await self._try(arrival, arrival.entry, deadline):
             return
@@ -158,7 +158,7 @@
             arrived=now,
             deadline=deadline,
         )
-        placer.asked(arrival.account, arrival.req, now)
+        placer.record_request(arrival.account, arrival.req, now)
         tried: set[Incarnation] = set()
         while len(tried) < MAX_SENDS:
             flight = await placer.place(admitted, tried, again=bool(tried))
@@ -188,9 +188,9 @@
         def first() -> None:
             flight.first_byte()
             now = self._clock.now()
-            placer.answered(flight.upstream)
+            placer.record_answer(flight.upstream)
             in_time = now - arrival.at <= arrival.kind.objective
-            service = service_of(arrival.req)
+            service = expected_service(arrival.req)
             self.tally.answered(arrival, service, now, in_time=in_time)
 
         def arrive() -> None:
@@ -222,7 +222,7 @@
             await sleep(interval)
             for number, totals in self._summer.totals(self._clock.now()).items():
                 sums = decode(totals.data, LoadSums)
-                self._placers[number].take_sums(totals.included, sums)
+                self._placers[number].apply_sums(totals.included, sums)
                 interval = self._cfg.interval or interval_for(len(totals.data))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -171,7 +171,7 @@
                 self._gateway.crash_guard.review()
                 self._gateway.request_log.update_dropped_lines()
                 self._gateway.placer.sweep()
-                paused = self._gateway.placer.paused()
+                paused = self._gateway.placer.paused_count()
                 self._routing_metrics.paused_upstreams.set({}, paused)
             evacuated = len(self._view.evacuated)
             self._routing_metrics.evacuated_domains.set({}, evacuated)
@@ -198,7 +198,7 @@
 
     def _take_sums(self, included: int, sums: LoadSums) -> None:
         assert self._gateway is not None
-        self._gateway.placer.take_sums(included, sums)
+        self._gateway.placer.apply_sums(included, sums)
 
     def _end_attempts(self, over: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.estimate import EstimateBook
-from leadseam.routing.load import Load, LoadBook
-from leadseam.routing.order import MAX_LOOKED, EngineOrders
+from leadseam.routing.engine_order import MAX_LOOKED, EngineOrders
+from leadseam.routing.estimate import EstimateTable
+from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.placement import Placement
-from leadseam.routing.prompts import PromptBook
+from leadseam.routing.prompts import PromptTable
 from leadseam.routing.usage import MADE_TOKEN
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         self.req = req
         self.limit = limit
         self.now = now
-        self.memory = memory_need(req)
+        self.memory = expected_memory(req)
         self._estimates = balancer.estimates
         self._holders: frozenset[Incarnation] = frozenset()
         self._part = 0
@@ -118,9 +118,9 @@
     ) -> None:
         self._on_begin = on_begin
         self._allows = allows
-        self.loads = LoadBook()
-        self.prompts = PromptBook()
-        self.estimates = EstimateBook()
+        self.loads = LoadTable()
+        self.prompts = PromptTable()
+        self.estimates = EstimateTable()
         self.orders = EngineOrders()
         self._rng = rng
 
@@ -258,7 +258,7 @@
         estimate = self.estimates.engine(row)
         wait = estimate.millis(unread)
         penalty = reread_weight(place) * shared / estimate.rate
-        load = Load(requests=1, unread=own, memory=memory_need(req))
+        load = Load(requests=1, unread=own, memory=expected_memory(req))
         cost = wait + penalty + RUNNING_COST * total.requests
         placement = Placement(row, load, unread, shared, place)
         return _Scored(placement, shared, total.unread / estimate.rate, wait, cost)
@@ -269,7 +269,7 @@
     return REREAD_WEIGHT * (1 + RANK_STEP * place)
 
 
-def memory_need(req: RoutedRequest) -> int:
+def expected_memory(req: RoutedRequest) -> int:
     """Return the tokens of memory that a request is expected to hold for itself."""
     made = min(req.tokens_out, EXPECTED_MADE)
     if not req.parts:
@@ -279,12 +279,12 @@
     return req.tokens_in - shared // 2 + made
 
 
-def service_of(req: RoutedRequest) -> int:
+def expected_service(req: RoutedRequest) -> int:
     """Return the service that a request is expected to take, for its account."""
-    return service_of_tokens(own_tokens(req), req.tokens_out)
+    return expected_service_of_tokens(own_tokens(req), req.tokens_out)
 
 
-def service_of_tokens(own: int, most_made: int) -> int:
+def expected_service_of_tokens(own: int, most_made: int) -> int:
     """Return the expected service of prompt tokens and of tokens to be generated."""
     return own + MADE_TOKEN * min(most_made, EXPECTED_MADE)
 
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -21,8 +21,7 @@
     Whole,
     Withheld,
 )
-from leadseam.routing.balance import service_of_tokens
-from leadseam.routing.budget import PoolRetryBudget
+from leadseam.routing.balance import expected_service_of_tokens
 from leadseam.routing.busy import BusySpell
 from leadseam.routing.crash_guard import CrashGuard
 from leadseam.routing.dialect import Sender
@@ -33,6 +32,7 @@
 from leadseam.routing.reply import CallerGoneError
 from leadseam.routing.request_log import RequestLog
 from leadseam.routing.restarts import Restarts
+from leadseam.routing.retry_budget import PoolRetryBudget
 from leadseam.routing.router import Router, choose_pool
 from leadseam.routing.scope import allowed_regions
 from leadseam.routing.usage import Standing
@@ -47,9 +47,9 @@
     from leadseam.feed.client import FeedClient
     from leadseam.outcome import Failed, Unknown
     from leadseam.routing.attempt import Ending
-    from leadseam.routing.budget import RetryLimits
     from leadseam.routing.client import UpstreamClient
     from leadseam.routing.dialect import AnswerHead, Dialect, RoutedRequest
+    from leadseam.routing.retry_budget import RetryLimits
     from leadseam.runtime.lag import LoopLag
     from leadseam.runtime.metrics import RoutingMetrics
     from leadseam.wire.feed import Registration
@@ -174,8 +174,8 @@
         if not self._has_had_its_share(sender, now):
             if lag <= MAX_LAG:
                 return None
-            service = service_of_tokens(sender.own_tokens, sender.tokens_out)
-            self.placer.asked_service(account, service, now)
+            service = expected_service_of_tokens(sender.own_tokens, sender.tokens_out)
+            self.placer.record_requested_service(account, service, now)
         refusal = self._busy()
         self._note_refusal(sender, refusal, now)
         self._metrics.refusals.inc(refusal.reason.value)
@@ -185,7 +185,7 @@
         """Look at all that may be due after the box was suspended."""
         for exchange in list(self._running):
             exchange.reset_deadline_timer()
-        self.placer.look()
+        self.placer.place_waiting()
         extra = {
             "requests": len(self._running),
             "connections_closed": self.client.drop_idle(),
@@ -261,7 +261,7 @@
         if isinstance(account, NotRun):
             return account
         if account is not None:
-            self.placer.asked(account.name, req, arrived)
+            self.placer.record_request(account.name, req, arrived)
         if self._lag.millis > MAX_LAG:
             return self._busy()
         limit = route.time_limit
@@ -352,7 +352,7 @@
         if head.pause:
             self.placer.pause(upstream, head.pause)
         elif status < FIRST_REDIRECTION:
-            self.placer.answered(upstream)
+            self.placer.record_answer(upstream)
         if head.leaving and self._feed.view.left([upstream.incarnation]):
             # Heartbeats may not say it, or this entry may not be told of them.
             self.request_log.says_it_leaves(upstream, admitted, status)
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -8,7 +8,7 @@
 from leadseam.clock import ManualClock
 from leadseam.outcome import Reason
 from leadseam.routing.account_log import MOST_ACCOUNTS, AccountLog
-from leadseam.routing.usage import UsageBook
+from leadseam.routing.usage import UsageTable
 from leadseam.wire.feed import LoadSums, UsageRow
 
 if TYPE_CHECKING:
@@ -24,14 +24,14 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    usage = UsageBook()
+    usage = UsageTable()
     rows = (UsageRow("menus", 900, 2_000), UsageRow("pay", 100, 1_000))
-    usage.take_sums(LoadSums((), rows), None, capacity=1_000, now=100)
+    usage.apply_sums(LoadSums((), rows), None, capacity=1_000, now=100)
     lines = AccountLog(usage, ManualClock(140))
-    lines.asked("menus", 300)
-    lines.placed("menus", 200)
-    lines.refused("menus", Reason.UPSTREAM_FULL)
-    lines.refused("menus", Reason.ENTRY_BUSY)
+    lines.record_requested("menus", 300)
+    lines.record_placed("menus", 200)
+    lines.record_refusal("menus", Reason.UPSTREAM_FULL)
+    lines.record_refusal("menus", Reason.ENTRY_BUSY)
     lines.write()
     lines.write()
     (line,) = written(caplog)
@@ -53,8 +53,8 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageBook(), ManualClock())
-    lines.asked("menus", 300)
+    lines = AccountLog(UsageTable(), ManualClock())
+    lines.record_requested("menus", 300)
     lines.write()
     assert written(caplog) == []
 
@@ -63,10 +63,10 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageBook(), ManualClock())
+    lines = AccountLog(UsageTable(), ManualClock())
     for number in range(MOST_ACCOUNTS + 3):
         for _ in range(number + 1):
-            lines.refused(f"a{number}", Reason.UPSTREAM_FULL)
+            lines.record_refusal(f"a{number}", Reason.UPSTREAM_FULL)
     lines.write()
     (line,) = written(caplog)
     assert [row["account"] for row in line["accounts"]][:2] == ["a10", "a9"]
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -8,8 +8,8 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import (
     ENTITLED_PART,
-    LEAST_WAIT_PART,
-    READING_AHEAD,
+    MAX_READING_AHEAD,
+    MIN_WAIT_PART,
     Admission,
     Waiter,
 )
@@ -40,7 +40,7 @@
             balancer=self.balancer,
             candidates=lambda pool: [ENGINE],
             standing=lambda account, now: self.standings.get(account, Standing.WITHIN),
-            level=lambda account, now: self.levels.get(account, 0),
+            recent_service=lambda account, now: self.levels.get(account, 0),
         )
 
     def read(self, millis: int) -> None:
@@ -110,13 +110,13 @@
     for _ in range(4):
         room.enter("a")
     waiter = room.enter("a", 100, prompt=50_000)
-    assert waiter.refuse_at == 100 + round(OBJECTIVE * LEAST_WAIT_PART)
+    assert waiter.refuse_at == 100 + round(OBJECTIVE * MIN_WAIT_PART)
     assert waiter.refuse_at < 100 + OBJECTIVE / 4
 
 
 def test_the_engines_queue_is_kept_short_for_all() -> None:
     room = Room()
-    room.read(READING_AHEAD + 1)
+    room.read(MAX_READING_AHEAD + 1)
     waiter = room.enter("a")
     # It could be in time behind 270 ms of reading; who is short might come meanwhile.
     assert not waiter.done
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from leadseam.control.routes import EngineProfile
-from leadseam.routing.balance import Balancer, memory_need, service_of
+from leadseam.routing.balance import Balancer, expected_memory, expected_service
 from leadseam.routing.dialect import PromptPart
+from leadseam.routing.engine_order import affinity_key, rank, ranked_for
 from leadseam.routing.load import Load
-from leadseam.routing.order import affinity_key, rank, ranked_for
 from leadseam.routing.placement import Placement
 from tests.routing.samples import make_request, make_upstream
 
@@ -119,9 +119,9 @@
 
 
 def test_service_and_memory_of_a_request() -> None:
-    assert service_of(CHAT) == 100 + 2 * 50
-    assert memory_need(CHAT) == 300 - 200 // 2 + 50
-    assert memory_need(make_request()) == 50
+    assert expected_service(CHAT) == 100 + 2 * 50
+    assert expected_memory(CHAT) == 300 - 200 // 2 + 50
+    assert expected_memory(make_request()) == 50
 
 
 @settings(derandomize=True, database=None)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -55,8 +55,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "READING_AHEAD: Millis = 100",
-                "READING_AHEAD: Millis = 10_000",
+                "MAX_READING_AHEAD: Millis = 100",
+                "MAX_READING_AHEAD: Millis = 10_000",
             ),
         ),
     ),
@@ -66,8 +66,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "BEYOND_AHEAD: Millis = 0",
-                "BEYOND_AHEAD: Millis = 50",
+                "MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0",
+                "MAX_READING_AHEAD_BEYOND_SHARE: Millis = 50",
             ),
         ),
     ),
@@ -100,8 +100,8 @@
         (
             Replacement(
                 "routing/admission.py",
-                "return round(max(in_time, waiter.objective * LEAST_WAIT_PART))",
-                "return round(min(in_time, waiter.objective * LEAST_WAIT_PART))",
+                "return round(max(in_time, waiter.objective * MIN_WAIT_PART))",
+                "return round(min(in_time, waiter.objective * MIN_WAIT_PART))",
             ),
         ),
     ),
@@ -110,7 +110,7 @@
         "all entries prefer one engine for the shared parts of a prompt",
         (
             Replacement(
-                "routing/order.py",
+                "routing/engine_order.py",
                 "    if affinity is None:\n        return rows\n",
                 "    if True:\n        return rows\n",
             ),
