--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -22,7 +22,7 @@
     RaftLog,
     SnapshotMark,
 )
-from leadseam.control.raft_work import Pending, Ready, Role
+from leadseam.control.raft_types import Pending, Ready, Role
 from leadseam.errors import InvariantError
 from leadseam.wire.codec import encode
 from leadseam.wire.consensus import (
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from leadseam.control.progress import Progress
-    from leadseam.control.raft_work import RaftMessage, TermMessage
+    from leadseam.control.raft_types import RaftMessage, TermMessage
 
 HEARTBEAT_INTERVAL: Millis = 120
 LEASE: Millis = 440
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -18,7 +18,7 @@
     SnapshotMark,
     base_name,
 )
-from leadseam.control.raft_work import Role
+from leadseam.control.raft_types import Role
 from leadseam.control.state import (
     Barrier,
     BarrierResult,
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from leadseam.control.raft_work import RaftMessage, Ready
+    from leadseam.control.raft_types import RaftMessage, Ready
     from leadseam.control.storage import Recovered, Storage
     from leadseam.control.submissions import Outcome
     from leadseam.runtime.metrics import ControlMetrics
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis, sleep
-from leadseam.control.raft_work import Role
+from leadseam.control.raft_types import Role
 from leadseam.control.state import NoteCrashes
 from leadseam.crashes import evidence
 from leadseam.crashes.book import CrashBook
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -14,7 +14,7 @@
     SnapshotMark,
     base_name,
 )
-from leadseam.control.raft_work import RaftMessage, Role
+from leadseam.control.raft_types import RaftMessage, Role
 from leadseam.wire.codec import encode
 from leadseam.wire.consensus import LogEntry
 
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from leadseam.clock import ManualClock
-from leadseam.control.raft_work import Role
+from leadseam.control.raft_types import Role
 from leadseam.control.state import ControlState, CrashesNoted, NoteCrashes
 from leadseam.crashes.book import SUSPECT_LIFE
 from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -20,7 +20,7 @@
 from leadseam.control.election import ELECTION_TIMEOUT, PRE_VOTE_PAUSE
 from leadseam.control.raft import LEASE, Raft
 from leadseam.control.raft_log import base_name
-from leadseam.control.raft_work import Role
+from leadseam.control.raft_types import Role
 from leadseam.wire.consensus import Join, PreVote, PreVoteReply, Vote, VoteReply
 from tests.control.cluster import (
     BOXES,
