--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -11,9 +11,9 @@
 from grpclib.server import Server
 
 from leadseam.clock import Clock, SystemClock
-from leadseam.control.folder import prepare_folder
 from leadseam.control.operator_service import OperatorService
 from leadseam.control.replica import Replica
+from leadseam.control.replica_identity import prepare_folder
 from leadseam.control.storage import Storage, read_identity
 from leadseam.errors import StorageError
 from leadseam.feed.server import FeedServer
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -11,8 +11,8 @@
 from aiohttp import web
 
 from leadseam.clock import Clock, Millis, SystemClock, process_start, sleep
-from leadseam.control.folder import prepare_folder
 from leadseam.control.replica import Replica
+from leadseam.control.replica_identity import prepare_folder
 from leadseam.control.service import ControlService
 from leadseam.control.storage import Storage
 from leadseam.errors import StorageError
