--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -46,8 +46,10 @@
     known = read_identity(folder)
     if known is not None and found:
         raise StorageError(f"{folder}: holds {known}; cannot found a group again")
-    founders = tuple(settings.replicas) if found else ()
-    return prepare_folder(folder, settings.identity.node, founders=founders)
+    bootstrap_boxes = tuple(settings.replicas) if found else ()
+    return prepare_folder(
+        folder, settings.identity.node, bootstrap_boxes=bootstrap_boxes
+    )
 
 
 class ControlProgram:
--- a/src/leadseam/control/replica_identity.py
+++ b/src/leadseam/control/replica_identity.py
@@ -19,13 +19,13 @@
     return f"{name}#{FIRST_INCARNATION}"
 
 
-def prepare_folder(folder: Path, name: str, *, founders: tuple[str, ...]) -> str:
+def prepare_folder(folder: Path, name: str, *, bootstrap_boxes: tuple[str, ...]) -> str:
     """Format a data folder if it is empty.
 
     Args:
         folder: The data folder; must exist.
         name: Name of the box.
-        founders: Boxes that found a group, this one included; empty to join one.
+        bootstrap_boxes: Boxes that found a group, this one included; empty to join one.
 
     Returns:
         The replica's identity.
@@ -36,9 +36,9 @@
     known = read_identity(folder)
     if known is not None:
         return known
-    if founders:
+    if bootstrap_boxes:
         identity = first_identity(name)
-        voters = tuple(first_identity(box) for box in sorted(founders))
+        voters = tuple(first_identity(box) for box in sorted(bootstrap_boxes))
     else:
         identity = f"{name}#{secrets.token_hex(6)}"
         voters = ()
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -70,7 +70,7 @@
         seeds = {endpoint.ip: endpoint for endpoint in settings.seeds}
         founding = settings.founding and settings.ip in seeds
         identity = prepare_folder(
-            folder, settings.ip, founders=tuple(seeds) if founding else ()
+            folder, settings.ip, bootstrap_boxes=tuple(seeds) if founding else ()
         )
         self._settings = settings
         self._metrics = Metrics()
