--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -50,7 +50,7 @@
     from collections.abc import Callable
 
     from leadseam.control.raft_types import RaftMessage, Ready
-    from leadseam.control.storage import Recovered, Storage
+    from leadseam.control.storage import RecoveredState, Storage
     from leadseam.control.submissions import Outcome
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.settings.models import Endpoint
@@ -120,7 +120,7 @@
         identity: str,
         endpoints: dict[str, Endpoint],
         storage: Storage,
-        recovered: Recovered,
+        recovered: RecoveredState,
         clock: Clock,
         metrics: ControlMetrics,
         traffic: Traffic,
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class RecoveredState:
     """What a data folder held when it was opened.
 
     Args:
@@ -217,7 +217,7 @@
     def __repr__(self) -> str:
         return f"Storage({self._folder}, generation={self._generation})"
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredState:
         """Recover the folder's content and make it writable.
 
         Raises:
@@ -229,7 +229,7 @@
         except (OSError, WireError) as exc:
             raise StorageError(f"{self._folder}: {exc}") from exc
 
-    def renew(self, recovered: Recovered) -> None:
+    def renew(self, recovered: RecoveredState) -> None:
         """Write all that the folder holds once more.
 
         After a failed write or sync a file may read back what the disk does not hold,
@@ -307,7 +307,7 @@
         self._open_journal()
         self._remove_old()
 
-    def _open(self) -> Recovered:
+    def _open(self) -> RecoveredState:
         complete = _generations(self._folder, "journal")
         if not complete:
             raise StorageError(f"{self._folder}: no journal")
@@ -324,7 +324,7 @@
         os.fsync(self._fd)
         self._remove_old()
         cut = len(content) - end
-        return Recovered(hard_state, snapshot.mark, snapshot.data, log, cut)
+        return RecoveredState(hard_state, snapshot.mark, snapshot.data, log, cut)
 
     def _read_snapshot(self) -> SnapshotRecord:
         path = self._folder / f"snapshot-{self._generation}"
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -31,7 +31,7 @@
     from aiohttp.web import AppRunner
     from websockets.asyncio.server import Server as LinkServer
 
-    from leadseam.control.storage import Recovered
+    from leadseam.control.storage import RecoveredState
     from leadseam.platform.settings import NodeSettings
 
 FAILURE_POLL: Millis = 200
@@ -168,7 +168,7 @@
         self.replica.close()
         self._storage.close()
 
-    def _renew(self, recovered: Recovered) -> None:
+    def _renew(self, recovered: RecoveredState) -> None:
         try:
             self._storage.renew(recovered)
         except StorageError:
