--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -229,7 +229,7 @@
         except (OSError, WireError) as exc:
             raise StorageError(f"{self._folder}: {exc}") from exc
 
-    def renew(self, recovered: RecoveredState) -> None:
+    def rewrite(self, recovered: RecoveredState) -> None:
         """Write all that the folder holds once more.
 
         After a failed write or sync a file may read back what the disk does not hold,
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -170,7 +170,7 @@
 
     def _renew(self, recovered: RecoveredState) -> None:
         try:
-            self._storage.renew(recovered)
+            self._storage.rewrite(recovered)
         except StorageError:
             self._storage.close()
             raise
