--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -212,10 +212,10 @@
         if not isinstance(result, BarrierResult):
             return False
         while self.state.configuration.version < result.version:
-            await self.next_applied()
+            await self.wait_for_apply()
         return True
 
-    async def next_applied(self) -> None:
+    async def wait_for_apply(self) -> None:
         """Wait until the state machine moves on."""
         await asyncio.shield(self._applied_event)
 
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -244,7 +244,7 @@
 
     async def _push_changes(self) -> None:
         while True:
-            await self._replica.next_applied()
+            await self._replica.wait_for_apply()
             self._push_left()
             self.evacuations.applied()
             self.crashes.applied()
