--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -118,11 +118,11 @@
         self.mark = mark
 
 
-def base_name(identity: str) -> str:
+def box_name(identity: str) -> str:
     """Return the box's name in a replica identity `name#incarnation`."""
     return identity.partition("#")[0]
 
 
 def same_box(identity: str, other: str) -> bool:
     """Tell whether two identities belong to one box."""
-    return base_name(identity) == base_name(other)
+    return box_name(identity) == box_name(other)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -16,7 +16,7 @@
     HardState,
     Membership,
     SnapshotMark,
-    base_name,
+    box_name,
 )
 from leadseam.control.raft_types import Role
 from leadseam.control.state import (
@@ -166,7 +166,7 @@
     @property
     def members(self) -> set[str]:
         """Names of the boxes in the group, learners included."""
-        return {base_name(name) for name in self._raft.membership.everyone}
+        return {box_name(name) for name in self._raft.membership.everyone}
 
     @property
     def voters(self) -> int:
@@ -277,7 +277,7 @@
     def _forward(self, command: Command, fut: Outcome) -> None:
         ticket = self._submissions.forwarded(fut)
         request = Forward(self._raft.identity, ticket, encode(command))
-        self._peers.send(base_name(self._raft.leader), request)
+        self._peers.send(box_name(self._raft.leader), request)
 
     async def _run_forwarded(self, link: Link, message: Forward) -> None:
         result: CommandResult | None = None
@@ -323,7 +323,7 @@
         wanted = self.members
         if self._raft.leader:
             # A newcomer is not told the members before it has answered the leader.
-            wanted = wanted | {base_name(self._raft.leader)}
+            wanted = wanted | {box_name(self._raft.leader)}
         if self._followed != wanted:
             self._followed = wanted
             self._peers.follow(wanted)
@@ -393,7 +393,7 @@
 
     def _send(self, ready: Ready) -> None:
         for to, message in ready.send:
-            self._peers.send(base_name(to), message)
+            self._peers.send(box_name(to), message)
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
--- a/src/leadseam/feed/configuration_push.py
+++ b/src/leadseam/feed/configuration_push.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from leadseam.control.raft_log import base_name
+from leadseam.control.raft_log import box_name
 from leadseam.wire.codec import encode
 from leadseam.wire.feed import Delta, Snapshot
 
@@ -80,7 +80,7 @@
         """Tell whether this replica sends a subscriber a change before the others."""
         if subscriber.alone:
             return True
-        own = base_name(self._replica.raft.identity)
+        own = box_name(self._replica.raft.identity)
         names = {*self._replica.members, own}
         first = max(names, key=lambda name: _weight(subscriber.node, name))
         return bool(own == first)
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -12,7 +12,7 @@
     HardState,
     Membership,
     SnapshotMark,
-    base_name,
+    box_name,
 )
 from leadseam.control.raft_types import RaftMessage, Role
 from leadseam.wire.codec import encode
@@ -129,7 +129,7 @@
 
     def _send(self, sender: str, to: str, message: RaftMessage) -> None:
         others = [name for name in self.boxes if name != sender]
-        targets = [base_name(to)] if to else others
+        targets = [box_name(to)] if to else others
         for target in targets:
             if self.cut_off & {sender, target}:
                 continue
@@ -216,10 +216,10 @@
     def propose(self, data: bytes) -> bool:
         """Propose through the leader."""
         leader = self.leader()
-        if leader is None or base_name(leader.identity) in self.suspended:
+        if leader is None or box_name(leader.identity) in self.suspended:
             return False
         index = leader.propose(self.now, EntryKind.COMMAND, data)
-        self.work(base_name(leader.identity))
+        self.work(box_name(leader.identity))
         return index is not None
 
     def suspend_between_quorum_and_answer(self, data: bytes) -> bool:
@@ -239,7 +239,7 @@
             self.deliver(position)
         if leader.commit_index < index:
             return False
-        self.suspend(base_name(leader.identity))
+        self.suspend(box_name(leader.identity))
         return True
 
     def stop(self, name: str) -> None:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -19,7 +19,7 @@
 
 from leadseam.control.election import ELECTION_TIMEOUT, PRE_VOTE_PAUSE
 from leadseam.control.raft import LEASE, Raft
-from leadseam.control.raft_log import base_name
+from leadseam.control.raft_log import box_name
 from leadseam.control.raft_types import Role
 from leadseam.wire.consensus import Join, PreVote, PreVoteReply, Vote, VoteReply
 from tests.control.cluster import (
@@ -184,12 +184,12 @@
     cluster = elected()
     before = cluster.leader()
     assert before is not None
-    cluster.suspend(base_name(before.identity))
+    cluster.suspend(box_name(before.identity))
     suspended_at = cluster.now
     cluster.settle(20)
     after = cluster.leader()
     assert after is not None and after.identity != before.identity
-    cluster.resume(base_name(before.identity))
+    cluster.resume(box_name(before.identity))
     assert cluster.holding_leases() == [after]
     # By a clock that leaves the time away out, both would answer for the group.
     assert before.role is Role.LEADER and before.holds_lease(suspended_at)
@@ -207,7 +207,7 @@
     assert cluster.propose(b"later")
     cluster.settle(5)
     # Only now does the first leader answer; what it says is true.
-    cluster.resume(base_name(before.identity))
+    cluster.resume(box_name(before.identity))
     cluster.settle(5)
     for box in cluster.boxes.values():
         assert (index, b"kept") in box.applied
@@ -224,10 +224,10 @@
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None
-    name = next(name for name in BOXES if name != base_name(leader.identity))
+    name = next(name for name in BOXES if name != box_name(leader.identity))
     cluster.now += 100
     leader.tick(cluster.now + 200)
-    cluster.work(base_name(leader.identity))
+    cluster.work(box_name(leader.identity))
     held = [item for item in cluster.network if item[0] == name]
     cluster.now += 10 * ELECTION_TIMEOUT
     raft = cluster.boxes[name].raft
@@ -241,7 +241,7 @@
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None
-    name = next(name for name in BOXES if name != base_name(leader.identity))
+    name = next(name for name in BOXES if name != box_name(leader.identity))
     cluster.lose_disk(name)
     replaced = cluster.boxes[name].raft
     assert replaced is not None
@@ -255,7 +255,7 @@
     cluster.settle(5)
     leader = cluster.leader()
     assert leader is not None
-    first, second = (name for name in BOXES if name != base_name(leader.identity))
+    first, second = (name for name in BOXES if name != box_name(leader.identity))
     cluster.lose_disk(first)
     cluster.settle(80)
     cluster.boxes[second].raft = None
