--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -20,7 +20,7 @@
     HardState,
     Membership,
     RaftLog,
-    SnapshotMark,
+    SnapshotMetadata,
 )
 from leadseam.control.raft_types import Pending, Ready, Role
 from leadseam.errors import InvariantError
@@ -73,7 +73,7 @@
         identity: str,
         *,
         hard_state: HardState,
-        mark: SnapshotMark,
+        mark: SnapshotMetadata,
         log: list[LogEntry],
         now: Millis,
         seed: int,
@@ -241,7 +241,7 @@
             steps=tuple(pending.steps),
         )
 
-    def compact(self, index: int, data: bytes) -> SnapshotMark:
+    def compact(self, index: int, data: bytes) -> SnapshotMetadata:
         """Drop the log up to an applied index.
 
         Args:
@@ -633,12 +633,12 @@
         self._follow(now, message.sender)
         if message.index > self.commit_index:
             membership = Membership(message.voters, message.learners)
-            mark = SnapshotMark(message.index, message.index_term, membership)
+            mark = SnapshotMetadata(message.index, message.index_term, membership)
             self._restore(mark, message.data)
         match = max(self.commit_index, message.index)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
-    def _restore(self, mark: SnapshotMark, data: bytes) -> None:
+    def _restore(self, mark: SnapshotMetadata, data: bytes) -> None:
         self.log.restore(mark)
         self.commit_index = mark.index
         self._applied = mark.index
--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -41,7 +41,7 @@
     vote: str = ""
 
 
-class SnapshotMark(Record, frozen=True, array_like=True):
+class SnapshotMetadata(Record, frozen=True, array_like=True):
     """Where the compacted part of the log ends."""
 
     index: int = 0
@@ -57,7 +57,7 @@
         entries: Entries after it, without a gap.
     """
 
-    def __init__(self, mark: SnapshotMark, entries: list[LogEntry]) -> None:
+    def __init__(self, mark: SnapshotMetadata, entries: list[LogEntry]) -> None:
         self.mark = mark
         self.entries = entries
 
@@ -98,7 +98,7 @@
         """Remove an index and all after it."""
         del self.entries[index - self.mark.index - 1 :]
 
-    def compact(self, index: int) -> SnapshotMark:
+    def compact(self, index: int) -> SnapshotMetadata:
         """Drop the entries up to an index that is held.
 
         Returns:
@@ -106,12 +106,12 @@
         """
         if not self.mark.index < index <= self.last_index:
             raise InvariantError(f"compact to {index} outside {self!r}")
-        mark = SnapshotMark(index, self.term_at(index), self.membership_at(index))
+        mark = SnapshotMetadata(index, self.term_at(index), self.membership_at(index))
         self.entries = self.between(index + 1)
         self.mark = mark
         return mark
 
-    def restore(self, mark: SnapshotMark) -> None:
+    def restore(self, mark: SnapshotMetadata) -> None:
         """Take over a snapshot's mark; entries after it stay if they fit."""
         fits = self.term_at(mark.index) == mark.term
         self.entries = self.between(mark.index + 1) if fits else []
--- a/src/leadseam/control/raft_types.py
+++ b/src/leadseam/control/raft_types.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from leadseam.control.membership import Step
-    from leadseam.control.raft_log import HardState, SnapshotMark
+    from leadseam.control.raft_log import HardState, SnapshotMetadata
     from leadseam.wire.consensus import LogEntry
 
 TermMessage: TypeAlias = Vote | VoteReply | Append | AppendReply | Install
@@ -48,7 +48,7 @@
         steps: Changes of the group that were proposed, for the logs.
     """
 
-    snapshot: tuple[SnapshotMark, bytes] | None
+    snapshot: tuple[SnapshotMetadata, bytes] | None
     hard_state: HardState | None
     append: tuple[LogEntry, ...]
     send: tuple[tuple[str, RaftMessage], ...]
@@ -60,7 +60,7 @@
 class Pending:
     """Work that has gathered since the owner last took it; see `Ready`."""
 
-    snapshot: tuple[SnapshotMark, bytes] | None = None
+    snapshot: tuple[SnapshotMetadata, bytes] | None = None
     hard_state: bool = False
     append_from: int | None = None
     send: list[tuple[str, RaftMessage]] = field(default_factory=list)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -15,7 +15,7 @@
     EntryKind,
     HardState,
     Membership,
-    SnapshotMark,
+    SnapshotMetadata,
     box_name,
 )
 from leadseam.control.raft_types import Role
@@ -385,7 +385,7 @@
             await asyncio.to_thread(write, ready.hard_state, ready.append)
 
     async def _store_snapshot(
-        self, mark: SnapshotMark, data: bytes, ready: Ready
+        self, mark: SnapshotMetadata, data: bytes, ready: Ready
     ) -> None:
         state = HardState(self._raft.term, self._raft.vote)
         compact = self._storage.compact
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, TypeAlias
 
-from leadseam.control.raft_log import HardState, Membership, SnapshotMark
+from leadseam.control.raft_log import HardState, Membership, SnapshotMetadata
 from leadseam.errors import StorageDamagedError, StorageError, WireError
 from leadseam.wire.codec import decode, encode
 from leadseam.wire.consensus import LogEntry
@@ -53,7 +53,7 @@
 class SnapshotRecord(Record, frozen=True, array_like=True, tag=3):
     """The only record of a snapshot file."""
 
-    mark: SnapshotMark
+    mark: SnapshotMetadata
     data: bytes
 
 
@@ -73,7 +73,7 @@
     """
 
     hard_state: HardState
-    mark: SnapshotMark
+    mark: SnapshotMetadata
     data: bytes
     log: list[LogEntry]
     cut: int
@@ -166,7 +166,7 @@
     if (folder / IDENTITY_FILE).exists():
         raise StorageError(f"{folder}: already formatted")
     try:
-        mark = SnapshotMark(membership=membership)
+        mark = SnapshotMetadata(membership=membership)
         _write_generation(folder, 1, mark, b"", (StateRecord(HardState()),))
         write_synced(folder / IDENTITY_FILE, identity.encode())
     except OSError as exc:
@@ -186,7 +186,7 @@
 def _write_generation(
     folder: Path,
     generation: int,
-    mark: SnapshotMark,
+    mark: SnapshotMetadata,
     data: bytes,
     records: tuple[JournalRecord, ...],
 ) -> None:
@@ -258,7 +258,7 @@
 
     def compact(
         self,
-        mark: SnapshotMark,
+        mark: SnapshotMetadata,
         data: bytes,
         state: HardState,
         log: tuple[LogEntry, ...],
@@ -294,7 +294,7 @@
 
     def _compact(
         self,
-        mark: SnapshotMark,
+        mark: SnapshotMetadata,
         data: bytes,
         state: HardState,
         log: tuple[LogEntry, ...],
@@ -350,7 +350,7 @@
 
 
 def _replay(
-    payloads: list[bytes], mark: SnapshotMark
+    payloads: list[bytes], mark: SnapshotMetadata
 ) -> tuple[HardState, list[LogEntry]]:
     hard_state = HardState()
     log: list[LogEntry] = []
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -11,7 +11,7 @@
     EntryKind,
     HardState,
     Membership,
-    SnapshotMark,
+    SnapshotMetadata,
     box_name,
 )
 from leadseam.control.raft_types import RaftMessage, Role
@@ -30,7 +30,7 @@
     """What is synced on a box."""
 
     identity: str
-    mark: SnapshotMark
+    mark: SnapshotMetadata
     hard_state: HardState = field(default_factory=HardState)
     snapshot: bytes = b""
     log: list[LogEntry] = field(default_factory=list)
@@ -73,7 +73,7 @@
         self.lost_disks = 0
         voters = tuple(f"{name}#first" for name in names)
         for name in names:
-            mark = SnapshotMark(membership=Membership(voters))
+            mark = SnapshotMetadata(membership=Membership(voters))
             self.boxes[name] = Box(Disk(f"{name}#first", mark))
             self.start(name)
 
@@ -254,7 +254,7 @@
         """Start a box, new or known, with an empty disk; it has to join."""
         self.lost_disks += 1
         identity = f"{name}#{self.lost_disks}"
-        mark = SnapshotMark(membership=Membership(()))
+        mark = SnapshotMetadata(membership=Membership(()))
         self.boxes[name] = Box(Disk(identity, mark))
         self.start(name)
 
--- a/tests/failures/test_storage_killed.py
+++ b/tests/failures/test_storage_killed.py
@@ -18,7 +18,7 @@
 WRITER = f"""
 import sys
 from pathlib import Path
-from leadseam.control.raft_log import HardState, Membership, SnapshotMark
+from leadseam.control.raft_log import HardState, Membership, SnapshotMetadata
 from leadseam.control.storage import Storage, format_folder, read_identity
 from leadseam.wire.consensus import LogEntry
 
@@ -36,7 +36,7 @@
     log.append(entry)
     print(index, flush=True)
     if len(log) >= {COMPACT_EVERY}:
-        mark = SnapshotMark(index, 1, Membership(("a#first",)))
+        mark = SnapshotMetadata(index, 1, Membership(("a#first",)))
         storage.compact(mark, b"s%d" % index, HardState(1, "a#first"), ())
         log = []
 """
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leadseam.control.raft_log import HardState, Membership, SnapshotMark
+from leadseam.control.raft_log import HardState, Membership, SnapshotMetadata
 from leadseam.control.storage import Storage, format_folder, read_identity
 from leadseam.errors import StorageDamagedError, StorageError
 from leadseam.wire.consensus import LogEntry
@@ -59,7 +59,7 @@
 def test_compaction_keeps_state_and_rest(tmp_path: Path) -> None:
     storage = opened(tmp_path)
     storage.append(HardState(1, ""), entries(1, 9))
-    mark = SnapshotMark(6, 1, VOTERS)
+    mark = SnapshotMetadata(6, 1, VOTERS)
     storage.compact(mark, b"state", HardState(1, ""), entries(7, 9))
     storage.append(None, entries(10, 10))
     storage.close()
