--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -73,7 +73,7 @@
         identity: str,
         *,
         hard_state: HardState,
-        mark: SnapshotMetadata,
+        metadata: SnapshotMetadata,
         log: list[LogEntry],
         now: Millis,
         seed: int,
@@ -82,11 +82,11 @@
         self.identity = identity
         self.term = hard_state.term
         self.vote = hard_state.vote
-        self.log = RaftLog(mark, log)
+        self.log = RaftLog(metadata, log)
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit_index = mark.index
-        self.membership = mark.membership
+        self.commit_index = metadata.index
+        self.membership = metadata.membership
         self._election = Election(seed, now)
         self._bounds = Bounds(losses)
         self._stops = False
@@ -94,7 +94,7 @@
         self._followers = Followers()
         self._liveness = Liveness()
         self._pending = Pending()
-        self._applied = mark.index
+        self._applied = metadata.index
         self._snapshot_data: bytes = b""
         self._current_at: Millis = -1
         self._heartbeat_at: Millis = 0
@@ -253,9 +253,9 @@
         """
         if index > self._applied:
             raise InvariantError(f"compact to {index}, applied {self._applied}")
-        mark = self.log.compact(index)
+        metadata = self.log.compact(index)
         self._snapshot_data = data
-        return mark
+        return metadata
 
     def set_snapshot_data(self, data: bytes) -> None:
         """Provide the data of the mark after a restart."""
@@ -453,7 +453,7 @@
         if progress.awaits_answer(now):
             self._send_append(now, name, progress, entries=())
             return
-        if progress.next_index <= self.log.mark.index:
+        if progress.next_index <= self.log.snapshot.index:
             self._send_install(now, name)
         else:
             first = progress.next_index
@@ -472,8 +472,8 @@
         entries: tuple[LogEntry, ...],
     ) -> None:
         prev = progress.next_index - 1
-        if prev < self.log.mark.index:
-            prev = self.log.mark.index
+        if prev < self.log.snapshot.index:
+            prev = self.log.snapshot.index
             entries = ()
         request = Append(
             sender=self.identity,
@@ -492,10 +492,10 @@
         request = Install(
             sender=self.identity,
             term=self.term,
-            index=self.log.mark.index,
-            index_term=self.log.mark.term,
-            voters=self.log.mark.membership.voters,
-            learners=self.log.mark.membership.learners,
+            index=self.log.snapshot.index,
+            index_term=self.log.snapshot.term,
+            voters=self.log.snapshot.membership.voters,
+            learners=self.log.snapshot.membership.learners,
             data=self._snapshot_data,
             sent=now,
         )
@@ -600,7 +600,7 @@
     def _on_append(self, now: Millis, message: Append) -> None:
         self._follow(now, message.sender)
         self._liveness.told(message.sender, message.silent, now)
-        if message.prev_index < self.log.mark.index:
+        if message.prev_index < self.log.snapshot.index:
             self._on_append_before_mark(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
@@ -616,7 +616,7 @@
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
     def _on_append_before_mark(self, now: Millis, message: Append) -> None:
-        reply = self._reply(True, self.log.mark.index, message.sent, now)
+        reply = self._reply(True, self.log.snapshot.index, message.sent, now)
         self._send(message.sender, reply)
 
     def _store_entries(self, entries: tuple[LogEntry, ...]) -> None:
@@ -633,18 +633,18 @@
         self._follow(now, message.sender)
         if message.index > self.commit_index:
             membership = Membership(message.voters, message.learners)
-            mark = SnapshotMetadata(message.index, message.index_term, membership)
-            self._restore(mark, message.data)
+            metadata = SnapshotMetadata(message.index, message.index_term, membership)
+            self._restore(metadata, message.data)
         match = max(self.commit_index, message.index)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
-    def _restore(self, mark: SnapshotMetadata, data: bytes) -> None:
-        self.log.restore(mark)
-        self.commit_index = mark.index
-        self._applied = mark.index
+    def _restore(self, metadata: SnapshotMetadata, data: bytes) -> None:
+        self.log.restore(metadata)
+        self.commit_index = metadata.index
+        self._applied = metadata.index
         self._snapshot_data = data
-        self._pending.snapshot = (mark, data)
-        self._pending.append_from = mark.index + 1 if self.log.entries else None
+        self._pending.snapshot = (metadata, data)
+        self._pending.append_from = metadata.index + 1 if self.log.entries else None
         self._recompute_membership()
 
     def _send(self, to: str, message: RaftMessage) -> None:
--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -57,46 +57,46 @@
         entries: Entries after it, without a gap.
     """
 
-    def __init__(self, mark: SnapshotMetadata, entries: list[LogEntry]) -> None:
-        self.mark = mark
+    def __init__(self, metadata: SnapshotMetadata, entries: list[LogEntry]) -> None:
+        self.snapshot = metadata
         self.entries = entries
 
     def __repr__(self) -> str:
-        return f"RaftLog({self.mark.index}..{self.last_index})"
+        return f"RaftLog({self.snapshot.index}..{self.last_index})"
 
     @property
     def last_index(self) -> int:
         """Index of the last entry, or of the mark."""
-        return self.mark.index + len(self.entries)
+        return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         """Term of the last entry, or of the mark."""
-        return self.entries[-1].term if self.entries else self.mark.term
+        return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int:
         """Return the term of an index, or -1 where it is not held."""
-        if index == self.mark.index:
-            return self.mark.term
-        offset = index - self.mark.index - 1
+        if index == self.snapshot.index:
+            return self.snapshot.term
+        offset = index - self.snapshot.index - 1
         return self.entries[offset].term if 0 <= offset < len(self.entries) else -1
 
     def between(self, first: int, last: int | None = None) -> list[LogEntry]:
         """Return the entries from `first` to `last`, or to the end."""
-        start = max(first - self.mark.index - 1, 0)
-        stop = len(self.entries) if last is None else max(last - self.mark.index, 0)
+        start = max(first - self.snapshot.index - 1, 0)
+        stop = len(self.entries) if last is None else max(last - self.snapshot.index, 0)
         return self.entries[start:stop]
 
     def membership_at(self, index: int) -> Membership:
         """Return the membership that the log gives at an index."""
-        for entry in reversed(self.between(self.mark.index + 1, index)):
+        for entry in reversed(self.between(self.snapshot.index + 1, index)):
             if entry.kind == EntryKind.MEMBERSHIP:
                 return decode(entry.data, Membership)
-        return self.mark.membership
+        return self.snapshot.membership
 
     def truncate(self, index: int) -> None:
         """Remove an index and all after it."""
-        del self.entries[index - self.mark.index - 1 :]
+        del self.entries[index - self.snapshot.index - 1 :]
 
     def compact(self, index: int) -> SnapshotMetadata:
         """Drop the entries up to an index that is held.
@@ -104,18 +104,20 @@
         Returns:
             The new mark.
         """
-        if not self.mark.index < index <= self.last_index:
+        if not self.snapshot.index < index <= self.last_index:
             raise InvariantError(f"compact to {index} outside {self!r}")
-        mark = SnapshotMetadata(index, self.term_at(index), self.membership_at(index))
+        metadata = SnapshotMetadata(
+            index, self.term_at(index), self.membership_at(index)
+        )
         self.entries = self.between(index + 1)
-        self.mark = mark
-        return mark
+        self.snapshot = metadata
+        return metadata
 
-    def restore(self, mark: SnapshotMetadata) -> None:
+    def restore(self, metadata: SnapshotMetadata) -> None:
         """Take over a snapshot's mark; entries after it stay if they fit."""
-        fits = self.term_at(mark.index) == mark.term
-        self.entries = self.between(mark.index + 1) if fits else []
-        self.mark = mark
+        fits = self.term_at(metadata.index) == metadata.term
+        self.entries = self.between(metadata.index + 1) if fits else []
+        self.snapshot = metadata
 
 
 def box_name(identity: str) -> str:
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -132,7 +132,7 @@
         self.state = ControlState()
         self.state.restore(recovered.data)
         self.failure = ""
-        self.applied = recovered.mark.index
+        self.applied = recovered.metadata.index
         self._clock = clock
         self._metrics = metrics
         self._health = HealthReporter(metrics)
@@ -140,7 +140,7 @@
         self._raft = Raft(
             identity,
             hard_state=recovered.hard_state,
-            mark=recovered.mark,
+            metadata=recovered.metadata,
             log=recovered.log,
             now=clock.now() if silent_since is None else silent_since,
             seed=seed,
@@ -375,21 +375,21 @@
 
     async def _persist(self, ready: Ready) -> None:
         if ready.snapshot is not None:
-            mark, data = ready.snapshot
-            await self._store_snapshot(mark, data, ready)
+            metadata, data = ready.snapshot
+            await self._store_snapshot(metadata, data, ready)
             self.state.restore(data)
-            self.applied = mark.index
+            self.applied = metadata.index
             self._announce()
         elif ready.hard_state is not None or ready.append:
             write = self._storage.append
             await asyncio.to_thread(write, ready.hard_state, ready.append)
 
     async def _store_snapshot(
-        self, mark: SnapshotMetadata, data: bytes, ready: Ready
+        self, metadata: SnapshotMetadata, data: bytes, ready: Ready
     ) -> None:
         state = HardState(self._raft.term, self._raft.vote)
         compact = self._storage.compact
-        await asyncio.to_thread(compact, mark, data, state, ready.append)
+        await asyncio.to_thread(compact, metadata, data, state, ready.append)
 
     def _send(self, ready: Ready) -> None:
         for to, message in ready.send:
@@ -426,14 +426,16 @@
             self._submissions.drop_proposed()
 
     async def _compact_if_due(self) -> None:
-        if self.applied - self._raft.log.mark.index < COMPACT_EVERY:
+        if self.applied - self._raft.log.snapshot.index < COMPACT_EVERY:
             return
         data = self.state.save()
-        mark = self._raft.compact(self.applied, data)
+        metadata = self._raft.compact(self.applied, data)
         state = HardState(self._raft.term, self._raft.vote)
         entries = tuple(self._raft.log.entries)
         try:
-            await asyncio.to_thread(self._storage.compact, mark, data, state, entries)
+            await asyncio.to_thread(
+                self._storage.compact, metadata, data, state, entries
+            )
         except StorageError as exc:
             self._halt(exc)
 
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -53,7 +53,7 @@
 class SnapshotRecord(Record, frozen=True, array_like=True, tag=3):
     """The only record of a snapshot file."""
 
-    mark: SnapshotMetadata
+    metadata: SnapshotMetadata
     data: bytes
 
 
@@ -73,7 +73,7 @@
     """
 
     hard_state: HardState
-    mark: SnapshotMetadata
+    metadata: SnapshotMetadata
     data: bytes
     log: list[LogEntry]
     cut: int
@@ -166,8 +166,8 @@
     if (folder / IDENTITY_FILE).exists():
         raise StorageError(f"{folder}: already formatted")
     try:
-        mark = SnapshotMetadata(membership=membership)
-        _write_generation(folder, 1, mark, b"", (StateRecord(HardState()),))
+        metadata = SnapshotMetadata(membership=membership)
+        _write_generation(folder, 1, metadata, b"", (StateRecord(HardState()),))
         write_synced(folder / IDENTITY_FILE, identity.encode())
     except OSError as exc:
         raise StorageError(f"{folder}: {exc}") from exc
@@ -186,11 +186,11 @@
 def _write_generation(
     folder: Path,
     generation: int,
-    mark: SnapshotMetadata,
+    metadata: SnapshotMetadata,
     data: bytes,
     records: tuple[JournalRecord, ...],
 ) -> None:
-    snapshot = pack(encode(SnapshotRecord(mark, data)))
+    snapshot = pack(encode(SnapshotRecord(metadata, data)))
     write_synced(folder / f"snapshot-{generation}", snapshot)
     write_synced(folder / f"journal-{generation}", pack(encode(records)))
 
@@ -242,7 +242,7 @@
             StorageError: If the disk still fails.
         """
         log = tuple(recovered.log)
-        self.compact(recovered.mark, recovered.data, recovered.hard_state, log)
+        self.compact(recovered.metadata, recovered.data, recovered.hard_state, log)
 
     def append(self, state: HardState | None, entries: tuple[LogEntry, ...]) -> None:
         """Add records and sync them.
@@ -258,7 +258,7 @@
 
     def compact(
         self,
-        mark: SnapshotMetadata,
+        metadata: SnapshotMetadata,
         data: bytes,
         state: HardState,
         log: tuple[LogEntry, ...],
@@ -268,7 +268,7 @@
         Raises:
             StorageError: If it may not be durable; no later call succeeds.
         """
-        self._guard(lambda: self._compact(mark, data, state, log))
+        self._guard(lambda: self._compact(metadata, data, state, log))
 
     def close(self) -> None:
         """Release the journal."""
@@ -294,14 +294,14 @@
 
     def _compact(
         self,
-        mark: SnapshotMetadata,
+        metadata: SnapshotMetadata,
         data: bytes,
         state: HardState,
         log: tuple[LogEntry, ...],
     ) -> None:
         entries = tuple(EntryRecord(entry) for entry in log)
         records: tuple[JournalRecord, ...] = (StateRecord(state), *entries)
-        _write_generation(self._folder, self._generation + 1, mark, data, records)
+        _write_generation(self._folder, self._generation + 1, metadata, data, records)
         self.close()
         self._generation += 1
         self._open_journal()
@@ -316,7 +316,7 @@
         journal = self._folder / f"journal-{self._generation}"
         content = journal.read_bytes()
         payloads, end = unpack_all(content, journal.name)
-        hard_state, log = _replay(payloads, snapshot.mark)
+        hard_state, log = _replay(payloads, snapshot.metadata)
         self._open_journal()
         if end < len(content):
             os.ftruncate(self._fd, end)
@@ -324,7 +324,7 @@
         os.fsync(self._fd)
         self._remove_old()
         cut = len(content) - end
-        return RecoveredState(hard_state, snapshot.mark, snapshot.data, log, cut)
+        return RecoveredState(hard_state, snapshot.metadata, snapshot.data, log, cut)
 
     def _read_snapshot(self) -> SnapshotRecord:
         path = self._folder / f"snapshot-{self._generation}"
@@ -350,7 +350,7 @@
 
 
 def _replay(
-    payloads: list[bytes], mark: SnapshotMetadata
+    payloads: list[bytes], metadata: SnapshotMetadata
 ) -> tuple[HardState, list[LogEntry]]:
     hard_state = HardState()
     log: list[LogEntry] = []
@@ -360,7 +360,7 @@
                 case StateRecord(state=state):
                     hard_state = state
                 case EntryRecord(entry=entry):
-                    position = entry.index - mark.index - 1
+                    position = entry.index - metadata.index - 1
                     if not 0 <= position <= len(log):
                         raise StorageDamagedError(f"entry {entry.index} leaves a gap")
                     del log[position:]
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -30,7 +30,7 @@
     """What is synced on a box."""
 
     identity: str
-    mark: SnapshotMetadata
+    metadata: SnapshotMetadata
     hard_state: HardState = field(default_factory=HardState)
     snapshot: bytes = b""
     log: list[LogEntry] = field(default_factory=list)
@@ -38,7 +38,7 @@
     def store(self, entries: tuple[LogEntry, ...]) -> None:
         """Append entries as the journal does."""
         for entry in entries:
-            position = entry.index - self.mark.index - 1
+            position = entry.index - self.metadata.index - 1
             del self.log[position:]
             self.log.append(entry)
 
@@ -73,8 +73,8 @@
         self.lost_disks = 0
         voters = tuple(f"{name}#first" for name in names)
         for name in names:
-            mark = SnapshotMetadata(membership=Membership(voters))
-            self.boxes[name] = Box(Disk(f"{name}#first", mark))
+            metadata = SnapshotMetadata(membership=Membership(voters))
+            self.boxes[name] = Box(Disk(f"{name}#first", metadata))
             self.start(name)
 
     def start(self, name: str) -> None:
@@ -86,7 +86,7 @@
         box.raft = Raft(
             disk.identity,
             hard_state=disk.hard_state,
-            mark=disk.mark,
+            metadata=disk.metadata,
             log=list(disk.log),
             now=self.now,
             seed=self.seed,
@@ -114,8 +114,8 @@
                 return
             self._persist(box, box.raft)
             if ready.snapshot is not None:
-                mark, data = ready.snapshot
-                box.disk.mark, box.disk.snapshot = mark, data
+                metadata, data = ready.snapshot
+                box.disk.metadata, box.disk.snapshot = metadata, data
                 box.applied = decode_applied(data)
             box.disk.log = list(box.raft.log.entries)
             for to, message in ready.send:
@@ -254,8 +254,8 @@
         """Start a box, new or known, with an empty disk; it has to join."""
         self.lost_disks += 1
         identity = f"{name}#{self.lost_disks}"
-        mark = SnapshotMetadata(membership=Membership(()))
-        self.boxes[name] = Box(Disk(identity, mark))
+        metadata = SnapshotMetadata(membership=Membership(()))
+        self.boxes[name] = Box(Disk(identity, metadata))
         self.start(name)
 
 
--- a/tests/failures/test_storage_killed.py
+++ b/tests/failures/test_storage_killed.py
@@ -28,7 +28,7 @@
 storage = Storage(folder)
 recovered = storage.open()
 log = recovered.log
-index = log[-1].index if log else recovered.mark.index
+index = log[-1].index if log else recovered.metadata.index
 while True:
     index += 1
     entry = LogEntry(1, index, 1, b"x" * (index % 900))
@@ -36,8 +36,8 @@
     log.append(entry)
     print(index, flush=True)
     if len(log) >= {COMPACT_EVERY}:
-        mark = SnapshotMetadata(index, 1, Membership(("a#first",)))
-        storage.compact(mark, b"s%d" % index, HardState(1, "a#first"), ())
+        metadata = SnapshotMetadata(index, 1, Membership(("a#first",)))
+        storage.compact(metadata, b"s%d" % index, HardState(1, "a#first"), ())
         log = []
 """
 
@@ -50,10 +50,10 @@
         storage = Storage(tmp_path)
         recovered = storage.open()
         storage.close()
-        last = recovered.log[-1].index if recovered.log else recovered.mark.index
+        last = recovered.log[-1].index if recovered.log else recovered.metadata.index
         assert last >= acknowledged
         indexes = [entry.index for entry in recovered.log]
-        assert indexes == list(range(recovered.mark.index + 1, last + 1))
+        assert indexes == list(range(recovered.metadata.index + 1, last + 1))
     assert acknowledged > KILLS
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -106,10 +106,10 @@
         if box.raft is None or not box.applied:
             return
         index = box.raft.commit_index
-        if index <= box.raft.log.mark.index:
+        if index <= box.raft.log.snapshot.index:
             return
         data = encode_applied(box.applied)
-        box.disk.mark = box.raft.compact(index, data)
+        box.disk.metadata = box.raft.compact(index, data)
         box.disk.snapshot = data
         box.disk.log = list(box.raft.log.entries)
 
@@ -302,7 +302,7 @@
     raft = Raft(
         disk.identity,
         hard_state=disk.hard_state,
-        mark=disk.mark,
+        metadata=disk.metadata,
         log=list(disk.log),
         now=started,
         seed=1,
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -53,18 +53,18 @@
     recovered = Storage(tmp_path).open()
     assert recovered.hard_state == HardState(3, "b#first")
     assert recovered.log == [*entries(1, 3), *entries(4, 4, term=2)]
-    assert recovered.mark.membership == VOTERS
+    assert recovered.metadata.membership == VOTERS
 
 
 def test_compaction_keeps_state_and_rest(tmp_path: Path) -> None:
     storage = opened(tmp_path)
     storage.append(HardState(1, ""), entries(1, 9))
-    mark = SnapshotMetadata(6, 1, VOTERS)
-    storage.compact(mark, b"state", HardState(1, ""), entries(7, 9))
+    metadata = SnapshotMetadata(6, 1, VOTERS)
+    storage.compact(metadata, b"state", HardState(1, ""), entries(7, 9))
     storage.append(None, entries(10, 10))
     storage.close()
     recovered = Storage(tmp_path).open()
-    assert (recovered.mark, recovered.data) == (mark, b"state")
+    assert (recovered.metadata, recovered.data) == (metadata, b"state")
     assert recovered.log == list(entries(7, 10))
     assert sorted(path.name for path in tmp_path.iterdir()) == [
         "identity",
