--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -453,7 +453,7 @@
         if progress.awaits_answer(now):
             self._send_append(now, name, progress, entries=())
             return
-        if progress.next_index <= self.log.snapshot.index:
+        if progress.next_index <= self.log.snapshot_metadata.index:
             self._send_install(now, name)
         else:
             first = progress.next_index
@@ -472,8 +472,8 @@
         entries: tuple[LogEntry, ...],
     ) -> None:
         prev = progress.next_index - 1
-        if prev < self.log.snapshot.index:
-            prev = self.log.snapshot.index
+        if prev < self.log.snapshot_metadata.index:
+            prev = self.log.snapshot_metadata.index
             entries = ()
         request = Append(
             sender=self.identity,
@@ -492,10 +492,10 @@
         request = Install(
             sender=self.identity,
             term=self.term,
-            index=self.log.snapshot.index,
-            index_term=self.log.snapshot.term,
-            voters=self.log.snapshot.membership.voters,
-            learners=self.log.snapshot.membership.learners,
+            index=self.log.snapshot_metadata.index,
+            index_term=self.log.snapshot_metadata.term,
+            voters=self.log.snapshot_metadata.membership.voters,
+            learners=self.log.snapshot_metadata.membership.learners,
             data=self._snapshot_data,
             sent=now,
         )
@@ -600,7 +600,7 @@
     def _on_append(self, now: Millis, message: Append) -> None:
         self._follow(now, message.sender)
         self._liveness.told(message.sender, message.silent, now)
-        if message.prev_index < self.log.snapshot.index:
+        if message.prev_index < self.log.snapshot_metadata.index:
             self._on_append_before_mark(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
@@ -616,7 +616,7 @@
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
     def _on_append_before_mark(self, now: Millis, message: Append) -> None:
-        reply = self._reply(True, self.log.snapshot.index, message.sent, now)
+        reply = self._reply(True, self.log.snapshot_metadata.index, message.sent, now)
         self._send(message.sender, reply)
 
     def _store_entries(self, entries: tuple[LogEntry, ...]) -> None:
--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -58,45 +58,49 @@
     """
 
     def __init__(self, metadata: SnapshotMetadata, entries: list[LogEntry]) -> None:
-        self.snapshot = metadata
+        self.snapshot_metadata = metadata
         self.entries = entries
 
     def __repr__(self) -> str:
-        return f"RaftLog({self.snapshot.index}..{self.last_index})"
+        return f"RaftLog({self.snapshot_metadata.index}..{self.last_index})"
 
     @property
     def last_index(self) -> int:
         """Index of the last entry, or of the mark."""
-        return self.snapshot.index + len(self.entries)
+        return self.snapshot_metadata.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         """Term of the last entry, or of the mark."""
-        return self.entries[-1].term if self.entries else self.snapshot.term
+        return self.entries[-1].term if self.entries else self.snapshot_metadata.term
 
     def term_at(self, index: int) -> int:
         """Return the term of an index, or -1 where it is not held."""
-        if index == self.snapshot.index:
-            return self.snapshot.term
-        offset = index - self.snapshot.index - 1
+        if index == self.snapshot_metadata.index:
+            return self.snapshot_metadata.term
+        offset = index - self.snapshot_metadata.index - 1
         return self.entries[offset].term if 0 <= offset < len(self.entries) else -1
 
     def between(self, first: int, last: int | None = None) -> list[LogEntry]:
         """Return the entries from `first` to `last`, or to the end."""
-        start = max(first - self.snapshot.index - 1, 0)
-        stop = len(self.entries) if last is None else max(last - self.snapshot.index, 0)
+        start = max(first - self.snapshot_metadata.index - 1, 0)
+        stop = (
+            len(self.entries)
+            if last is None
+            else max(last - self.snapshot_metadata.index, 0)
+        )
         return self.entries[start:stop]
 
     def membership_at(self, index: int) -> Membership:
         """Return the membership that the log gives at an index."""
-        for entry in reversed(self.between(self.snapshot.index + 1, index)):
+        for entry in reversed(self.between(self.snapshot_metadata.index + 1, index)):
             if entry.kind == EntryKind.MEMBERSHIP:
                 return decode(entry.data, Membership)
-        return self.snapshot.membership
+        return self.snapshot_metadata.membership
 
     def truncate(self, index: int) -> None:
         """Remove an index and all after it."""
-        del self.entries[index - self.snapshot.index - 1 :]
+        del self.entries[index - self.snapshot_metadata.index - 1 :]
 
     def compact(self, index: int) -> SnapshotMetadata:
         """Drop the entries up to an index that is held.
@@ -104,20 +108,20 @@
         Returns:
             The new mark.
         """
-        if not self.snapshot.index < index <= self.last_index:
+        if not self.snapshot_metadata.index < index <= self.last_index:
             raise InvariantError(f"compact to {index} outside {self!r}")
         metadata = SnapshotMetadata(
             index, self.term_at(index), self.membership_at(index)
         )
         self.entries = self.between(index + 1)
-        self.snapshot = metadata
+        self.snapshot_metadata = metadata
         return metadata
 
     def restore(self, metadata: SnapshotMetadata) -> None:
         """Take over a snapshot's mark; entries after it stay if they fit."""
         fits = self.term_at(metadata.index) == metadata.term
         self.entries = self.between(metadata.index + 1) if fits else []
-        self.snapshot = metadata
+        self.snapshot_metadata = metadata
 
 
 def box_name(identity: str) -> str:
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -426,7 +426,7 @@
             self._submissions.drop_proposed()
 
     async def _compact_if_due(self) -> None:
-        if self.applied - self._raft.log.snapshot.index < COMPACT_EVERY:
+        if self.applied - self._raft.log.snapshot_metadata.index < COMPACT_EVERY:
             return
         data = self.state.save()
         metadata = self._raft.compact(self.applied, data)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -106,7 +106,7 @@
         if box.raft is None or not box.applied:
             return
         index = box.raft.commit_index
-        if index <= box.raft.log.snapshot.index:
+        if index <= box.raft.log.snapshot_metadata.index:
             return
         data = encode_applied(box.applied)
         box.disk.metadata = box.raft.compact(index, data)
