--- a/src/leadseam/control/operator_service.py
+++ b/src/leadseam/control/operator_service.py
@@ -117,7 +117,7 @@
             role=raft.role.value,
             leader=raft.leader,
             term=raft.term,
-            applied=self._replica.applied,
+            applied=self._replica.applied_index,
             version=self._replica.state.configuration.version,
             current=self._replica.is_current(),
             voters=raft.membership.voters,
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -132,7 +132,7 @@
         self.state = ControlState()
         self.state.restore(recovered.data)
         self.failure = ""
-        self.applied = recovered.metadata.index
+        self.applied_index = recovered.metadata.index
         self._clock = clock
         self._metrics = metrics
         self._health = HealthReporter(metrics)
@@ -378,7 +378,7 @@
             metadata, data = ready.snapshot
             await self._store_snapshot(metadata, data, ready)
             self.state.restore(data)
-            self.applied = metadata.index
+            self.applied_index = metadata.index
             self._announce()
         elif ready.hard_state is not None or ready.append:
             write = self._storage.append
@@ -397,7 +397,7 @@
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
-            self.applied = entry.index
+            self.applied_index = entry.index
             result = None
             if entry.kind == EntryKind.COMMAND:
                 command: Command = decode(entry.data, Command)  # type: ignore[arg-type]
@@ -426,10 +426,10 @@
             self._submissions.drop_proposed()
 
     async def _compact_if_due(self) -> None:
-        if self.applied - self._raft.log.snapshot_metadata.index < COMPACT_EVERY:
+        if self.applied_index - self._raft.log.snapshot_metadata.index < COMPACT_EVERY:
             return
         data = self.state.save()
-        metadata = self._raft.compact(self.applied, data)
+        metadata = self._raft.compact(self.applied_index, data)
         state = HardState(self._raft.term, self._raft.vote)
         entries = tuple(self._raft.log.entries)
         try:
