--- a/src/leadseam/control/membership.py
+++ b/src/leadseam/control/membership.py
@@ -57,15 +57,15 @@
     """How far the group may shrink and grow by itself.
 
     Args:
-        losses: Boxes with their disks that the group has to bear losing at once.
+        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
     """
 
-    losses: int
+    tolerated_losses: int
 
     @property
     def floor(self) -> int:
         """Voters below which a silent one stays unless a newcomer takes its place."""
-        return max(2 * self.losses + 1, LEAST_FLOOR)
+        return max(2 * self.tolerated_losses + 1, LEAST_FLOOR)
 
 
 def joined(membership: Membership, newcomer: str) -> Step | None:
--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -85,7 +85,7 @@
             metrics=control_metrics,
             traffic=metrics.traffic,
             seed=secrets.randbits(64),
-            losses=(len(settings.replicas) - 1) // 2,
+            tolerated_losses=(len(settings.replicas) - 1) // 2,
         )
         self._feed = FeedServer(self.replica, control_metrics)
         service = OperatorService(
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -65,7 +65,7 @@
         log: Persisted entries after the mark.
         now: Time from which on the replica has certainly answered no leader.
         seed: Seed of the election jitter.
-        losses: Boxes with their disks that the group has to bear losing at once.
+        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         log: list[LogEntry],
         now: Millis,
         seed: int,
-        losses: int = 0,
+        tolerated_losses: int = 0,
     ) -> None:
         self.identity = identity
         self.term = hard_state.term
@@ -88,7 +88,7 @@
         self.commit_index = metadata.index
         self.membership = metadata.membership
         self._election = Election(seed, now)
-        self._bounds = Bounds(losses)
+        self._bounds = Bounds(tolerated_losses)
         self._stops = False
         self._told_at: Millis | None = None
         self._followers = Followers()
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -108,7 +108,7 @@
         metrics: Counters.
         traffic: Bytes on inner links.
         seed: Seed of the election jitter.
-        losses: Boxes with their disks that the group has to bear losing at once.
+        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
         silent_since: Time from which on this box has certainly answered no leader, if
             that is before now: the start of its process.
     """
@@ -125,7 +125,7 @@
         metrics: ControlMetrics,
         traffic: Traffic,
         seed: int,
-        losses: int,
+        tolerated_losses: int,
         silent_since: Millis | None = None,
         address_of: Callable[[str], Endpoint | None] = lambda _: None,
     ) -> None:
@@ -144,7 +144,7 @@
             log=recovered.log,
             now=clock.now() if silent_since is None else silent_since,
             seed=seed,
-            losses=losses,
+            tolerated_losses=tolerated_losses,
         )
         self._raft.set_snapshot_data(recovered.data)
         self._peers = Peers(name, endpoints, address_of, self._on_peer_message, traffic)
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -90,7 +90,7 @@
             metrics=metrics,
             traffic=self._metrics.traffic,
             seed=secrets.randbits(64),
-            losses=settings.loss_tolerance,
+            tolerated_losses=settings.loss_tolerance,
             # After a failed write it is the same process that answered leaders before.
             silent_since=None if renew else process_start(),
         )
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -63,7 +63,7 @@
     def __init__(self, names: tuple[str, ...] = BOXES, *, seed: int = 0) -> None:
         self.now = 0
         self.seed = seed
-        self.losses = (len(names) - 1) // 2
+        self.tolerated_losses = (len(names) - 1) // 2
         self.boxes: dict[str, Box] = {}
         self.cut_off: set[str] = set()
         self.suspended: dict[str, list[tuple[str, RaftMessage]]] = {}
@@ -90,7 +90,7 @@
             log=list(disk.log),
             now=self.now,
             seed=self.seed,
-            losses=self.losses,
+            tolerated_losses=self.tolerated_losses,
         )
         box.raft.set_snapshot_data(disk.snapshot)
         box.applied = decode_applied(disk.snapshot)
--- a/tests/control/test_losses_borne.py
+++ b/tests/control/test_losses_borne.py
@@ -48,7 +48,7 @@
     @initialize(seed=st.integers(0, 1_000))
     def set_up(self, seed: int) -> None:
         self.cluster = founded(self.names, seed=seed)
-        self.losses = self.cluster.losses
+        self.tolerated_losses = self.cluster.tolerated_losses
         self.clock = 0
         self.proposed = 0
         self.arrived = 0
@@ -129,7 +129,7 @@
         lost: list[str] = []
         for pick in picks:
             sound = [one for one in self._sound() if one not in lost]
-            if len(self._counting()) + len(lost) < self.losses:
+            if len(self._counting()) + len(lost) < self.tolerated_losses:
                 lost.append(sound[pick % len(sound)])
         before = dict(self.cluster.committed)
         power_lost(self.cluster, disks_lost=lost)
@@ -155,7 +155,7 @@
 
     def _may_lose(self) -> bool:
         known = hasattr(self, "cluster") and self.arrived < MOST_REPLACED
-        return known and len(self._counting()) < self.losses
+        return known and len(self._counting()) < self.tolerated_losses
 
     def _sound(self) -> list[str]:
         return sorted(set(self.cluster.boxes) - self._counting() - self.leaving)
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -126,4 +126,9 @@
 
 
 def test_no_group_shrinks_below_three() -> None:
-    assert [Bounds(losses).floor for losses in range(4)] == [LEAST_FLOOR, 3, 5, 7]
+    assert [Bounds(tolerated_losses).floor for tolerated_losses in range(4)] == [
+        LEAST_FLOOR,
+        3,
+        5,
+        7,
+    ]
