--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -11,9 +11,9 @@
 from grpclib.server import Server
 
 from leadseam.clock import Clock, SystemClock
-from leadseam.control.folder import prepare_folder
 from leadseam.control.operator_service import OperatorService
 from leadseam.control.replica import Replica
+from leadseam.control.replica_identity import prepare_folder
 from leadseam.control.storage import Storage, read_identity
 from leadseam.errors import StorageError
 from leadseam.feed.server import FeedServer
@@ -46,8 +46,10 @@
     known = read_identity(folder)
     if known is not None and found:
         raise StorageError(f"{folder}: holds {known}; cannot found a group again")
-    founders = tuple(settings.replicas) if found else ()
-    return prepare_folder(folder, settings.identity.node, founders=founders)
+    bootstrap_boxes = tuple(settings.replicas) if found else ()
+    return prepare_folder(
+        folder, settings.identity.node, bootstrap_boxes=bootstrap_boxes
+    )
 
 
 class ControlProgram:
@@ -83,7 +85,7 @@
             metrics=control_metrics,
             traffic=metrics.traffic,
             seed=secrets.randbits(64),
-            losses=(len(settings.replicas) - 1) // 2,
+            tolerated_losses=(len(settings.replicas) - 1) // 2,
         )
         self._feed = FeedServer(self.replica, control_metrics)
         service = OperatorService(
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -15,10 +15,10 @@
     EntryKind,
     HardState,
     Membership,
-    SnapshotMark,
-    base_name,
+    SnapshotMetadata,
+    box_name,
 )
-from leadseam.control.raft_work import Role
+from leadseam.control.raft_types import Role
 from leadseam.control.state import (
     Barrier,
     BarrierResult,
@@ -49,8 +49,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from leadseam.control.raft_work import RaftMessage, Ready
-    from leadseam.control.storage import Recovered, Storage
+    from leadseam.control.raft_types import RaftMessage, Ready
+    from leadseam.control.storage import RecoveredState, Storage
     from leadseam.control.submissions import Outcome
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.settings.models import Endpoint
@@ -108,7 +108,7 @@
         metrics: Counters.
         traffic: Bytes on inner links.
         seed: Seed of the election jitter.
-        losses: Boxes with their disks that the group has to bear losing at once.
+        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
         silent_since: Time from which on this box has certainly answered no leader, if
             that is before now: the start of its process.
     """
@@ -120,19 +120,19 @@
         identity: str,
         endpoints: dict[str, Endpoint],
         storage: Storage,
-        recovered: Recovered,
+        recovered: RecoveredState,
         clock: Clock,
         metrics: ControlMetrics,
         traffic: Traffic,
         seed: int,
-        losses: int,
+        tolerated_losses: int,
         silent_since: Millis | None = None,
         address_of: Callable[[str], Endpoint | None] = lambda _: None,
     ) -> None:
         self.state = ControlState()
         self.state.restore(recovered.data)
         self.failure = ""
-        self.applied = recovered.mark.index
+        self.applied_index = recovered.metadata.index
         self._clock = clock
         self._metrics = metrics
         self._health = HealthReporter(metrics)
@@ -140,11 +140,11 @@
         self._raft = Raft(
             identity,
             hard_state=recovered.hard_state,
-            mark=recovered.mark,
+            metadata=recovered.metadata,
             log=recovered.log,
             now=clock.now() if silent_since is None else silent_since,
             seed=seed,
-            losses=losses,
+            tolerated_losses=tolerated_losses,
         )
         self._raft.set_snapshot_data(recovered.data)
         self._peers = Peers(name, endpoints, address_of, self._on_peer_message, traffic)
@@ -166,7 +166,7 @@
     @property
     def members(self) -> set[str]:
         """Names of the boxes in the group, learners included."""
-        return {base_name(name) for name in self._raft.membership.everyone}
+        return {box_name(name) for name in self._raft.membership.everyone}
 
     @property
     def voters(self) -> int:
@@ -212,10 +212,10 @@
         if not isinstance(result, BarrierResult):
             return False
         while self.state.configuration.version < result.version:
-            await self.next_applied()
+            await self.wait_for_apply()
         return True
 
-    async def next_applied(self) -> None:
+    async def wait_for_apply(self) -> None:
         """Wait until the state machine moves on."""
         await asyncio.shield(self._applied_event)
 
@@ -277,7 +277,7 @@
     def _forward(self, command: Command, fut: Outcome) -> None:
         ticket = self._submissions.forwarded(fut)
         request = Forward(self._raft.identity, ticket, encode(command))
-        self._peers.send(base_name(self._raft.leader), request)
+        self._peers.send(box_name(self._raft.leader), request)
 
     async def _run_forwarded(self, link: Link, message: Forward) -> None:
         result: CommandResult | None = None
@@ -323,7 +323,7 @@
         wanted = self.members
         if self._raft.leader:
             # A newcomer is not told the members before it has answered the leader.
-            wanted = wanted | {base_name(self._raft.leader)}
+            wanted = wanted | {box_name(self._raft.leader)}
         if self._followed != wanted:
             self._followed = wanted
             self._peers.follow(wanted)
@@ -375,29 +375,29 @@
 
     async def _persist(self, ready: Ready) -> None:
         if ready.snapshot is not None:
-            mark, data = ready.snapshot
-            await self._store_snapshot(mark, data, ready)
+            metadata, data = ready.snapshot
+            await self._store_snapshot(metadata, data, ready)
             self.state.restore(data)
-            self.applied = mark.index
+            self.applied_index = metadata.index
             self._announce()
         elif ready.hard_state is not None or ready.append:
             write = self._storage.append
             await asyncio.to_thread(write, ready.hard_state, ready.append)
 
     async def _store_snapshot(
-        self, mark: SnapshotMark, data: bytes, ready: Ready
+        self, metadata: SnapshotMetadata, data: bytes, ready: Ready
     ) -> None:
         state = HardState(self._raft.term, self._raft.vote)
         compact = self._storage.compact
-        await asyncio.to_thread(compact, mark, data, state, ready.append)
+        await asyncio.to_thread(compact, metadata, data, state, ready.append)
 
     def _send(self, ready: Ready) -> None:
         for to, message in ready.send:
-            self._peers.send(base_name(to), message)
+            self._peers.send(box_name(to), message)
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
-            self.applied = entry.index
+            self.applied_index = entry.index
             result = None
             if entry.kind == EntryKind.COMMAND:
                 command: Command = decode(entry.data, Command)  # type: ignore[arg-type]
@@ -426,14 +426,16 @@
             self._submissions.drop_proposed()
 
     async def _compact_if_due(self) -> None:
-        if self.applied - self._raft.log.mark.index < COMPACT_EVERY:
+        if self.applied_index - self._raft.log.snapshot_metadata.index < COMPACT_EVERY:
             return
         data = self.state.save()
-        mark = self._raft.compact(self.applied, data)
+        metadata = self._raft.compact(self.applied_index, data)
         state = HardState(self._raft.term, self._raft.vote)
         entries = tuple(self._raft.log.entries)
         try:
-            await asyncio.to_thread(self._storage.compact, mark, data, state, entries)
+            await asyncio.to_thread(
+                self._storage.compact, metadata, data, state, entries
+            )
         except StorageError as exc:
             self._halt(exc)
 
