--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -20,7 +20,7 @@
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
 from leadseam.feed.pace import SHORTEST, interval_for
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
@@ -108,7 +108,7 @@
         feed = cast("FeedClient", _Feed(rows, cfg))
         self._placers = [self._placer(feed) for _ in range(cfg.entries)]
         self._routes = {kind.name: _route(kind) for kind in cfg.kinds}
-        self._summer = LoadSummer()
+        self._summer = LoadAggregator()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -12,7 +12,7 @@
 from leadseam.feed.crash_server import CrashServer
 from leadseam.feed.evacuation_server import RESEND_LIMIT, EvacuationServer
 from leadseam.feed.pace import SHORTEST, interval_for
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import NO_START
 from leadseam.membership.departures import Departures
 from leadseam.membership.registry import DEFAULT_HEARTBEAT, Registry
@@ -79,7 +79,7 @@
         self._clock = clock or SystemClock()
         self._told_left = Departures()
         self._named_pools: frozenset[str] = frozenset()
-        self._sums = LoadSummer()
+        self._sums = LoadAggregator()
         self._subscribers: dict[int, Subscriber] = {}
         self._next_id = 0
         self._claims = ClaimServer(replica, metrics)
--- a/src/leadseam/feed/totals.py
+++ b/src/leadseam/feed/totals.py
@@ -24,14 +24,14 @@
     at: Millis
 
 
-class LoadSummer:
+class LoadAggregator:
     """The newest report of each subscriber."""
 
     def __init__(self) -> None:
         self._reports: dict[int, _Reported] = {}
 
     def __repr__(self) -> str:
-        return f"LoadSummer(reports={len(self._reports)})"
+        return f"LoadAggregator(reports={len(self._reports)})"
 
     def take(self, subscriber: int, report: LoadReport, now: Millis) -> None:
         """Replace a subscriber's report."""
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -16,7 +16,7 @@
 from leadseam.control.configuration import Configuration, Pool, PoolKind
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
@@ -91,7 +91,7 @@
         ]
         self.servers = {row.incarnation: Server(self._rng) for row in rows}
         self._placers = [self._placer(rows) for _ in range(ENTRIES)]
-        self._summer = LoadSummer()
+        self._summer = LoadAggregator()
         self._numbers = 0
 
     def _placer(self, rows: list[Any]) -> Placer:
--- a/tests/feed/test_pace.py
+++ b/tests/feed/test_pace.py
@@ -14,7 +14,7 @@
 
 from leadseam.feed import totals as module
 from leadseam.feed.pace import LONGEST, SHORTEST, interval_for, report_size
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
 from leadseam.wire.feed import LoadReport, LoadRow, UsageRow
@@ -48,7 +48,7 @@
 def test_the_sums_take_no_more_of_a_node_than_its_limit(
     engines: int, accounts: int
 ) -> None:
-    summer = LoadSummer()
+    summer = LoadAggregator()
     summer.take(1, make_report(engines, accounts), 0)
     totals = summer.totals(0)[1]
     interval = interval_for(len(totals.data))
@@ -70,7 +70,7 @@
 
 
 def test_sums_are_encoded_once_for_all_entries() -> None:
-    summer = LoadSummer()
+    summer = LoadAggregator()
     for number in range(68):
         summer.take(number, make_report(10, 10), 0)
     with mock.patch.object(module, "encode", wraps=encode) as counted:
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.routing.load import KEPT_REPORTS, TOTALS_LIMIT, Load, LoadBook
 from leadseam.wire.codec import decode
@@ -18,7 +18,7 @@
 
 def exchange(books: list[LoadBook], now: int = 0) -> None:
     """Have every book report, and take the totals."""
-    sums = LoadSummer()
+    sums = LoadAggregator()
     for number, book in enumerate(books):
         sums.take(number, book.report(()), now)
     for number, totals in sums.totals(now).items():
@@ -57,7 +57,7 @@
 def test_totals_of_a_report_that_was_forgotten_count_the_own_part_twice() -> None:
     book = LoadBook()
     book.begin(ENGINE, Load(requests=1))
-    sums = LoadSummer()
+    sums = LoadAggregator()
     sums.take(0, book.report(()), 0)
     totals = sums.totals(0)[0]
     for _ in range(KEPT_REPORTS):
@@ -67,7 +67,7 @@
 
 
 def test_a_replica_drops_old_reports_and_sums_usage() -> None:
-    sums = LoadSummer()
+    sums = LoadAggregator()
     book = LoadBook()
     book.begin(ENGINE, Load(requests=1))
     sums.take(1, book.report([UsageRow("bank", 10, 20)]), 0)
--- a/tests/test_evacuations_command.py
+++ b/tests/test_evacuations_command.py
@@ -5,7 +5,7 @@
 from leadseam.cli.evacuations import render
 from leadseam.control.evacuations import EvacuationRow
 from leadseam.feed.evacuation_routes import to_json
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.totals import LoadAggregator
 from leadseam.wire.feed import LoadReport, LoadRow
 
 
@@ -22,7 +22,7 @@
 
 
 def test_requests_left_are_known_where_entries_report() -> None:
-    sums = LoadSummer()
+    sums = LoadAggregator()
     assert sums.requests_at({1}) is None
     sums.take(1, LoadReport(1, (LoadRow(1, 3, 0, 0), LoadRow(2, 9, 0, 0)), ()), 0)
     sums.take(2, LoadReport(1, (LoadRow(1, 4, 0, 0),), ()), 0)
