--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -19,7 +19,7 @@
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.pace import SHORTEST, interval_for
+from leadseam.feed.pace import MIN_INTERVAL, interval_for
 from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
@@ -209,7 +209,7 @@
     # Shared sums
 
     async def _report(self, number: int) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         await sleep(self._rng.randrange(interval))
         while True:
             await sleep(interval)
@@ -217,7 +217,7 @@
             self._summer.take(number, report, self._clock.now())
 
     async def _add_up(self) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         while True:
             await sleep(interval)
             for number, totals in self._summer.totals(self._clock.now()).items():
--- a/src/leadseam/feed/pace.py
+++ b/src/leadseam/feed/pace.py
@@ -12,7 +12,7 @@
     from leadseam.clock import Millis
     from leadseam.wire.feed import LoadReport
 
-SHORTEST: Millis = 50
+MIN_INTERVAL: Millis = 50
 """Least interval: short against latency objectives of 250 ms and more."""
 LONGEST: Millis = 200
 """Longest interval: staler sums cost more than the bytes that they save."""
@@ -28,7 +28,7 @@
     Args:
         size: Bytes of the last one.
     """
-    return min(max(size // BYTES_PER_MILLI, SHORTEST), LONGEST)
+    return min(max(size // BYTES_PER_MILLI, MIN_INTERVAL), LONGEST)
 
 
 def report_size(report: LoadReport) -> int:
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -10,7 +10,7 @@
 
 from leadseam.clock import Clock, Millis, SystemClock, sleep
 from leadseam.feed.client import FeedClient
-from leadseam.feed.pace import SHORTEST, interval_for, report_size
+from leadseam.feed.pace import MIN_INTERVAL, interval_for, report_size
 from leadseam.feed.staleness import Staleness
 from leadseam.membership.view import UpstreamView
 from leadseam.platform.front import FrontServer, ReadyServer
@@ -178,7 +178,7 @@
 
     async def _report_load(self) -> None:
         assert self._gateway is not None
-        interval = SHORTEST
+        interval = MIN_INTERVAL
         while True:
             await sleep(interval)
             report = self._gateway.placer.load_report()
--- a/tests/feed/test_pace.py
+++ b/tests/feed/test_pace.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from leadseam.feed import totals as module
-from leadseam.feed.pace import LONGEST, SHORTEST, interval_for, report_size
+from leadseam.feed.pace import LONGEST, MIN_INTERVAL, interval_for, report_size
 from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
@@ -59,7 +59,7 @@
 
 
 def test_intervals_stay_between_the_shortest_and_the_longest() -> None:
-    assert interval_for(0) == SHORTEST
+    assert interval_for(0) == MIN_INTERVAL
     assert interval_for(2_200) == 110
     assert interval_for(54_565) == LONGEST
 
