--- a/tests/feed/test_pace.py
+++ b/tests/feed/test_pace.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from leadseam.feed import totals as module
-from leadseam.feed.pace import LONGEST, MIN_INTERVAL, interval_for, report_size
+from leadseam.feed.pace import MAX_INTERVAL, MIN_INTERVAL, interval_for, report_size
 from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
@@ -53,7 +53,7 @@
     totals = summer.totals(0)[1]
     interval = interval_for(len(totals.data))
     assert len(encode(totals)) <= len(totals.data) + ENVELOPE
-    if interval < LONGEST:
+    if interval < MAX_INTERVAL:
         # Whole milliseconds: the last one may be missing.
         assert len(totals.data) * 1_000 / (interval + 1) < LIMIT
 
@@ -61,7 +61,7 @@
 def test_intervals_stay_between_the_shortest_and_the_longest() -> None:
     assert interval_for(0) == MIN_INTERVAL
     assert interval_for(2_200) == 110
-    assert interval_for(54_565) == LONGEST
+    assert interval_for(54_565) == MAX_INTERVAL
 
 
 def test_the_size_of_a_report_is_told_by_its_rows() -> None:
