--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -18,7 +18,7 @@
 from leadseam.crashes.book import CrashBook
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.crashes.suspects import Suspect, Suspects
-from leadseam.feed.crash_server import TOLD
+from leadseam.feed.crash_server import REPORT_THRESHOLD
 from leadseam.incarnation import Incarnation
 
 if TYPE_CHECKING:
@@ -309,7 +309,7 @@
 
 
 def _is_told(row: CrashRow) -> bool:
-    return len(row.counted) >= TOLD or bool(row.void)
+    return len(row.counted) >= REPORT_THRESHOLD or bool(row.void)
 
 
 def render(name: str, tallies: list[CrashTally]) -> str:
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -29,7 +29,7 @@
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.wire.crashes import CrashRow
 
-TOLD = 2
+REPORT_THRESHOLD = 2
 """Ends from which on entries are told. Of an end, nearly all that ran there end well at
 their next attempt, so telling all entries of each would be waste."""
 FOLLOWER_DELAY: Millis = 300
@@ -175,4 +175,4 @@
 
 
 def _is_told(row: CrashRow) -> bool:
-    return len(row.counted) >= TOLD or bool(row.void)
+    return len(row.counted) >= REPORT_THRESHOLD or bool(row.void)
