--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -147,7 +147,7 @@
             case OrderStatus.NOT_COMMITTED:
                 return Unavailable("no quorum confirmed it in time")
 
-    async def leave_unstated(self, instance: str) -> Reply:
+    async def leave_without_start(self, instance: str) -> Reply:
         """Commit that an upstream leaves that does not say which start of it does.
 
         It is the one that is heard here. Where upstreams state their starts and this
--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -94,7 +94,7 @@
         except UnknownWriterError as exc:
             return self._unknown_writer(instance, exc)
         if start is None:
-            return _response(await self._service.leave_unstated(instance))
+            return _response(await self._service.leave_without_start(instance))
         return _response(await self._service.leave(Incarnation(instance, start)))
 
     async def _evacuate(self, http: web.Request) -> web.Response:
--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -65,17 +65,17 @@
 async def test_a_word_of_leaving_without_a_start_is_of_the_one_that_is_heard() -> None:
     box = Box()
     box.feed.register(make_upstream(1, start=2_000))
-    assert await box.service.leave_unstated("i-1") == Accepted()
+    assert await box.service.leave_without_start("i-1") == Accepted()
     assert tuple(box.state.departed) == (LATER,)
     # Starts are stated here, and this one is heard elsewhere.
-    assert isinstance(await box.service.leave_unstated("i-2"), Unavailable)
+    assert isinstance(await box.service.leave_without_start("i-2"), Unavailable)
     assert len(box.state.departed) == 1
 
 
 async def test_where_no_starts_are_stated_an_id_leaves_for_good() -> None:
     box = Box()
     box.feed.register(make_upstream(1))
-    assert await box.service.leave_unstated("i-9") == Accepted()
+    assert await box.service.leave_without_start("i-9") == Accepted()
     assert tuple(box.state.departed) == (Incarnation("i-9"),)
 
 
