--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -104,7 +104,7 @@
         log.info("configuration acknowledged", extra=extra)
         return Accepted()
 
-    def note_unreadable(self, exc: DocumentError) -> None:
+    def log_unreadable_document(self, exc: DocumentError) -> None:
         """Log a document that could not be read."""
         log.info("configuration refused", extra={"error": exc.message})
 
--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -64,7 +64,7 @@
         try:
             configuration = read_manifest(await http.read())
         except DocumentError as exc:
-            self._service.note_unreadable(exc)
+            self._service.log_unreadable_document(exc)
             return _refusal(400, exc.message)
         return _response(await self._service.replace(configuration))
 
