--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -172,7 +172,7 @@
         log.info("leaving acknowledged", extra=extra)
         return Accepted()
 
-    def note_unknown_writer(self, instance: str, fault: str, message: str) -> None:
+    def record_refused_registration(self, instance: str, fault: str, message: str) -> None:
         """Count a registration that names no upstream, and log it within a budget.
 
         Args:
