--- a/src/leadseam/entry/program.py
+++ b/src/leadseam/entry/program.py
@@ -115,7 +115,7 @@
             return "stopping"
         if not self._feed.confirmed:
             return "no confirmed configuration"
-        if self._staleness.holds():
+        if self._staleness.is_stale():
             return "suspended, and not confirmed since"
         if not self.dispatcher.connected:
             return "connecting to sidecars"
--- a/src/leadseam/feed/staleness.py
+++ b/src/leadseam/feed/staleness.py
@@ -35,7 +35,7 @@
         if not self._feed.fresh:
             self._since = self._clock.now()
 
-    def holds(self) -> bool:
+    def is_stale(self) -> bool:
         """Tell whether the box is not ready for that."""
         if self._since is None:
             return False
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -229,6 +229,6 @@
             return "stopping"
         if not self._feed.confirmed:
             return "no confirmed configuration"
-        if self._staleness.holds():
+        if self._staleness.is_stale():
             return "suspended, and not confirmed since"
         return ""
--- a/src/leadseam/sidecar/program.py
+++ b/src/leadseam/sidecar/program.py
@@ -118,6 +118,6 @@
             return f"upstream {self._settings.upstream!r} is not configured"
         if self.agent.leaving:
             return "leaving"
-        if self._staleness.holds():
+        if self._staleness.is_stale():
             return "suspended, and not confirmed since"
         return ""
--- a/tests/feed/test_staleness.py
+++ b/tests/feed/test_staleness.py
@@ -23,15 +23,15 @@
     feed, clock = Feed(), ManualClock()
     staleness = Staleness(cast("FeedClient", feed), clock)
     staleness.resumed()
-    assert not staleness.holds()
+    assert not staleness.is_stale()
     feed.fresh = False
-    assert not staleness.holds()
+    assert not staleness.is_stale()
     staleness.resumed()
-    assert staleness.holds()
+    assert staleness.is_stale()
     feed.fresh = True
-    assert not staleness.holds()
+    assert not staleness.is_stale()
     feed.fresh = False
-    assert not staleness.holds()
+    assert not staleness.is_stale()
 
 
 def test_it_holds_no_longer_than_five_seconds() -> None:
@@ -39,6 +39,6 @@
     staleness = Staleness(cast("FeedClient", feed), clock)
     staleness.resumed()
     clock.advance(5_000)
-    assert staleness.holds()
+    assert staleness.is_stale()
     clock.advance(1)
-    assert not staleness.holds()
+    assert not staleness.is_stale()
