--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -180,7 +180,7 @@
             extra = {"replica": self._summing.chosen, "before": before}
             log.info("loads are added up by another replica", extra=extra)
 
-    def tell(self, message: AnyMessage) -> None:
+    def broadcast(self, message: AnyMessage) -> None:
         """Send a message to all replicas that are followed."""
         for link in self._links:
             link.send(message)
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -151,7 +151,7 @@
             return
         row = self._suspects.answered_whole(_suspect(admitted), now)
         if row is not None:
-            self._feed.tell(Crashes((row,)))
+            self._feed.broadcast(Crashes((row,)))
 
     def _may_know(self, admitted: Admitted) -> bool:
         return self._suspects.may_know(admitted.account or "", len(admitted.body))
@@ -167,7 +167,7 @@
     def _report(self, news: News) -> None:
         if not news.rows:
             return
-        self._feed.tell(Crashes(news.rows))
+        self._feed.broadcast(Crashes(news.rows))
         extra = {
             "instance": str(news.rows[0].ended[-1]),
             "requests": len(news.rows),
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -231,7 +231,7 @@
             fresh=True,
             confirmed=True,
             subscribers=2,
-            tell=lambda _: None,
+            broadcast=lambda _: None,
         )
         return Gateway(
             feed=cast("Any", feed),
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -28,7 +28,7 @@
         self.told: list[Crashes] = []
         self.clock = ManualClock(10_000)
         self.feed = SimpleNamespace(
-            view=UpstreamView(), fresh=True, tell=self.told.append
+            view=UpstreamView(), fresh=True, broadcast=self.told.append
         )
         self.running: set[Any] = set()
         self.upstreams = [make_upstream(number) for number in (1, 2, 3)]
