--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -64,7 +64,7 @@
         self._replica = replica
         self._clock = clock
         self._metrics = metrics
-        self._tell_all = tell_all
+        self._broadcast = tell_all
         self._book = CrashBook()
         self._written = -1
         self._convicted_at: dict[Fingerprint, Millis] = {}
@@ -151,7 +151,7 @@
         told = tuple(row for row in news if _is_told(row))
         if not told:
             return
-        self._tell_all(Crashes(told))
+        self._broadcast(Crashes(told))
         self._metrics.verdicts.set({}, len(self.verdicts()))
         for row in told:
             if evidence.convicts(row):
--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -63,7 +63,7 @@
         self._replica = replica
         self._clock = clock
         self._metrics = metrics
-        self._tell_all = tell_all
+        self._broadcast = tell_all
         self._guard = OrderGuard(resend_limit)
         self._told = 0
         self.applied()
@@ -93,7 +93,7 @@
         self._metrics.evacuated_domains.set({}, len(table.evacuated))
         extra = {"revision": table.revision, "evacuated": table.evacuated}
         log.warning("evacuated failure domains changed", extra=extra)
-        self._tell_all(self._message())
+        self._broadcast(self._message())
 
     async def order(
         self,
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -83,9 +83,9 @@
         self._subscribers: dict[int, Subscriber] = {}
         self._next_id = 0
         self._claims = ClaimServer(replica, metrics)
-        self.crashes = CrashServer(replica, self._clock, metrics, self._tell_all)
+        self.crashes = CrashServer(replica, self._clock, metrics, self._broadcast)
         self.evacuations = EvacuationServer(
-            replica, self._clock, metrics, self._tell_all, resend_limit=resend_limit
+            replica, self._clock, metrics, self._broadcast, resend_limit=resend_limit
         )
         self._fresh: dict[str, Registration] = {}
         self._registered = asyncio.Event()
@@ -128,7 +128,7 @@
             "pools": sorted({row.pool for row in rows}),
         }
         log.info("upstreams registered", extra=extra)
-        self._tell_all(Registered(rows))
+        self._broadcast(Registered(rows))
 
     async def _push_registrations(self) -> None:
         while True:
@@ -221,7 +221,7 @@
         self._push.send(subscriber)
         self._send_heartbeat(subscriber)
 
-    def _tell_all(self, message: AnyMessage) -> None:
+    def _broadcast(self, message: AnyMessage) -> None:
         if not self._subscribers:
             return
         prepared = prepare(message)
@@ -275,7 +275,7 @@
         for incarnation in fresh:
             self._registry.remove(incarnation)
         log.info("upstreams leave", extra={"instances": list(map(str, fresh))})
-        self._tell_all(Left(tuple(fresh)))
+        self._broadcast(Left(tuple(fresh)))
 
     def _push_newly_named(self) -> None:
         """Tell of upstreams that registered before their pool was named."""
@@ -284,7 +284,7 @@
         self._named_pools = pools
         rows = tuple(row for row in self._registry.rows() if row.pool in fresh)
         if rows:
-            self._tell_all(Registered(rows))
+            self._broadcast(Registered(rows))
 
     async def _push_heartbeats(self) -> None:
         while True:
@@ -308,7 +308,7 @@
         if lost:
             extra = {"instances": list(map(str, lost))}
             log.warning("upstreams are silent", extra=extra)
-            self._tell_all(Expired(lost))
+            self._broadcast(Expired(lost))
 
     def _send_heartbeat(self, subscriber: Subscriber) -> None:
         names = tuple(sorted(self._replica.members))
--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -82,7 +82,7 @@
 def test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is() -> None:
     box = Box()
     told: list[object] = []
-    box.feed._tell_all = told.append  # type: ignore[assignment]
+    box.feed._broadcast = told.append  # type: ignore[assignment]
     row = make_upstream(1)
     assert box.feed.takes(row)
     box.feed.register(row)
