--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -51,7 +51,7 @@
         replica: Where verdicts are written.
         clock: Source of time.
         metrics: Where the number of verdicts is shown.
-        tell_all: Sends a message to all subscribers.
+        broadcast: Sends a message to all subscribers.
     """
 
     def __init__(
@@ -59,12 +59,12 @@
         replica: Replica,
         clock: Clock,
         metrics: ControlMetrics,
-        tell_all: Callable[[Crashes], None],
+        broadcast: Callable[[Crashes], None],
     ) -> None:
         self._replica = replica
         self._clock = clock
         self._metrics = metrics
-        self._broadcast = tell_all
+        self._broadcast = broadcast
         self._book = CrashBook()
         self._written = -1
         self._convicted_at: dict[Fingerprint, Millis] = {}
--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -47,7 +47,7 @@
         replica: Source of the committed table.
         clock: Source of time.
         metrics: Where the number of evacuated domains is shown.
-        tell_all: Sends a message to all subscribers.
+        broadcast: Sends a message to all subscribers.
         resend_limit: Milliseconds for which operators may send an order again.
     """
 
@@ -56,14 +56,14 @@
         replica: Replica,
         clock: Clock,
         metrics: ControlMetrics,
-        tell_all: Callable[[Evacuated], None],
+        broadcast: Callable[[Evacuated], None],
         *,
         resend_limit: Millis = RESEND_LIMIT,
     ) -> None:
         self._replica = replica
         self._clock = clock
         self._metrics = metrics
-        self._broadcast = tell_all
+        self._broadcast = broadcast
         self._guard = OrderGuard(resend_limit)
         self._told = 0
         self.applied()
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -49,12 +49,12 @@
         replica = SimpleNamespace(state=SimpleNamespace(crashes=self.log))
         clock = ManualClock(0)
 
-        def tell_all(message: Crashes) -> None:
+        def broadcast(message: Crashes) -> None:
             for entry in ENTRIES:
                 self.link("down", entry, number).append(message)
 
         return CrashServer(
-            cast("Any", replica), clock, ControlMetrics(Metrics()), tell_all
+            cast("Any", replica), clock, ControlMetrics(Metrics()), broadcast
         )
 
     def link(self, way: str, entry: int, replica: int) -> deque[Crashes]:
