--- a/src/leadseam/feed/entry_count.py
+++ b/src/leadseam/feed/entry_count.py
@@ -36,7 +36,7 @@
             self._counts.pop()
         self._counts.append((now, count))
 
-    def most(self, now: Millis) -> int:
+    def recent_max(self, now: Millis) -> int:
         """Return the largest count of late, or 0 if there is none to rely on."""
         if self._first_at is None or now - self._first_at < SETTLING:
             return 0
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -93,7 +93,7 @@
             entry,
             rate_of=self._cold_rate,
             cold_until=feed.view.cold_until,
-            entries=feed.entries.most,
+            entries=feed.entries.recent_max,
         )
         self._balancer = Balancer(rng, allows=self._allows, on_begin=self._note_begin)
         self._usage = UsageBook()
--- a/tests/feed/test_entry_count.py
+++ b/tests/feed/test_entry_count.py
@@ -7,11 +7,11 @@
 
 def test_a_first_count_is_relied_on_once_it_has_settled() -> None:
     entries = EntryCount()
-    assert entries.most(0) == 0
+    assert entries.recent_max(0) == 0
     entries.take(3, 100)
-    assert entries.most(99 + SETTLING) == 0
+    assert entries.recent_max(99 + SETTLING) == 0
     entries.take(22, 600)
-    assert entries.most(100 + SETTLING) == 22
+    assert entries.recent_max(100 + SETTLING) == 22
 
 
 def test_the_largest_count_of_late_holds() -> None:
@@ -20,7 +20,7 @@
     entries.take(22, 0)
     entries.take(10, 1_000)
     entries.take(0, 1_500)
-    assert entries.most(2_000) == 22
-    assert entries.most(KEPT) == 22
-    assert entries.most(KEPT + 1) == 10
-    assert entries.most(10 * KEPT) == 10
+    assert entries.recent_max(2_000) == 22
+    assert entries.recent_max(KEPT) == 22
+    assert entries.recent_max(KEPT + 1) == 10
+    assert entries.recent_max(10 * KEPT) == 10
