--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -83,7 +83,7 @@
         """Merge what an entry has seen, and tell the others what is news."""
         self._tell(self._merge(message.rows))
 
-    def applied(self) -> None:
+    def on_applied(self) -> None:
         """Tell entries of verdicts that have come through the log."""
         if self._replica.state.crashes.changes == self._written:
             return
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -247,7 +247,7 @@
             await self._replica.next_applied()
             self._push_left()
             self.evacuations.applied()
-            self.crashes.applied()
+            self.crashes.on_applied()
             self._push_newly_named()
             for subscriber in self.subscribers:
                 if self._push.is_first_for(subscriber):
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -144,7 +144,7 @@
     @rule(replica=st.sampled_from(REPLICAS))
     def apply(self, replica: int) -> None:
         """A replica looks at the log."""
-        self.replicas[replica].applied()
+        self.replicas[replica].on_applied()
 
     @rule()
     def lose_all(self) -> None:
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -94,8 +94,8 @@
 def test_what_comes_through_the_log_is_told_once() -> None:
     one = Fixture()
     assert one.box.state.apply(NoteCrashes((make_row(1, 2, 3),))) == CrashesNoted(1)
-    one.server.applied()
-    one.server.applied()
+    one.server.on_applied()
+    one.server.on_applied()
     assert one.told == [Crashes((make_row(1, 2, 3),))]
 
 
