--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -66,7 +66,7 @@
         self._broadcast = broadcast
         self._guard = OrderGuard(resend_limit)
         self._told = 0
-        self.applied()
+        self.on_applied()
 
     def __repr__(self) -> str:
         return f"EvacuationServer({self._table!r})"
@@ -83,7 +83,7 @@
         """Return what a new subscriber has to know, or None."""
         return self._message() if self._table.revision else None
 
-    def applied(self) -> None:
+    def on_applied(self) -> None:
         """Tell entries of a switch that was committed since the last call."""
         table = self._table
         if table.revision <= self._told:
@@ -109,7 +109,7 @@
             evacuated: Whether it is evacuated or taken back.
             submit: Has a command committed, within the time that callers wait.
         """
-        self.applied()
+        self.on_applied()
         status = await self._carry_out(domain, evacuated, submit)
         extra = {
             "domain": domain,
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -246,7 +246,7 @@
         while True:
             await self._replica.next_applied()
             self._push_left()
-            self.evacuations.applied()
+            self.evacuations.on_applied()
             self.crashes.on_applied()
             self._push_newly_named()
             for subscriber in self.subscribers:
