--- a/src/leadseam/cli/control.py
+++ b/src/leadseam/cli/control.py
@@ -26,7 +26,7 @@
     settings = settings_or_exit(args, ControlSettings)
     run_program(
         settings.identity.node,
-        lambda: ControlProgram(settings, found=bool(args["--found"])),
+        lambda: ControlProgram(settings, bootstrap=bool(args["--found"])),
         level=settings.log_level,
     )
 
--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -29,24 +29,24 @@
     from leadseam.settings.models import ControlSettings
 
 
-def open_folder(settings: ControlSettings, *, found: bool) -> str:
+def open_folder(settings: ControlSettings, *, bootstrap: bool) -> str:
     """Format the data folder if it is empty.
 
     Args:
         settings: The settings.
-        found: Whether to found a new group, rather than join one.
+        bootstrap: Whether to bootstrap a new group, rather than join one.
 
     Returns:
         The replica's identity.
 
     Raises:
-        StorageError: If the folder cannot be used, or `found` meets a used one.
+        StorageError: If the folder cannot be used, or `bootstrap` meets a used one.
     """
     folder = Path(settings.data_dir)
     known = read_identity(folder)
-    if known is not None and found:
+    if known is not None and bootstrap:
         raise StorageError(f"{folder}: holds {known}; cannot found a group again")
-    founders = tuple(settings.replicas) if found else ()
+    founders = tuple(settings.replicas) if bootstrap else ()
     return prepare_folder(folder, settings.identity.node, founders=founders)
 
 
@@ -55,7 +55,7 @@
 
     Args:
         settings: Its settings.
-        found: Whether to found a new group on an empty folder.
+        bootstrap: Whether to bootstrap a new group on an empty folder.
         clock: Source of time. Defaults to the machine's.
     """
 
@@ -63,10 +63,10 @@
         self,
         settings: ControlSettings,
         *,
-        found: bool = False,
+        bootstrap: bool = False,
         clock: Clock | None = None,
     ) -> None:
-        identity = open_folder(settings, found=found)
+        identity = open_folder(settings, bootstrap=bootstrap)
         clock = clock or SystemClock()
         metrics = Metrics()
         control_metrics = ControlMetrics(metrics)
--- a/src/leadseam/local/fleet.py
+++ b/src/leadseam/local/fleet.py
@@ -170,7 +170,7 @@
                 data_dir=str(data_dir),
                 operators={"demo": _digest(self._token)},
             )
-            program = ControlProgram(settings, found=True)
+            program = ControlProgram(settings, bootstrap=True)
             self._replicas.append(program)
             self._programs.append(program)
         return tuple(replicas.values())
