--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -10,7 +10,7 @@
 
 from leadseam.clock import Clock, Millis, SystemClock, sleep
 from leadseam.feed.client import FeedClient
-from leadseam.feed.pace import MIN_INTERVAL, interval_for, report_size
+from leadseam.feed.report_interval import MIN_INTERVAL, interval_for, report_size
 from leadseam.feed.staleness import Staleness
 from leadseam.membership.view import UpstreamView
 from leadseam.platform.front import FrontServer, ReadyServer
--- a/tests/feed/test_pace.py
+++ b/tests/feed/test_report_interval.py
@@ -13,7 +13,12 @@
 from hypothesis import strategies as st
 
 from leadseam.feed import totals as module
-from leadseam.feed.pace import MAX_INTERVAL, MIN_INTERVAL, interval_for, report_size
+from leadseam.feed.report_interval import (
+    MAX_INTERVAL,
+    MIN_INTERVAL,
+    interval_for,
+    report_size,
+)
 from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
