--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -172,7 +172,9 @@
         log.info("leaving acknowledged", extra=extra)
         return Accepted()
 
-    def record_refused_registration(self, instance: str, fault: str, message: str) -> None:
+    def record_refused_registration(
+        self, instance: str, fault: str, message: str
+    ) -> None:
         """Count a registration that names no upstream, and log it within a budget.
 
         Args:
--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -113,7 +113,9 @@
         return _response(await self._service.evacuate(domain, evacuated=evacuated))
 
     def _unknown_writer(self, instance: str, exc: UnknownWriterError) -> web.Response:
-        self._service.record_refused_registration(instance, exc.fault.value, exc.message)
+        self._service.record_refused_registration(
+            instance, exc.fault.value, exc.message
+        )
         return _refusal(400, exc.message)
 
 
