--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -214,7 +214,7 @@
         while True:
             await sleep(interval)
             report = self._placers[number].load_report()
-            self._summer.take(number, report, self._clock.now())
+            self._summer.update(number, report, self._clock.now())
 
     async def _add_up(self) -> None:
         interval = self._cfg.interval or MIN_INTERVAL
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -231,7 +231,7 @@
     def _handle(self, subscriber: Subscriber, message: AnyMessage) -> None:
         match message:
             case LoadReport():
-                self._sums.take(subscriber.number, message, self._clock.now())
+                self._sums.update(subscriber.number, message, self._clock.now())
             case Crashes():
                 self.crashes.take(message)
             case InForce(version=version, clock=clock):
--- a/src/leadseam/feed/totals.py
+++ b/src/leadseam/feed/totals.py
@@ -33,7 +33,7 @@
     def __repr__(self) -> str:
         return f"LoadAggregator(reports={len(self._reports)})"
 
-    def take(self, subscriber: int, report: LoadReport, now: Millis) -> None:
+    def update(self, subscriber: int, report: LoadReport, now: Millis) -> None:
         """Replace a subscriber's report."""
         self._reports[subscriber] = _Reported(report, now)
 
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -181,7 +181,7 @@
         while True:
             await sleep(SUMS)
             report = self._placers[entry].load_report()
-            self._summer.take(entry, report, self.clock.now())
+            self._summer.update(entry, report, self.clock.now())
 
     async def _add_up(self) -> None:
         while True:
--- a/tests/feed/test_report_interval.py
+++ b/tests/feed/test_report_interval.py
@@ -54,7 +54,7 @@
     engines: int, accounts: int
 ) -> None:
     summer = LoadAggregator()
-    summer.take(1, make_report(engines, accounts), 0)
+    summer.update(1, make_report(engines, accounts), 0)
     totals = summer.totals(0)[1]
     interval = interval_for(len(totals.data))
     assert len(encode(totals)) <= len(totals.data) + ENVELOPE
@@ -77,7 +77,7 @@
 def test_sums_are_encoded_once_for_all_entries() -> None:
     summer = LoadAggregator()
     for number in range(68):
-        summer.take(number, make_report(10, 10), 0)
+        summer.update(number, make_report(10, 10), 0)
     with mock.patch.object(module, "encode", wraps=encode) as counted:
         totals = summer.totals(0)
     assert counted.call_count == 1
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -20,7 +20,7 @@
     """Have every book report, and take the totals."""
     sums = LoadAggregator()
     for number, book in enumerate(books):
-        sums.take(number, book.report(()), now)
+        sums.update(number, book.report(()), now)
     for number, totals in sums.totals(now).items():
         books[number].take_sums(totals.included, sums_of(totals), now)
 
@@ -58,7 +58,7 @@
     book = LoadBook()
     book.begin(ENGINE, Load(requests=1))
     sums = LoadAggregator()
-    sums.take(0, book.report(()), 0)
+    sums.update(0, book.report(()), 0)
     totals = sums.totals(0)[0]
     for _ in range(KEPT_REPORTS):
         book.report(())
@@ -70,8 +70,8 @@
     sums = LoadAggregator()
     book = LoadBook()
     book.begin(ENGINE, Load(requests=1))
-    sums.take(1, book.report([UsageRow("bank", 10, 20)]), 0)
-    sums.take(2, book.report([UsageRow("bank", 1, 2), UsageRow("shop", 3, 4)]), 900)
+    sums.update(1, book.report([UsageRow("bank", 10, 20)]), 0)
+    sums.update(2, book.report([UsageRow("bank", 1, 2), UsageRow("shop", 3, 4)]), 900)
     both = sums_of(sums.totals(1_000)[2])
     assert both.rows == (LoadRow(ENGINE.digest(), 2, 0, 0),)
     assert both.usage == (UsageRow("bank", 11, 22), UsageRow("shop", 3, 4))
--- a/tests/test_evacuations_command.py
+++ b/tests/test_evacuations_command.py
@@ -24,6 +24,6 @@
 def test_requests_left_are_known_where_entries_report() -> None:
     sums = LoadAggregator()
     assert sums.requests_at({1}) is None
-    sums.take(1, LoadReport(1, (LoadRow(1, 3, 0, 0), LoadRow(2, 9, 0, 0)), ()), 0)
-    sums.take(2, LoadReport(1, (LoadRow(1, 4, 0, 0),), ()), 0)
+    sums.update(1, LoadReport(1, (LoadRow(1, 3, 0, 0), LoadRow(2, 9, 0, 0)), ()), 0)
+    sums.update(2, LoadReport(1, (LoadRow(1, 4, 0, 0),), ()), 0)
     assert sums.requests_at({1}) == 7
