--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -291,7 +291,7 @@
         self.confirmed = True
         self._confirmed_at = max(self._confirmed_at, message.echo)
         self.subscribers = message.subscribers
-        self.entries.take(message.subscribers, self._clock.now())
+        self.entries.record(message.subscribers, self._clock.now())
         link.send(InForce(self.version, self._clock.now()))
 
     def _put_in_force(self, link: Link, candidate: Configuration) -> None:
--- a/src/leadseam/feed/entry_count.py
+++ b/src/leadseam/feed/entry_count.py
@@ -26,7 +26,7 @@
     def __repr__(self) -> str:
         return f"EntryCount({[count for _, count in self._counts]})"
 
-    def take(self, count: int, now: Millis) -> None:
+    def record(self, count: int, now: Millis) -> None:
         """Take a replica's count; 0 tells nothing."""
         if not count:
             return
--- a/tests/feed/test_entry_count.py
+++ b/tests/feed/test_entry_count.py
@@ -8,18 +8,18 @@
 def test_a_first_count_is_relied_on_once_it_has_settled() -> None:
     entries = EntryCount()
     assert entries.recent_max(0) == 0
-    entries.take(3, 100)
+    entries.record(3, 100)
     assert entries.recent_max(99 + SETTLING) == 0
-    entries.take(22, 600)
+    entries.record(22, 600)
     assert entries.recent_max(100 + SETTLING) == 22
 
 
 def test_the_largest_count_of_late_holds() -> None:
     # A replica that reaches half of the entries must not double the others' parts.
     entries = EntryCount()
-    entries.take(22, 0)
-    entries.take(10, 1_000)
-    entries.take(0, 1_500)
+    entries.record(22, 0)
+    entries.record(10, 1_000)
+    entries.record(0, 1_500)
     assert entries.recent_max(2_000) == 22
     assert entries.recent_max(KEPT) == 22
     assert entries.recent_max(KEPT + 1) == 10
