--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -79,7 +79,7 @@
         rows = tuple(row for row in self._book.rows() if _is_told(row))
         return Crashes(rows) if rows else None
 
-    def take(self, message: Crashes) -> None:
+    def receive(self, message: Crashes) -> None:
         """Merge what an entry has seen, and tell the others what is news."""
         self._tell(self._merge(message.rows))
 
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -233,7 +233,7 @@
             case LoadReport():
                 self._sums.update(subscriber.number, message, self._clock.now())
             case Crashes():
-                self.crashes.take(message)
+                self.crashes.receive(message)
             case InForce(version=version, clock=clock):
                 subscriber.in_force = max(subscriber.in_force, version)
                 subscriber.clock = max(subscriber.clock, clock)
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -115,7 +115,7 @@
 
     def take(self, way: str, entry: int, replica: int, message: Crashes) -> None:
         if way == "up":
-            self.replicas[replica].take(message)
+            self.replicas[replica].receive(message)
         else:
             self.entries[entry].told(message.rows, self.now)
 
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -61,20 +61,20 @@
 
 def test_entries_hear_of_a_request_from_the_second_end_on() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1),)))
+    one.server.receive(Crashes((make_row(1),)))
     assert one.told == []
     assert one.server.greeting() is None
-    one.server.take(Crashes((make_row(2),)))
+    one.server.receive(Crashes((make_row(2),)))
     assert one.told == [Crashes((make_row(1, 2),))]
     assert one.server.greeting() == Crashes((make_row(1, 2),))
 
 
 async def test_a_verdict_is_told_at_once_and_written_once() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
+    one.server.receive(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
     assert one.told == [Crashes((make_row(1, 2, 3),))]
     await one.settle()
-    one.server.take(Crashes((make_row(3),)))
+    one.server.receive(Crashes((make_row(3),)))
     await one.settle()
     assert one.box.written == [NoteCrashes((make_row(1, 2, 3),))]
 
@@ -82,7 +82,7 @@
 async def test_it_needs_no_quorum_to_tell() -> None:
     one = Fixture()
     one.box.quorum = False
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
     assert one.told and not one.box.written
     one.box.quorum = True
@@ -111,7 +111,7 @@
 
 async def test_a_verdict_that_is_lifted_is_over_everywhere() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
     assert await one.server.lift(DEADLY.fingerprint)
     lifted = make_row(1, 2, 3, void=(1, 2, 3))
@@ -119,17 +119,17 @@
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
     # An entry that has not heard of it repeats what it knows.
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     assert one.server.verdicts() == ()
     assert await one.server.lift("unknown")
 
 
 def test_suspects_fade_at_a_replica() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1),)))
+    one.server.receive(Crashes((make_row(1),)))
     one.clock.advance(SUSPECT_LIFE + 1)
     one.server.fade()
-    one.server.take(Crashes((make_row(2),)))
+    one.server.receive(Crashes((make_row(2),)))
     assert one.told == []
 
 
@@ -141,7 +141,7 @@
 async def test_an_old_verdict_is_lifted_by_whoever_leads() -> None:
     one = Fixture()
     one.box.raft.role = Role.FOLLOWER
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     one.server.fade()
     one.clock.advance(VERDICT_LIFE + 1)
     one.server.fade()
