--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -19,8 +19,8 @@
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.feed.report_interval import MIN_INTERVAL, interval_for
-from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -11,8 +11,8 @@
 from leadseam.feed.configuration_push import FIRST_LEAD, ConfigurationPush, Subscriber
 from leadseam.feed.crash_server import CrashServer
 from leadseam.feed.evacuation_server import RESEND_LIMIT, EvacuationServer
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.feed.report_interval import MIN_INTERVAL, interval_for
-from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import NO_START
 from leadseam.membership.departures import Departures
 from leadseam.membership.registry import DEFAULT_HEARTBEAT, Registry
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -16,7 +16,7 @@
 from leadseam.control.configuration import Configuration, Pool, PoolKind
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.totals import LoadAggregator
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import Admitted
--- a/tests/feed/test_report_interval.py
+++ b/tests/feed/test_report_interval.py
@@ -12,14 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadseam.feed import totals as module
+from leadseam.feed import load_aggregator as module
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.feed.report_interval import (
     MAX_INTERVAL,
     MIN_INTERVAL,
     interval_for,
     report_size,
 )
-from leadseam.feed.totals import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
 from leadseam.wire.feed import LoadReport, LoadRow, UsageRow
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadseam.feed.totals import LoadAggregator
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.routing.load import KEPT_REPORTS, TOTALS_LIMIT, Load, LoadBook
 from leadseam.wire.codec import decode
--- a/tests/test_evacuations_command.py
+++ b/tests/test_evacuations_command.py
@@ -5,7 +5,7 @@
 from leadseam.cli.evacuations import render
 from leadseam.control.evacuations import EvacuationRow
 from leadseam.feed.evacuation_routes import to_json
-from leadseam.feed.totals import LoadAggregator
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.wire.feed import LoadReport, LoadRow
 
 
