--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -13,7 +13,7 @@
 from leadseam.feed.claim_client import ClaimClient
 from leadseam.feed.directory import ReplicaDirectory
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.summing import SummingReplica
+from leadseam.feed.summing import AggregatorSelector
 from leadseam.membership.view import UpstreamView
 from leadseam.wire.backoff import Backoff
 from leadseam.wire.claim import ClaimReply
@@ -116,7 +116,7 @@
         self._followed: set[Endpoint] = set()
         self._links: list[Link] = []
         self._names: dict[Link, str] = {}
-        self._summing = SummingReplica()
+        self._summing = AggregatorSelector()
         self.claims = ClaimClient(clock, self._links)
 
     def __repr__(self) -> str:
--- a/src/leadseam/feed/summing.py
+++ b/src/leadseam/feed/summing.py
@@ -22,7 +22,7 @@
 """Pause between two reports to a replica that is passed over."""
 
 
-class SummingReplica:
+class AggregatorSelector:
     """The choice of one entry among the replicas that it follows."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._probed: dict[str, Millis] = {}
 
     def __repr__(self) -> str:
-        return f"SummingReplica(chosen={self.chosen}, silent={list(self._probed)})"
+        return f"AggregatorSelector(chosen={self.chosen}, silent={list(self._probed)})"
 
     def targets(self, followed: Iterable[str], now: Millis) -> tuple[str, ...]:
         """Return who gets the next report: the replica chosen, and those probed.
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_summing.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from leadseam.feed.summing import PROBE_INTERVAL, SILENCE_LIMIT, SummingReplica
+from leadseam.feed.summing import PROBE_INTERVAL, SILENCE_LIMIT, AggregatorSelector
 from leadseam.routing.load import TOTALS_LIMIT
 from leadseam.routing.usage import Standing, UsageBook
 from leadseam.wire.feed import LoadSums, UsageRow
@@ -19,7 +19,7 @@
 
 
 def test_all_entries_choose_the_same_replica() -> None:
-    choice = SummingReplica()
+    choice = AggregatorSelector()
     assert choice.targets(NAMES, 0) == (FIRST,)
     assert choice.answered(FIRST)
     assert not choice.answered(SECOND)
@@ -29,7 +29,7 @@
 
 
 def test_a_frozen_replica_is_passed_over_before_totals_are_too_old() -> None:
-    choice = SummingReplica()
+    choice = AggregatorSelector()
     choice.targets(NAMES, 0)
     choice.answered(FIRST)
     now = 0
@@ -43,7 +43,7 @@
 
 
 def test_a_replica_that_is_passed_over_is_asked_now_and_then_until_it_answers() -> None:
-    choice = SummingReplica()
+    choice = AggregatorSelector()
     choice.targets(NAMES, 0)
     now = SILENCE_LIMIT + 1
     asked = 0
