--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -10,10 +10,10 @@
 
 from leadseam.clock import Clock, Millis, seconds
 from leadseam.control.configuration import Configuration, Operation
+from leadseam.feed.aggregator_selector import AggregatorSelector
 from leadseam.feed.claim_client import ClaimClient
 from leadseam.feed.directory import ReplicaDirectory
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.summing import AggregatorSelector
 from leadseam.membership.view import UpstreamView
 from leadseam.wire.backoff import Backoff
 from leadseam.wire.claim import ClaimReply
--- a/tests/feed/test_summing.py
+++ b/tests/feed/test_aggregator_selector.py
@@ -8,7 +8,11 @@
 
 from __future__ import annotations
 
-from leadseam.feed.summing import PROBE_INTERVAL, SILENCE_LIMIT, AggregatorSelector
+from leadseam.feed.aggregator_selector import (
+    PROBE_INTERVAL,
+    SILENCE_LIMIT,
+    AggregatorSelector,
+)
 from leadseam.routing.load import TOTALS_LIMIT
 from leadseam.routing.usage import Standing, UsageBook
 from leadseam.wire.feed import LoadSums, UsageRow
