--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -101,7 +101,7 @@
         return Incarnation(self.instance, self.start)
 
 
-class NoteCrashes(Record, frozen=True, array_like=True, tag=6):
+class RecordCrashes(Record, frozen=True, array_like=True, tag=6):
     """Requests that have ended upstreams; merged with what is known of them.
 
     Args:
@@ -130,7 +130,7 @@
 
 
 Command: TypeAlias = (
-    Change | Claims | Barrier | Replace | Leave | NoteCrashes | Evacuate
+    Change | Claims | Barrier | Replace | Leave | RecordCrashes | Evacuate
 )
 
 
@@ -167,7 +167,7 @@
     start: int = NO_START
 
 
-class CrashesNoted(Record, frozen=True, array_like=True, tag=5):
+class CrashesRecorded(Record, frozen=True, array_like=True, tag=5):
     """The rows are merged."""
 
     rows: int
@@ -190,7 +190,7 @@
     | ClaimResults
     | BarrierResult
     | LeaveResult
-    | CrashesNoted
+    | CrashesRecorded
     | EvacuationResult
 )
 
@@ -260,10 +260,10 @@
             case Leave(instance=instance, start=start):
                 self.departed.add(command.incarnation)
                 return LeaveResult(instance, start)
-            case NoteCrashes(rows=rows):
+            case RecordCrashes(rows=rows):
                 for row in rows:
                     self.crashes.merge(row)
-                return CrashesNoted(len(rows))
+                return CrashesRecorded(len(rows))
             case Evacuate(domain=domain, evacuated=evacuated):
                 as_ordered = self.evacuations.switch(
                     domain, evacuated, expected=command.expected, at=command.at
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -14,7 +14,7 @@
 
 from leadseam.clock import Millis, sleep
 from leadseam.control.raft_work import Role
-from leadseam.control.state import NoteCrashes
+from leadseam.control.state import RecordCrashes
 from leadseam.crashes import evidence
 from leadseam.crashes.book import CrashBook
 from leadseam.runtime.tasks import spawn
@@ -107,7 +107,7 @@
             return True
         log.warning("verdict lifted", extra={"fingerprint": fingerprint})
         self._tell((row,))
-        return await self._replica.submit(NoteCrashes((row,))) is not None
+        return await self._replica.submit(RecordCrashes((row,))) is not None
 
     def fade(self) -> None:
         """Forget suspects of long ago, and lift verdicts that are old."""
@@ -134,7 +134,7 @@
         if not rows:
             return
         extra = {"fingerprints": [row.fingerprint for row in rows]}
-        if await self._replica.submit(NoteCrashes(rows)) is None:
+        if await self._replica.submit(RecordCrashes(rows)) is None:
             log.warning("verdict not written in time", extra=extra)
             await sleep(RETRY_DELAY)
             self._wake.set()
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -8,7 +8,7 @@
 
 from leadseam.clock import ManualClock
 from leadseam.control.raft_work import Role
-from leadseam.control.state import ControlState, CrashesNoted, NoteCrashes
+from leadseam.control.state import ControlState, CrashesRecorded, RecordCrashes
 from leadseam.crashes.book import SUSPECT_LIFE
 from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
@@ -76,7 +76,7 @@
     await one.settle()
     one.server.receive(Crashes((make_row(3),)))
     await one.settle()
-    assert one.box.written == [NoteCrashes((make_row(1, 2, 3),))]
+    assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
 async def test_it_needs_no_quorum_to_tell() -> None:
@@ -88,12 +88,14 @@
     one.box.quorum = True
     one.server._wake.set()
     await one.settle()
-    assert one.box.written == [NoteCrashes((make_row(1, 2, 3),))]
+    assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
 def test_what_comes_through_the_log_is_told_once() -> None:
     one = Fixture()
-    assert one.box.state.apply(NoteCrashes((make_row(1, 2, 3),))) == CrashesNoted(1)
+    assert one.box.state.apply(RecordCrashes((make_row(1, 2, 3),))) == CrashesRecorded(
+        1
+    )
     one.server.on_applied()
     one.server.on_applied()
     assert one.told == [Crashes((make_row(1, 2, 3),))]
@@ -101,7 +103,7 @@
 
 def test_a_replica_that_starts_anew_greets_with_what_is_written() -> None:
     one = Fixture()
-    one.box.state.apply(NoteCrashes((make_row(1, 2, 3),)))
+    one.box.state.apply(RecordCrashes((make_row(1, 2, 3),)))
     saved = one.box.state.save()
     other = Fixture()
     other.box.state.restore(saved)
