--- a/src/leadseam/control/evacuations.py
+++ b/src/leadseam/control/evacuations.py
@@ -39,7 +39,7 @@
     at: int = 0
 
 
-class Evacuations:
+class EvacuationTable:
     """The table of evacuated failure domains; equal on every replica.
 
     Args:
@@ -50,7 +50,7 @@
         self._rows = {row.domain: row for row in rows}
 
     def __repr__(self) -> str:
-        return f"Evacuations(revision={self.revision}, evacuated={self.evacuated})"
+        return f"EvacuationTable(revision={self.revision}, evacuated={self.evacuated})"
 
     @property
     def revision(self) -> int:
--- a/src/leadseam/control/order_guard.py
+++ b/src/leadseam/control/order_guard.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
     from leadseam.clock import Millis
-    from leadseam.control.evacuations import EvacuationRow, Evacuations
+    from leadseam.control.evacuations import EvacuationRow, EvacuationTable
 
 
 class OrderGuard:
@@ -44,7 +44,7 @@
             self._switches[row.domain] = row.switches
 
     def may_be_late(
-        self, table: Evacuations, domain: str, evacuated: bool, now: Millis
+        self, table: EvacuationTable, domain: str, evacuated: bool, now: Millis
     ) -> bool:
         """Tell whether an order may be a copy of one that was undone since."""
         if table.row(domain).evacuated is evacuated:
--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -15,7 +15,7 @@
     Operation,
     operation_faults,
 )
-from leadseam.control.evacuations import EvacuationRow, Evacuations
+from leadseam.control.evacuations import EvacuationRow, EvacuationTable
 from leadseam.crashes.book import CrashBook
 from leadseam.incarnation import NO_START, Incarnation
 from leadseam.membership.departures import Departures
@@ -233,7 +233,7 @@
         self.deltas: list[VersionedOperations] = []
         self.departed = Departures()
         self.crashes = CrashBook()
-        self.evacuations = Evacuations()
+        self.evacuations = EvacuationTable()
         self._changes: OrderedDict[str, ChangeResult] = OrderedDict()
         self._claims = ClaimTable({})
 
@@ -306,7 +306,7 @@
         older = map(Incarnation, saved.left_without_start)
         self.departed = Departures([*older, *saved.departed])
         self.crashes = CrashBook(saved.crashes)
-        self.evacuations = Evacuations(saved.evacuations)
+        self.evacuations = EvacuationTable(saved.evacuations)
 
     def _replace(self, configuration: Configuration) -> ChangeResult:
         if configuration.version > self.configuration.version:
--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -14,7 +14,7 @@
     from collections.abc import Awaitable, Callable
 
     from leadseam.clock import Clock, Millis
-    from leadseam.control.evacuations import EvacuationRow, Evacuations
+    from leadseam.control.evacuations import EvacuationRow, EvacuationTable
     from leadseam.control.replica import Replica
     from leadseam.control.state import Command, CommandResult
     from leadseam.runtime.metrics import ControlMetrics
@@ -72,7 +72,7 @@
         return f"EvacuationServer({self._table!r})"
 
     @property
-    def _table(self) -> Evacuations:
+    def _table(self) -> EvacuationTable:
         return self._replica.state.evacuations
 
     def rows(self) -> tuple[EvacuationRow, ...]:
--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from leadseam.control.configuration import Configuration
-from leadseam.control.evacuations import MAX_DOMAINS, Evacuations
+from leadseam.control.evacuations import MAX_DOMAINS, EvacuationTable
 from leadseam.control.order_guard import OrderGuard
 from leadseam.control.state import ControlState, Evacuate, EvacuationResult
 from leadseam.wire.codec import encode
@@ -55,14 +55,14 @@
 
 
 def test_names_of_domains_are_bounded() -> None:
-    table = Evacuations()
+    table = EvacuationTable()
     for number in range(MAX_DOMAINS):
         assert table.switch(f"d{number}", True, expected=0, at=0)
     assert not table.switch("one more", True, expected=0, at=0)
     assert table.switch("d0", False, expected=1, at=0)
 
 
-def seen(table: Evacuations, guard: OrderGuard, now: int, evacuated: bool) -> None:
+def seen(table: EvacuationTable, guard: OrderGuard, now: int, evacuated: bool) -> None:
     """Switch a domain and let a replica see it."""
     expected = table.row("north").switches
     assert table.switch("north", evacuated, expected=expected, at=0)
@@ -70,7 +70,7 @@
 
 
 def test_what_may_be_a_copy_of_an_order_that_was_undone_waits() -> None:
-    table = Evacuations()
+    table = EvacuationTable()
     guard = OrderGuard(RESEND)
     assert not guard.may_be_late(table, "north", True, 0)
     seen(table, guard, 1_000, True)
@@ -87,7 +87,7 @@
 
 
 def test_a_replica_that_starts_again_has_seen_nothing_and_says_so() -> None:
-    table = Evacuations()
+    table = EvacuationTable()
     seen(table, OrderGuard(RESEND), 0, True)
     once = OrderGuard(RESEND)
     once.applied(table.rows(), 100)
@@ -110,7 +110,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.table = Evacuations()
+        self.table = EvacuationTable()
         self.guards = [OrderGuard(RESEND) for _ in range(3)]
         self.behind = [0, 0, 0]
         self.copies: list[tuple[bool, int]] = []
