--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -22,16 +22,16 @@
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.wire.feed import Registration
 
-ANSWER_LIMIT: Millis = 900
+CALL_TIMEOUT: Millis = 900
 """Time for one call: callers turn to another replica after a second of silence."""
-GATHER_LIMIT: Millis = 2_500
+VOTER_WAIT_LIMIT: Millis = 2_500
 """How long after its start a replica waits for enough voters before it commits. The
 group normally gathers within a second; a change should not wait for four."""
-GATHER_POLL: Millis = 20
+VOTER_POLL_INTERVAL: Millis = 20
 UNKNOWN_POOL = "the configuration does not name its pool"
-REFUSAL_LINES = 5
+REFUSAL_LINES_PER_S = 5
 """Lines a second on registrations that name no upstream; a counter has them all."""
-MAX_LOGGED = 128
+MAX_LOGGED_ID = 128
 """Characters of an id that is logged: as many as a valid one has."""
 
 log = logging.getLogger(__name__)
@@ -84,7 +84,7 @@
         self._feed = feed
         self._clock = clock
         self._metrics = metrics
-        self._lines = LineBudget(clock, rate=REFUSAL_LINES)
+        self._line_budget = LineBudget(clock, rate=REFUSAL_LINES_PER_S)
         self._min_voters = min_voters
         self._started = clock.now()
 
@@ -111,7 +111,7 @@
     async def read_document(self) -> bytes | None:
         """Return the newest configuration's document, or None if that is not known."""
         try:
-            async with asyncio.timeout(seconds(ANSWER_LIMIT)):
+            async with asyncio.timeout(seconds(CALL_TIMEOUT)):
                 current = await self._replica.catch_up()
         except TimeoutError:
             current = False
@@ -123,7 +123,7 @@
 
     async def heartbeat(self, registration: Registration) -> Reply:
         """Take an upstream's heartbeat; leaving is acknowledged once committed."""
-        if not self._feed.takes(registration):
+        if not self._feed.accepts(registration):
             return Invalid((UNKNOWN_POOL,))
         if not registration.ready:
             return await self.leave(registration.incarnation)
@@ -183,22 +183,22 @@
             message: One line for a person.
         """
         self._metrics.registrations_refused.inc(fault)
-        if self._lines.take():
-            extra = {"instance": instance[:MAX_LOGGED], "fault": fault}
+        if self._line_budget.take():
+            extra = {"instance": instance[:MAX_LOGGED_ID], "fault": fault}
             log.info("registration refused", extra=extra | {"detail": message})
 
     async def _submit(self, command: Command) -> CommandResult | None:
         try:
-            async with asyncio.timeout(seconds(ANSWER_LIMIT)):
-                await self._gather()
+            async with asyncio.timeout(seconds(CALL_TIMEOUT)):
+                await self._wait_for_voters()
                 return await self._replica.submit(command)
         except TimeoutError:
             return None
 
-    async def _gather(self) -> None:
+    async def _wait_for_voters(self) -> None:
         """Wait for enough voters, but not for long."""
         while (
             self._replica.voters < self._min_voters
-            and self._clock.now() - self._started < GATHER_LIMIT
+            and self._clock.now() - self._started < VOTER_WAIT_LIMIT
         ):
-            await sleep(GATHER_POLL)
+            await sleep(VOTER_POLL_INTERVAL)
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -137,7 +137,7 @@
             self._registered.clear()
             self.push_registrations()
 
-    def takes(self, registration: Registration) -> bool:
+    def accepts(self, registration: Registration) -> bool:
         """Tell whether a registration may be of an upstream.
 
         One of a pool that the configuration does not name is of none: whoever wrote it,
