--- a/src/leadseam/control/order_guard.py
+++ b/src/leadseam/control/order_guard.py
@@ -33,7 +33,7 @@
     def __repr__(self) -> str:
         return f"OrderGuard(domains={len(self._switches)})"
 
-    def applied(self, rows: Iterable[EvacuationRow], now: Millis) -> None:
+    def record_applied(self, rows: Iterable[EvacuationRow], now: Millis) -> None:
         """Note the table as it is; what was missed counts as seen now."""
         for row in rows:
             missed = row.switches - self._switches.get(row.domain, 0)
--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -89,7 +89,7 @@
         if table.revision <= self._told:
             return
         self._told = table.revision
-        self._guard.applied(table.rows(), self._clock.now())
+        self._guard.record_applied(table.rows(), self._clock.now())
         self._metrics.evacuated_domains.set({}, len(table.evacuated))
         extra = {"revision": table.revision, "evacuated": table.evacuated}
         log.warning("evacuated failure domains changed", extra=extra)
--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -66,7 +66,7 @@
     """Switch a domain and let a replica see it."""
     expected = table.row("north").switches
     assert table.switch("north", evacuated, expected=expected, at=0)
-    guard.applied(table.rows(), now)
+    guard.record_applied(table.rows(), now)
 
 
 def test_what_may_be_a_copy_of_an_order_that_was_undone_waits() -> None:
@@ -90,12 +90,12 @@
     table = EvacuationTable()
     seen(table, OrderGuard(RESEND), 0, True)
     once = OrderGuard(RESEND)
-    once.applied(table.rows(), 100)
+    once.record_applied(table.rows(), 100)
     # It was never taken back, so no copy of that can be on its way.
     assert not once.may_be_late(table, "north", False, 100)
     seen(table, OrderGuard(RESEND), 0, False)
     twice = OrderGuard(RESEND)
-    twice.applied(table.rows(), 100)
+    twice.record_applied(table.rows(), 100)
     assert twice.may_be_late(table, "north", True, 100 + RESEND)
     assert not twice.may_be_late(table, "north", True, 101 + RESEND)
 
@@ -120,7 +120,7 @@
     def _take(self, evacuated: bool, replica: int) -> bool:
         """Let a replica carry an order out; return whether it is acknowledged."""
         guard = self.guards[replica]
-        guard.applied(self.table.rows(), self.now)
+        guard.record_applied(self.table.rows(), self.now)
         if guard.may_be_late(self.table, "north", evacuated, self.now):
             return False
         expected = self.table.row("north").switches
@@ -155,7 +155,7 @@
 
     @rule(replica=st.integers(0, 2))
     def follow(self, replica: int) -> None:
-        self.guards[replica].applied(self.table.rows(), self.now)
+        self.guards[replica].record_applied(self.table.rows(), self.now)
 
     @rule(step=st.sampled_from([1, 100, 2_000, 5_001]))
     def wait(self, step: int) -> None:
