--- a/src/leadseam/control/operator_service.py
+++ b/src/leadseam/control/operator_service.py
@@ -56,7 +56,7 @@
     async def Apply(self, stream: Stream[pb.ApplyRequest, pb.ApplyReply]) -> None:
         """Apply a change, all of it or nothing."""
         operator = self._authenticate(stream)
-        request = await _request(stream)
+        request = await _receive_request(stream)
         if not request.change_id:
             raise GRPCError(Status.INVALID_ARGUMENT, "empty change_id")
         try:
@@ -76,7 +76,7 @@
     async def Get(self, stream: Stream[pb.GetRequest, pb.Configuration]) -> None:
         """Send the configuration in force."""
         self._authenticate(stream)
-        await _request(stream)
+        await _receive_request(stream)
         await self._catch_up()
         configuration = self._replica.state.configuration
         await stream.send_message(configuration_to_message(configuration))
@@ -84,7 +84,7 @@
     async def History(self, stream: Stream[pb.HistoryRequest, pb.HistoryReply]) -> None:
         """Send accepted changes, the newest first."""
         self._authenticate(stream)
-        request = await _request(stream)
+        request = await _receive_request(stream)
         await self._catch_up()
         limit = request.limit or DEFAULT_HISTORY
         newest = self._replica.state.history[: -limit - 1 : -1]
@@ -103,7 +103,7 @@
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
         """Describe this replica; answers without a quorum too."""
         self._authenticate(stream)
-        await _request(stream)
+        await _receive_request(stream)
         await stream.send_message(self._describe())
 
     def _describe(self) -> pb.StatusReply:
@@ -143,7 +143,7 @@
         raise GRPCError(Status.UNAUTHENTICATED, "wrong operator token")
 
 
-async def _request(stream: Stream[T, Any]) -> T:
+async def _receive_request(stream: Stream[T, Any]) -> T:
     request = await stream.recv_message()
     if request is None:
         raise GRPCError(Status.INVALID_ARGUMENT, "no request")
