--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -46,8 +46,8 @@
     known = read_identity(folder)
     if known is not None and bootstrap:
         raise StorageError(f"{folder}: holds {known}; cannot found a group again")
-    founders = tuple(settings.replicas) if bootstrap else ()
-    return prepare_folder(folder, settings.identity.node, founders=founders)
+    initial_members = tuple(settings.replicas) if bootstrap else ()
+    return prepare_folder(folder, settings.identity.node, founders=initial_members)
 
 
 class ControlProgram:
