--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -47,7 +47,7 @@
 
 SILENCE_LIMIT: Millis = 2_000
 """Silence of a replica after which another one is followed: four feed heartbeats."""
-MAX_REDIAL_PAUSE: Millis = 800
+MAX_RECONNECT_DELAY: Millis = 800
 """Longest pause before another replica is tried."""
 FRESH_LIMIT: Millis = 2_000
 """Age of a confirmation beyond which nothing is called absent: four feed heartbeats."""
@@ -111,12 +111,12 @@
         self._on_restarts = on_restarts
         self._on_crashes = on_crashes
         self._greeting = greeting
-        self._first = asyncio.Event()
+        self._configured = asyncio.Event()
         self._confirmed_at: Millis = -FRESH_LIMIT
         self._followed: set[Endpoint] = set()
         self._links: list[Link] = []
         self._names: dict[Link, str] = {}
-        self._summing = AggregatorSelector()
+        self._aggregator = AggregatorSelector()
         self.claims = ClaimClient(clock, self._links)
 
     def __repr__(self) -> str:
@@ -139,7 +139,7 @@
 
     async def first_configuration(self) -> None:
         """Wait until there is one in force."""
-        await self._first.wait()
+        await self._configured.wait()
 
     def set_seeds(self, endpoints: Iterable[Endpoint]) -> None:
         """Take the replicas of new settings; a link that is open is not cut."""
@@ -152,7 +152,7 @@
                 group.create_task(self._keep_following())
 
     async def _keep_following(self) -> None:
-        backoff = Backoff(last=MAX_REDIAL_PAUSE)
+        backoff = Backoff(last=MAX_RECONNECT_DELAY)
         while True:
             endpoint = self._directory.next(self._followed)
             if endpoint is not None:
@@ -173,11 +173,11 @@
     def report(self, report: LoadReport) -> None:
         """Send a load report to the replica that adds them up."""
         links = {name: link for link, name in self._names.items()}
-        before = self._summing.chosen
-        for name in self._summing.targets(links, self._clock.now()):
+        before = self._aggregator.chosen
+        for name in self._aggregator.targets(links, self._clock.now()):
             links[name].send(report)
-        if self._summing.chosen != before:
-            extra = {"replica": self._summing.chosen, "before": before}
+        if self._aggregator.chosen != before:
+            extra = {"replica": self._aggregator.chosen, "before": before}
             log.info("loads are added up by another replica", extra=extra)
 
     def broadcast(self, message: AnyMessage) -> None:
@@ -220,7 +220,7 @@
             backoff.reached()
             self._handle(link, replica, message)
             if isinstance(message, Replicas):
-                self._take_members(endpoint, message)
+                self._update_members(endpoint, message)
             if isinstance(message, Current) and message.version > self.version:
                 # A delta went missing: subscribe again from what is held.
                 return
@@ -253,37 +253,37 @@
             case Registered(rows=rows, whole=whole):
                 if whole:
                     self.view.connected(replica, self._clock.now())
-                self._take_rows(replica, rows)
+                self._update_registrations(replica, rows)
             case Expired(incarnations=incarnations):
                 self.view.expired(replica, incarnations)
             case Left(incarnations=incarnations):
-                fresh = self.view.left(incarnations)
-                if fresh:
-                    extra = {"instances": list(map(str, fresh))}
+                departed = self.view.left(incarnations)
+                if departed:
+                    extra = {"instances": list(map(str, departed))}
                     log.info("upstreams leave", extra=extra)
             case Evacuated(revision=revision, domains=domains):
-                self._take_evacuations(replica, revision, domains)
+                self._apply_evacuations(replica, revision, domains)
             case LoadTotals(included=included, data=data):
-                if self._summing.answered(replica):
+                if self._aggregator.answered(replica):
                     self._on_sums(included, decode(data, LoadSums))
             case _:
                 return
 
-    def _take_rows(self, replica: str, rows: Iterable[Registration]) -> None:
-        over = self.view.update(replica, rows, self._clock.now())
-        if over:
-            extra = {"earlier": list(map(str, over)), "replica": replica}
+    def _update_registrations(self, replica: str, rows: Iterable[Registration]) -> None:
+        ended = self.view.update(replica, rows, self._clock.now())
+        if ended:
+            extra = {"earlier": list(map(str, ended)), "replica": replica}
             log.info("upstreams have started again", extra=extra)
-            self._on_restarts(over)
+            self._on_restarts(ended)
 
-    def _take_evacuations(
+    def _apply_evacuations(
         self, replica: str, revision: int, domains: tuple[str, ...]
     ) -> None:
         if self.view.evacuate(revision, domains, self._clock.now()):
             extra = {"revision": revision, "domains": domains, "replica": replica}
             log.warning("evacuations in force", extra=extra)
 
-    def _take_members(self, replica: Endpoint, message: Replicas) -> None:
+    def _update_members(self, replica: Endpoint, message: Replicas) -> None:
         addresses = (self._address_of(name) for name in message.names)
         self._directory.told(replica, [one for one in addresses if one is not None])
 
@@ -300,7 +300,7 @@
         self.configuration = candidate
         self.confirmed = True
         self._on_change(candidate)
-        self._first.set()
+        self._configured.set()
         for follower in {link, *self._links}:
             # Those that have not sent it yet need not.
             follower.send(InForce(candidate.version, self._clock.now()))
