--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -45,9 +45,9 @@
 """Pause in which registrations are gathered for one message to all subscribers: when
 all control boxes have started again, thousands of upstreams register within a second,
 and a message for each of them to hundreds of entries takes a replica many seconds."""
-MAX_NAMED = 20
+MAX_LOGGED_UPSTREAMS = 20
 """Upstreams named on one log line."""
-MAX_LEFT_TOLD = 1_000
+MAX_DEPARTURES_SENT = 1_000
 """Left upstreams told to a new subscriber; older ones have ended long ago."""
 
 log = logging.getLogger(__name__)
@@ -77,8 +77,8 @@
         self._metrics = metrics
         self._registry = registry or Registry(DEFAULT_HEARTBEAT)
         self._clock = clock or SystemClock()
-        self._told_left = Departures()
-        self._named_pools: frozenset[str] = frozenset()
+        self._reported_departures = Departures()
+        self._configured_pools: frozenset[str] = frozenset()
         self._sums = LoadAggregator()
         self._subscribers: dict[int, Subscriber] = {}
         self._next_id = 0
@@ -87,7 +87,7 @@
         self.evacuations = EvacuationServer(
             replica, self._clock, metrics, self._broadcast, resend_limit=resend_limit
         )
-        self._fresh: dict[str, Registration] = {}
+        self._pending_registrations: dict[str, Registration] = {}
         self._registered = asyncio.Event()
         self._push = ConfigurationPush(replica, metrics)
         self._pushing_later = False
@@ -113,18 +113,21 @@
             return
         if not self._registry.heartbeat(registration, self._clock.now()):
             return
-        if self._is_named(registration):
-            self._fresh[registration.instance] = registration
+        if self._has_configured_pool(registration):
+            self._pending_registrations[registration.instance] = registration
             self._registered.set()
 
     def push_registrations(self) -> None:
         """Tell subscribers of the upstreams whose registration has changed."""
-        rows, self._fresh = tuple(self._fresh.values()), {}
+        rows, self._pending_registrations = (
+            tuple(self._pending_registrations.values()),
+            {},
+        )
         if not rows:
             return
         extra = {
             "count": len(rows),
-            "instances": [str(row.incarnation) for row in rows[:MAX_NAMED]],
+            "instances": [str(row.incarnation) for row in rows[:MAX_LOGGED_UPSTREAMS]],
             "pools": sorted({row.pool for row in rows}),
         }
         log.info("upstreams registered", extra=extra)
@@ -147,9 +150,11 @@
         """
         if not self._replica.state.configuration.version:
             return True
-        return self._is_named(registration) or self._registry.hears(registration)
+        return self._has_configured_pool(registration) or self._registry.hears(
+            registration
+        )
 
-    def _is_named(self, registration: Registration) -> bool:
+    def _has_configured_pool(self, registration: Registration) -> bool:
         return registration.pool in self._replica.state.configuration.pools
 
     def start_of(self, instance: str) -> int | None:
@@ -199,18 +204,20 @@
         )
         self._subscribers[number] = subscriber
         try:
-            self._greet(subscriber)
+            self._send_initial_state(subscriber)
             async for request in link.messages():
                 self._handle(subscriber, request)
         finally:
             del self._subscribers[number]
             self._sums.forget(number)
 
-    def _greet(self, subscriber: Subscriber) -> None:
+    def _send_initial_state(self, subscriber: Subscriber) -> None:
         """Send a new subscriber all that it may lack."""
-        named = tuple(row for row in self._registry.rows() if self._is_named(row))
+        named = tuple(
+            row for row in self._registry.rows() if self._has_configured_pool(row)
+        )
         subscriber.link.send(Registered(named, whole=True))
-        left = tuple(self._replica.state.departed)[-MAX_LEFT_TOLD:]
+        left = tuple(self._replica.state.departed)[-MAX_DEPARTURES_SENT:]
         if left:
             subscriber.link.send(Left(left))
         # Before the configuration, so that nobody serves without knowing these.
@@ -245,7 +252,7 @@
     async def _push_changes(self) -> None:
         while True:
             await self._replica.next_applied()
-            self._push_left()
+            self._push_departures()
             self.evacuations.on_applied()
             self.crashes.on_applied()
             self._push_newly_named()
@@ -266,23 +273,23 @@
         for subscriber in self.subscribers:
             self._push.send(subscriber)
 
-    def _push_left(self) -> None:
+    def _push_departures(self) -> None:
         """Tell of upstreams whose leaving was committed since the last call."""
         departed = self._replica.state.departed
-        fresh = [one for one in departed if self._told_left.add(one)]
-        if not fresh:
+        new = [one for one in departed if self._reported_departures.add(one)]
+        if not new:
             return
-        for incarnation in fresh:
+        for incarnation in new:
             self._registry.remove(incarnation)
-        log.info("upstreams leave", extra={"instances": list(map(str, fresh))})
-        self._broadcast(Left(tuple(fresh)))
+        log.info("upstreams leave", extra={"instances": list(map(str, new))})
+        self._broadcast(Left(tuple(new)))
 
     def _push_newly_named(self) -> None:
         """Tell of upstreams that registered before their pool was named."""
         pools = frozenset(self._replica.state.configuration.pools)
-        fresh = pools - self._named_pools
-        self._named_pools = pools
-        rows = tuple(row for row in self._registry.rows() if row.pool in fresh)
+        new = pools - self._configured_pools
+        self._configured_pools = pools
+        rows = tuple(row for row in self._registry.rows() if row.pool in new)
         if rows:
             self._broadcast(Registered(rows))
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -259,7 +259,7 @@
     Variant(
         "pools that nobody named are taken",
         "feed/server.py",
-        "        return self._is_named(registration) or",
+        "        return self._has_configured_pool(registration) or",
         "        return True or",
         "tests/control/test_departed.py"
         "::test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is",
