--- a/src/leadseam/feed/configuration_push.py
+++ b/src/leadseam/feed/configuration_push.py
@@ -24,7 +24,7 @@
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.wire.link import Link
 
-FIRST_LEAD: Millis = 150
+PRIMARY_HEAD_START: Millis = 150
 """Time that the first replica has before the others send too: some round trips and
 turns of a busy node's loop, and below a tenth of the least time in which operators want
 a change in force (2 s)."""
@@ -52,10 +52,10 @@
     in_force: int = 0
     clock: int = -1
     replicas: tuple[str, ...] = ()
-    alone: bool = False
+    single_replica: bool = False
 
     @property
-    def has(self) -> int:
+    def known_version(self) -> int:
         """Highest version that it has or that is on its way."""
         return max(self.sent, self.in_force)
 
@@ -76,23 +76,23 @@
     def __repr__(self) -> str:
         return f"ConfigurationPush(snapshot={self._snapshot.version})"
 
-    def is_first_for(self, subscriber: Subscriber) -> bool:
+    def is_primary_for(self, subscriber: Subscriber) -> bool:
         """Tell whether this replica sends a subscriber a change before the others."""
-        if subscriber.alone:
+        if subscriber.single_replica:
             return True
         own = base_name(self._replica.raft.identity)
         names = {*self._replica.members, own}
-        first = max(names, key=lambda name: _weight(subscriber.node, name))
-        return bool(own == first)
+        primary = max(names, key=lambda name: _rendezvous_weight(subscriber.node, name))
+        return bool(own == primary)
 
     def send(self, subscriber: Subscriber) -> None:
         """Send what a subscriber lacks, if this replica is current."""
         state = self._replica.state
         version = state.configuration.version
-        if subscriber.has >= version or not self._replica.is_current():
+        if subscriber.known_version >= version or not self._replica.is_current():
             return
-        deltas = state.deltas_after(subscriber.has)
-        if deltas is None or subscriber.has == 0:
+        deltas = state.deltas_after(subscriber.known_version)
+        if deltas is None or subscriber.known_version == 0:
             self._send(subscriber, self._snapshot_of(state.configuration))
         else:
             for delta in deltas:
@@ -115,5 +115,5 @@
         self._metrics.feed_bytes.add({}, len(message.data))
 
 
-def _weight(node: str, replica: str) -> int:
+def _rendezvous_weight(node: str, replica: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{node}/{replica}".encode())
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -8,7 +8,11 @@
 
 from leadseam.clock import Clock, Millis, SystemClock, seconds, sleep
 from leadseam.feed.claim_server import ClaimServer
-from leadseam.feed.configuration_push import FIRST_LEAD, ConfigurationPush, Subscriber
+from leadseam.feed.configuration_push import (
+    PRIMARY_HEAD_START,
+    ConfigurationPush,
+    Subscriber,
+)
 from leadseam.feed.crash_server import CrashServer
 from leadseam.feed.evacuation_server import RESEND_LIMIT, EvacuationServer
 from leadseam.feed.load_aggregator import LoadAggregator
@@ -200,7 +204,7 @@
             message.version,
             in_force=message.version,
             clock=message.clock,
-            alone=message.width == 1,
+            single_replica=message.width == 1,
         )
         self._subscribers[number] = subscriber
         try:
@@ -257,7 +261,7 @@
             self.crashes.on_applied()
             self._push_newly_named()
             for subscriber in self.subscribers:
-                if self._push.is_first_for(subscriber):
+                if self._push.is_primary_for(subscriber):
                     self._push.send(subscriber)
             self._push_later()
 
@@ -265,7 +269,7 @@
         """Send what the replica that is first for a subscriber has not sent by then."""
         if not self._pushing_later:
             self._pushing_later = True
-            delay = seconds(FIRST_LEAD)
+            delay = seconds(PRIMARY_HEAD_START)
             asyncio.get_running_loop().call_later(delay, self._push_to_all)
 
     def _push_to_all(self) -> None:
--- a/tests/feed/test_configuration_push.py
+++ b/tests/feed/test_configuration_push.py
@@ -63,13 +63,15 @@
 class Box:
     """One control box with the subscribers of all entries."""
 
-    def __init__(self, name: str, *, alone: bool = False) -> None:
+    def __init__(self, name: str, *, single_replica: bool = False) -> None:
         self.replica = FakeReplica(FakeRaft(f"{name}#first"))
         metrics = ControlMetrics(Metrics())
         self.push = ConfigurationPush(cast("Replica", self.replica), metrics)
         self.links = [FakeLink() for _ in range(ENTRIES)]
         self.subscribers = [
-            Subscriber(n, f"entry-{n}", cast("Link", link), 1, alone=alone)
+            Subscriber(
+                n, f"entry-{n}", cast("Link", link), 1, single_replica=single_replica
+            )
             for n, link in enumerate(self.links)
         ]
 
@@ -78,10 +80,10 @@
         new = Configuration(version, accounts=ACCOUNTS, document=DOCUMENT)
         self.replica.state.apply(Replace(new))
 
-    def send_first(self) -> None:
+    def send_as_primary(self) -> None:
         """Send to those for whom this box is first."""
         for subscriber in self.subscribers:
-            if self.push.is_first_for(subscriber):
+            if self.push.is_primary_for(subscriber):
                 self.push.send(subscriber)
 
     def send_to_all(self) -> None:
@@ -94,7 +96,7 @@
         return sum(len(link.sent) for link in self.links)
 
 
-def tell_in_force(boxes: list[Box], version: int) -> None:
+def report_in_force(boxes: list[Box], version: int) -> None:
     """Let the entries that got a version tell every box."""
     for number in range(ENTRIES):
         if any(box.links[number].sent for box in boxes):
@@ -106,11 +108,11 @@
     boxes = [Box(name) for name in BOXES]
     for box in boxes:
         box.change(7)
-        box.send_first()
+        box.send_as_primary()
     assert sum(box.sent for box in boxes) == ENTRIES
     # No box has to send to all.
     assert max(box.sent for box in boxes) <= 24
-    tell_in_force(boxes, 7)
+    report_in_force(boxes, 7)
     for box in boxes:
         box.send_to_all()
     assert sum(box.sent for box in boxes) == ENTRIES
@@ -121,19 +123,19 @@
     boxes[0].replica.current = False
     for box in boxes:
         box.change(7)
-        box.send_first()
+        box.send_as_primary()
     lacking = ENTRIES - sum(box.sent for box in boxes)
     assert lacking > 0
-    tell_in_force(boxes, 7)
+    report_in_force(boxes, 7)
     boxes[1].send_to_all()
     for number in range(ENTRIES):
         assert any(box.links[number].sent for box in boxes)
 
 
 def test_a_node_that_follows_one_box_waits_for_no_other() -> None:
-    box = Box(BOXES[0], alone=True)
+    box = Box(BOXES[0], single_replica=True)
     box.change(7)
-    box.send_first()
+    box.send_as_primary()
     assert box.sent == ENTRIES
 
 
