--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -34,7 +34,7 @@
 their next attempt, so telling all entries of each would be waste."""
 FOLLOWER_DELAY: Millis = 300
 """Time that the leader has to write a verdict before the others ask it to."""
-VERDICT_LIFE: Millis = 3_600_000
+VERDICT_LIFETIME: Millis = 3_600_000
 """Time after which a verdict is lifted, counted by whoever leads since it knows of it.
 A request that is innocent after all, or whose upstreams were mended, is served again;
 one that is not crashes three more upstreams an hour."""
@@ -65,8 +65,8 @@
         self._clock = clock
         self._metrics = metrics
         self._broadcast = broadcast
-        self._book = CrashBook()
-        self._written = -1
+        self._table = CrashBook()
+        self._applied_changes = -1
         self._convicted_at: dict[Fingerprint, Millis] = {}
         self._wake = asyncio.Event()
 
@@ -76,24 +76,24 @@
     def greeting(self) -> Crashes | None:
         """Return what a new subscriber has to know, or None."""
         self._merge(self._replica.state.crashes.rows())
-        rows = tuple(row for row in self._book.rows() if _is_told(row))
+        rows = tuple(row for row in self._table.rows() if _is_reportable(row))
         return Crashes(rows) if rows else None
 
     def receive(self, message: Crashes) -> None:
         """Merge what an entry has seen, and tell the others what is news."""
-        self._tell(self._merge(message.rows))
+        self._publish(self._merge(message.rows))
 
     def on_applied(self) -> None:
         """Tell entries of verdicts that have come through the log."""
-        if self._replica.state.crashes.changes == self._written:
+        if self._replica.state.crashes.changes == self._applied_changes:
             return
-        self._written = self._replica.state.crashes.changes
-        self._tell(self._merge(self._replica.state.crashes.rows()))
+        self._applied_changes = self._replica.state.crashes.changes
+        self._publish(self._merge(self._replica.state.crashes.rows()))
 
     def verdicts(self) -> tuple[CrashRow, ...]:
         """Return the requests that are refused, as far as this replica knows."""
         self._merge(self._replica.state.crashes.rows())
-        return tuple(filter(evidence.convicts, self._book.rows()))
+        return tuple(filter(evidence.convicts, self._table.rows()))
 
     async def lift(self, fingerprint: Fingerprint) -> bool:
         """Let nothing that is known so far count against a request.
@@ -102,23 +102,23 @@
             Whether that is written; if not, entries hear of it all the same, and it is
             written later.
         """
-        row = self._book.void(fingerprint, self._clock.now())
+        row = self._table.void(fingerprint, self._clock.now())
         if row is None:
             return True
         log.warning("verdict lifted", extra={"fingerprint": fingerprint})
-        self._tell((row,))
+        self._publish((row,))
         return await self._replica.submit(RecordCrashes((row,))) is not None
 
-    def fade(self) -> None:
+    def expire(self) -> None:
         """Forget suspects of long ago, and lift verdicts that are old."""
         now = self._clock.now()
-        self._book.fade(now)
+        self._table.fade(now)
         current = {row.fingerprint for row in self.verdicts()}
         self._convicted_at = {one: self._convicted_at.get(one, now) for one in current}
         if self._replica.raft.role is not Role.LEADER:
             return
         for fingerprint, since in self._convicted_at.items():
-            if now - since > VERDICT_LIFE:
+            if now - since > VERDICT_LIFETIME:
                 spawn(self.lift(fingerprint))
 
     async def run(self) -> None:
@@ -144,16 +144,16 @@
     def _merge(self, rows: Iterable[CrashRow]) -> tuple[CrashRow, ...]:
         """Merge rows and return those that are news."""
         now = self._clock.now()
-        merged = (self._book.merge(row, now) for row in rows)
+        merged = (self._table.merge(row, now) for row in rows)
         return tuple(row for row in merged if row is not None)
 
-    def _tell(self, news: tuple[CrashRow, ...]) -> None:
-        told = tuple(row for row in news if _is_told(row))
-        if not told:
+    def _publish(self, news: tuple[CrashRow, ...]) -> None:
+        reported = tuple(row for row in news if _is_reportable(row))
+        if not reported:
             return
-        self._broadcast(Crashes(told))
+        self._broadcast(Crashes(reported))
         self._metrics.verdicts.set({}, len(self.verdicts()))
-        for row in told:
+        for row in reported:
             if evidence.convicts(row):
                 extra = {
                     "fingerprint": row.fingerprint,
@@ -168,11 +168,11 @@
         written = self._replica.state.crashes
         return tuple(
             row
-            for row in self._book.rows()
-            if self._book.convicts(row.fingerprint)
+            for row in self._table.rows()
+            if self._table.convicts(row.fingerprint)
             is not written.convicts(row.fingerprint)
         )
 
 
-def _is_told(row: CrashRow) -> bool:
+def _is_reportable(row: CrashRow) -> bool:
     return len(row.counted) >= REPORT_THRESHOLD or bool(row.void)
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -301,7 +301,7 @@
         while True:
             await sleep(HEARTBEAT_INTERVAL)
             self._expire()
-            self.crashes.fade()
+            self.crashes.expire()
             for subscriber in self.subscribers:
                 self._push.send(subscriber)
                 self._send_heartbeat(subscriber)
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -10,7 +10,7 @@
 from leadseam.control.raft_work import Role
 from leadseam.control.state import ControlState, CrashesRecorded, RecordCrashes
 from leadseam.crashes.book import SUSPECT_LIFE
-from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
+from leadseam.feed.crash_server import VERDICT_LIFETIME, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.codec import decode_frame, encode_frame
 from leadseam.wire.crashes import Crashes
@@ -43,12 +43,12 @@
     def __init__(self) -> None:
         self.box = Box()
         self.clock = ManualClock(0)
-        self.told: list[Crashes] = []
+        self.sent: list[Crashes] = []
         self.server = CrashServer(
             cast("Any", self.box),
             self.clock,
             ControlMetrics(Metrics()),
-            self.told.append,
+            self.sent.append,
         )
 
     async def settle(self) -> None:
@@ -62,17 +62,17 @@
 def test_entries_hear_of_a_request_from_the_second_end_on() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1),)))
-    assert one.told == []
+    assert one.sent == []
     assert one.server.greeting() is None
     one.server.receive(Crashes((make_row(2),)))
-    assert one.told == [Crashes((make_row(1, 2),))]
+    assert one.sent == [Crashes((make_row(1, 2),))]
     assert one.server.greeting() == Crashes((make_row(1, 2),))
 
 
 async def test_a_verdict_is_told_at_once_and_written_once() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
-    assert one.told == [Crashes((make_row(1, 2, 3),))]
+    assert one.sent == [Crashes((make_row(1, 2, 3),))]
     await one.settle()
     one.server.receive(Crashes((make_row(3),)))
     await one.settle()
@@ -84,7 +84,7 @@
     one.box.quorum = False
     one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
-    assert one.told and not one.box.written
+    assert one.sent and not one.box.written
     one.box.quorum = True
     one.server._wake.set()
     await one.settle()
@@ -98,7 +98,7 @@
     )
     one.server.on_applied()
     one.server.on_applied()
-    assert one.told == [Crashes((make_row(1, 2, 3),))]
+    assert one.sent == [Crashes((make_row(1, 2, 3),))]
 
 
 def test_a_replica_that_starts_anew_greets_with_what_is_written() -> None:
@@ -117,7 +117,7 @@
     await one.settle()
     assert await one.server.lift(DEADLY.fingerprint)
     lifted = make_row(1, 2, 3, void=(1, 2, 3))
-    assert one.told[-1] == Crashes((lifted,))
+    assert one.sent[-1] == Crashes((lifted,))
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
     # An entry that has not heard of it repeats what it knows.
@@ -130,9 +130,9 @@
     one = Fixture()
     one.server.receive(Crashes((make_row(1),)))
     one.clock.advance(SUSPECT_LIFE + 1)
-    one.server.fade()
+    one.server.expire()
     one.server.receive(Crashes((make_row(2),)))
-    assert one.told == []
+    assert one.sent == []
 
 
 def test_rows_pass_the_wire() -> None:
@@ -144,12 +144,12 @@
     one = Fixture()
     one.box.raft.role = Role.FOLLOWER
     one.server.receive(Crashes((make_row(1, 2, 3),)))
-    one.server.fade()
-    one.clock.advance(VERDICT_LIFE + 1)
-    one.server.fade()
+    one.server.expire()
+    one.clock.advance(VERDICT_LIFETIME + 1)
+    one.server.expire()
     assert one.server.verdicts() == (make_row(1, 2, 3),)
     one.box.raft.role = Role.LEADER
-    one.server.fade()
+    one.server.expire()
     await asyncio.sleep(0)
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -275,7 +275,7 @@
     Variant(
         "nobody is told of upstreams that have ended",
         "feed/crash_server.py",
-        "        self._broadcast(Crashes(told))\n",
+        "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
         f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
     ),
