--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._broadcast = broadcast
         self._guard = OrderGuard(resend_limit)
-        self._told = 0
+        self._sent_revision = 0
         self.on_applied()
 
     def __repr__(self) -> str:
@@ -86,9 +86,9 @@
     def on_applied(self) -> None:
         """Tell entries of a switch that was committed since the last call."""
         table = self._table
-        if table.revision <= self._told:
+        if table.revision <= self._sent_revision:
             return
-        self._told = table.revision
+        self._sent_revision = table.revision
         self._guard.record_applied(table.rows(), self._clock.now())
         self._metrics.evacuated_domains.set({}, len(table.evacuated))
         extra = {"revision": table.revision, "evacuated": table.evacuated}
@@ -110,7 +110,7 @@
             submit: Has a command committed, within the time that callers wait.
         """
         self.on_applied()
-        status = await self._carry_out(domain, evacuated, submit)
+        status = await self._execute(domain, evacuated, submit)
         extra = {
             "domain": domain,
             "evacuated": evacuated,
@@ -120,7 +120,7 @@
         log.info("evacuation ordered", extra=extra)
         return status
 
-    async def _carry_out(
+    async def _execute(
         self,
         domain: str,
         evacuated: bool,
