--- a/src/leadseam/feed/evacuation_routes.py
+++ b/src/leadseam/feed/evacuation_routes.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from leadseam.control.service import Accepted, Invalid, Unavailable
-from leadseam.feed.verdict_routes import is_from_here
+from leadseam.feed.verdict_routes import is_from_own_box
 
 if TYPE_CHECKING:
     from leadseam.control.evacuations import EvacuationRow
@@ -41,7 +41,7 @@
         )
 
     async def switch(req: web.Request, *, evacuated: bool) -> web.Response:
-        if not is_from_here(req.remote or "", own_ip):
+        if not is_from_own_box(req.remote or "", own_ip):
             error = {"error": "orders are taken from the control box itself"}
             return web.json_response(error, status=403)
         domain = req.match_info["domain"]
--- a/src/leadseam/feed/verdict_routes.py
+++ b/src/leadseam/feed/verdict_routes.py
@@ -31,7 +31,7 @@
         return web.json_response([to_json(row) for row in crashes.verdicts()])
 
     async def lift(req: web.Request) -> web.Response:
-        if not is_from_here(req.remote or "", own_ip):
+        if not is_from_own_box(req.remote or "", own_ip):
             error = {"error": "verdicts are lifted from the control box itself"}
             return web.json_response(error, status=403)
         written = await crashes.lift(req.match_info["fingerprint"])
@@ -40,7 +40,7 @@
     return [web.get(LIST_PATH, show), web.post(LIFT_PATH, lift)]
 
 
-def is_from_here(remote: str, own_ip: str) -> bool:
+def is_from_own_box(remote: str, own_ip: str) -> bool:
     """Tell whether a connection comes from the box itself."""
     try:
         return remote == own_ip or ipaddress.ip_address(remote).is_loopback
--- a/tests/feed/test_verdict_routes.py
+++ b/tests/feed/test_verdict_routes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadseam.feed.verdict_routes import is_from_here, to_json
+from leadseam.feed.verdict_routes import is_from_own_box, to_json
 from tests.crashes.samples import DEADLY, make_row
 
 
@@ -16,7 +16,7 @@
 
 
 def test_only_the_box_itself_lifts() -> None:
-    assert is_from_here("10.1.0.4", "10.1.0.4")
-    assert is_from_here("127.0.0.1", "10.1.0.4")
-    assert not is_from_here("10.1.0.5", "10.1.0.4")
-    assert not is_from_here("", "10.1.0.4")
+    assert is_from_own_box("10.1.0.4", "10.1.0.4")
+    assert is_from_own_box("127.0.0.1", "10.1.0.4")
+    assert not is_from_own_box("10.1.0.5", "10.1.0.4")
+    assert not is_from_own_box("", "10.1.0.4")
