--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -167,7 +167,7 @@
                 await self._follow(endpoint, backoff)
         finally:
             self._followed.discard(endpoint)
-            self._directory.lost(endpoint)
+            self._directory.disconnected(endpoint)
             self.view.disconnected(replica, self._clock.now())
 
     def report(self, report: LoadReport) -> None:
@@ -285,7 +285,9 @@
 
     def _update_members(self, replica: Endpoint, message: Replicas) -> None:
         addresses = (self._address_of(name) for name in message.names)
-        self._directory.told(replica, [one for one in addresses if one is not None])
+        self._directory.set_members(
+            replica, [one for one in addresses if one is not None]
+        )
 
     def _confirm(self, link: Link, message: Current) -> None:
         self.confirmed = True
--- a/src/leadseam/feed/directory.py
+++ b/src/leadseam/feed/directory.py
@@ -24,7 +24,7 @@
 
     def __init__(self, seeds: Iterable[Endpoint]) -> None:
         self._seeds = tuple(seeds)
-        self._told: dict[Endpoint, frozenset[Endpoint]] = {}
+        self._members_by_replica: dict[Endpoint, frozenset[Endpoint]] = {}
         self._order = list(self._seeds)
 
     def __repr__(self) -> str:
@@ -40,15 +40,15 @@
         self._seeds = tuple(seeds)
         self._refresh()
 
-    def told(self, by: Endpoint, members: Iterable[Endpoint]) -> None:
+    def set_members(self, by: Endpoint, members: Iterable[Endpoint]) -> None:
         """Take the members of the group as a replica that is followed knows them."""
-        self._told[by] = frozenset(members)
+        self._members_by_replica[by] = frozenset(members)
         self._refresh()
 
-    def lost(self, replica: Endpoint) -> None:
+    def disconnected(self, replica: Endpoint) -> None:
         """Note that a replica is no longer followed; the last one's word is kept."""
-        if len(self._told) > 1:
-            self._told.pop(replica, None)
+        if len(self._members_by_replica) > 1:
+            self._members_by_replica.pop(replica, None)
             self._refresh()
 
     def next(self, followed: Collection[Endpoint]) -> Endpoint | None:
@@ -60,6 +60,6 @@
         return None
 
     def _refresh(self) -> None:
-        wanted = set(self._seeds).union(*self._told.values())
+        wanted = set(self._seeds).union(*self._members_by_replica.values())
         kept = [endpoint for endpoint in self._order if endpoint in wanted]
         self._order = kept + sorted(wanted - set(kept), key=str)
--- a/tests/feed/test_directory.py
+++ b/tests/feed/test_directory.py
@@ -19,7 +19,7 @@
 
 def test_members_are_tried_besides_the_seeds() -> None:
     directory = ReplicaDirectory([at(1)])
-    directory.told(at(1), [at(1), at(2), at(3)])
+    directory.set_members(at(1), [at(1), at(2), at(3)])
     assert directory.endpoints == (at(1), at(2), at(3))
 
 
@@ -31,22 +31,22 @@
     """
     directory = ReplicaDirectory([at(1), at(2), at(3)])
     for number in range(3, 43):
-        directory.told(at(1), [at(1), at(2), at(number)])
-        directory.told(at(2), [at(1), at(2), at(number)])
+        directory.set_members(at(1), [at(1), at(2), at(number)])
+        directory.set_members(at(2), [at(1), at(2), at(number)])
     directory.set_seeds([at(1), at(2), at(42)])
     assert set(directory.endpoints) == {at(1), at(2), at(42)}
 
 
 def test_the_word_of_a_replica_that_was_lost_counts_no_longer() -> None:
     directory = ReplicaDirectory([at(1), at(2)])
-    directory.told(at(1), [at(1), at(2), at(9)])
-    directory.told(at(2), [at(1), at(2)])
-    directory.lost(at(1))
+    directory.set_members(at(1), [at(1), at(2), at(9)])
+    directory.set_members(at(2), [at(1), at(2)])
+    directory.disconnected(at(1))
     assert set(directory.endpoints) == {at(1), at(2)}
 
 
 def test_with_all_replicas_lost_every_address_is_still_tried() -> None:
     directory = ReplicaDirectory([at(1)])
-    directory.told(at(2), [at(2), at(3)])
-    directory.lost(at(2))
+    directory.set_members(at(2), [at(2), at(3)])
+    directory.disconnected(at(2))
     assert set(directory.endpoints) == {at(1), at(2), at(3)}
