--- a/src/leadseam/feed/entry_count.py
+++ b/src/leadseam/feed/entry_count.py
@@ -8,10 +8,10 @@
 if TYPE_CHECKING:
     from leadseam.clock import Millis
 
-KEPT: Millis = 30_000
+RETENTION: Millis = 30_000
 """Time for which a larger count holds: an entry that a replica cannot reach, or that is
 started again, may still send requests."""
-SETTLING: Millis = 1_000
+SETTLING_TIME: Millis = 1_000
 """Time from the first count until it is relied on: two feed heartbeats, in which
 entries that start together are counted."""
 
@@ -38,8 +38,8 @@
 
     def recent_max(self, now: Millis) -> int:
         """Return the largest count of late, or 0 if there is none to rely on."""
-        if self._first_at is None or now - self._first_at < SETTLING:
+        if self._first_at is None or now - self._first_at < SETTLING_TIME:
             return 0
-        while len(self._counts) > 1 and now - self._counts[0][0] > KEPT:
+        while len(self._counts) > 1 and now - self._counts[0][0] > RETENTION:
             self._counts.popleft()
         return self._counts[0][1]
--- a/tests/feed/test_entry_count.py
+++ b/tests/feed/test_entry_count.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from leadseam.feed.entry_count import KEPT, SETTLING, EntryCount
+from leadseam.feed.entry_count import RETENTION, SETTLING_TIME, EntryCount
 
 
 def test_a_first_count_is_relied_on_once_it_has_settled() -> None:
     entries = EntryCount()
     assert entries.recent_max(0) == 0
     entries.record(3, 100)
-    assert entries.recent_max(99 + SETTLING) == 0
+    assert entries.recent_max(99 + SETTLING_TIME) == 0
     entries.record(22, 600)
-    assert entries.recent_max(100 + SETTLING) == 22
+    assert entries.recent_max(100 + SETTLING_TIME) == 22
 
 
 def test_the_largest_count_of_late_holds() -> None:
@@ -21,6 +21,6 @@
     entries.record(10, 1_000)
     entries.record(0, 1_500)
     assert entries.recent_max(2_000) == 22
-    assert entries.recent_max(KEPT) == 22
-    assert entries.recent_max(KEPT + 1) == 10
-    assert entries.recent_max(10 * KEPT) == 10
+    assert entries.recent_max(RETENTION) == 22
+    assert entries.recent_max(RETENTION + 1) == 10
+    assert entries.recent_max(10 * RETENTION) == 10
