--- a/src/leadseam/feed/report_interval.py
+++ b/src/leadseam/feed/report_interval.py
@@ -16,7 +16,7 @@
 """Least interval: short against latency objectives of 250 ms and more."""
 MAX_INTERVAL: Millis = 200
 """Longest interval: staler sums cost more than the bytes that they save."""
-BYTES_PER_MILLI = 20
+BYTES_PER_MS = 20
 """Bytes that one node may get: the operators' limit for control is 20 KB/s."""
 ROW_BYTES = 20
 """Encoded size of a row of an engine or an account."""
@@ -28,7 +28,7 @@
     Args:
         size: Bytes of the last one.
     """
-    return min(max(size // BYTES_PER_MILLI, MIN_INTERVAL), MAX_INTERVAL)
+    return min(max(size // BYTES_PER_MS, MIN_INTERVAL), MAX_INTERVAL)
 
 
 def report_size(report: LoadReport) -> int:
--- a/tests/feed/test_report_interval.py
+++ b/tests/feed/test_report_interval.py
@@ -53,9 +53,9 @@
 def test_the_sums_take_no_more_of_a_node_than_its_limit(
     engines: int, accounts: int
 ) -> None:
-    summer = LoadAggregator()
-    summer.update(1, make_report(engines, accounts), 0)
-    totals = summer.totals(0)[1]
+    aggregator = LoadAggregator()
+    aggregator.update(1, make_report(engines, accounts), 0)
+    totals = aggregator.totals(0)[1]
     interval = interval_for(len(totals.data))
     assert len(encode(totals)) <= len(totals.data) + ENVELOPE
     if interval < MAX_INTERVAL:
@@ -75,11 +75,11 @@
 
 
 def test_sums_are_encoded_once_for_all_entries() -> None:
-    summer = LoadAggregator()
+    aggregator = LoadAggregator()
     for number in range(68):
-        summer.update(number, make_report(10, 10), 0)
+        aggregator.update(number, make_report(10, 10), 0)
     with mock.patch.object(module, "encode", wraps=encode) as counted:
-        totals = summer.totals(0)
+        totals = aggregator.totals(0)
     assert counted.call_count == 1
     assert len(totals) == 68
     assert len({id(one.data) for one in totals.values()}) == 1
