--- a/src/leadseam/feed/aggregator_selector.py
+++ b/src/leadseam/feed/aggregator_selector.py
@@ -41,9 +41,9 @@
             now: Current time.
         """
         names = sorted(followed)
-        self._forget_all_but(names)
-        sound = [name for name in names if not self._is_silent(name, now)]
-        self.chosen = next(iter(sound or names), None)
+        self._retain_only(names)
+        responsive = [name for name in names if not self._is_silent(name, now)]
+        self.chosen = next(iter(responsive or names), None)
         targets = [name for name in names if self._is_due(name, now)]
         for name in targets:
             self._unanswered.setdefault(name, now)
@@ -69,7 +69,7 @@
         since = self._unanswered.get(name)
         return since is not None and now - since > SILENCE_LIMIT
 
-    def _forget_all_but(self, names: list[str]) -> None:
+    def _retain_only(self, names: list[str]) -> None:
         for gone in self._unanswered.keys() - names:
             del self._unanswered[gone]
             self._probed.pop(gone, None)
--- a/tests/feed/test_aggregator_selector.py
+++ b/tests/feed/test_aggregator_selector.py
@@ -23,44 +23,44 @@
 
 
 def test_all_entries_choose_the_same_replica() -> None:
-    choice = AggregatorSelector()
-    assert choice.targets(NAMES, 0) == (FIRST,)
-    assert choice.answered(FIRST)
-    assert not choice.answered(SECOND)
-    assert choice.targets(NAMES - {FIRST}, 50) == (SECOND,)
-    assert choice.targets((), 100) == ()
-    assert choice.chosen is None
+    selector = AggregatorSelector()
+    assert selector.targets(NAMES, 0) == (FIRST,)
+    assert selector.answered(FIRST)
+    assert not selector.answered(SECOND)
+    assert selector.targets(NAMES - {FIRST}, 50) == (SECOND,)
+    assert selector.targets((), 100) == ()
+    assert selector.chosen is None
 
 
 def test_a_frozen_replica_is_passed_over_before_totals_are_too_old() -> None:
-    choice = AggregatorSelector()
-    choice.targets(NAMES, 0)
-    choice.answered(FIRST)
+    selector = AggregatorSelector()
+    selector.targets(NAMES, 0)
+    selector.answered(FIRST)
     now = 0
-    while choice.chosen == FIRST:
+    while selector.chosen == FIRST:
         now += INTERVAL
-        choice.targets(NAMES, now)
-    assert choice.chosen == SECOND
+        selector.targets(NAMES, now)
+    assert selector.chosen == SECOND
     assert SILENCE_LIMIT < now <= SILENCE_LIMIT + 2 * INTERVAL
     assert now < TOTALS_LIMIT
-    assert choice.answered(SECOND)
+    assert selector.answered(SECOND)
 
 
 def test_a_replica_that_is_passed_over_is_asked_now_and_then_until_it_answers() -> None:
-    choice = AggregatorSelector()
-    choice.targets(NAMES, 0)
+    selector = AggregatorSelector()
+    selector.targets(NAMES, 0)
     now = SILENCE_LIMIT + 1
     asked = 0
     while now <= SILENCE_LIMIT + 4 * PROBE_INTERVAL:
-        targets = choice.targets(NAMES, now)
-        choice.answered(SECOND)
+        targets = selector.targets(NAMES, now)
+        selector.answered(SECOND)
         asked += FIRST in targets
         assert SECOND in targets
         now += INTERVAL
     assert asked == 4
     # Its first answer comes before it is chosen again, and is not used.
-    assert not choice.answered(FIRST)
-    assert choice.targets(NAMES, now) == (FIRST,)
+    assert not selector.answered(FIRST)
+    assert selector.targets(NAMES, now) == (FIRST,)
 
 
 def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
