--- a/src/leadseam/feed/load_aggregator.py
+++ b/src/leadseam/feed/load_aggregator.py
@@ -14,12 +14,12 @@
     from leadseam.clock import Millis
     from leadseam.wire.feed import LoadReport
 
-REPORT_LIMIT: Millis = 1_000
+MAX_REPORT_AGE: Millis = 1_000
 """Age beyond which an entry's report no longer counts: five longest intervals."""
 
 
 @dataclass(slots=True)
-class _Reported:
+class _StoredReport:
     report: LoadReport
     at: Millis
 
@@ -28,14 +28,14 @@
     """The newest report of each subscriber."""
 
     def __init__(self) -> None:
-        self._reports: dict[int, _Reported] = {}
+        self._reports: dict[int, _StoredReport] = {}
 
     def __repr__(self) -> str:
         return f"LoadAggregator(reports={len(self._reports)})"
 
     def update(self, subscriber: int, report: LoadReport, now: Millis) -> None:
         """Replace a subscriber's report."""
-        self._reports[subscriber] = _Reported(report, now)
+        self._reports[subscriber] = _StoredReport(report, now)
 
     def forget(self, subscriber: int) -> None:
         """Drop the report of a subscriber that is gone."""
@@ -56,19 +56,19 @@
 
         The sums are encoded once for all.
         """
-        for subscriber, reported in list(self._reports.items()):
-            if now - reported.at > REPORT_LIMIT:
+        for subscriber, stored in list(self._reports.items()):
+            if now - stored.at > MAX_REPORT_AGE:
                 del self._reports[subscriber]
         data = encode(LoadSums(self._rows(), self._usage()))
         return {
-            subscriber: LoadTotals(reported.report.sequence, data)
-            for subscriber, reported in self._reports.items()
+            subscriber: LoadTotals(stored.report.sequence, data)
+            for subscriber, stored in self._reports.items()
         }
 
     def _rows(self) -> tuple[LoadRow, ...]:
         sums: dict[int, list[int]] = {}
-        for reported in self._reports.values():
-            for row in reported.report.rows:
+        for stored in self._reports.values():
+            for row in stored.report.rows:
                 counts = sums.setdefault(row.upstream, [0, 0, 0])
                 counts[0] += row.requests
                 counts[1] += row.unread
@@ -77,8 +77,8 @@
 
     def _usage(self) -> tuple[UsageRow, ...]:
         sums: dict[str, list[int]] = {}
-        for reported in self._reports.values():
-            for row in reported.report.usage:
+        for stored in self._reports.values():
+            for row in stored.report.usage:
                 counts = sums.setdefault(row.account, [0, 0])
                 counts[0] += row.served
                 counts[1] += row.asked
