--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -71,7 +71,7 @@
         self._wake = asyncio.Event()
 
     def __repr__(self) -> str:
-        return f"CrashServer({self._book!r})"
+        return f"CrashServer({self._table!r})"
 
     def greeting(self) -> Crashes | None:
         """Return what a new subscriber has to know, or None."""
