--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -259,7 +259,7 @@
             self._push_departures()
             self.evacuations.on_applied()
             self.crashes.on_applied()
-            self._push_newly_named()
+            self._push_newly_configured()
             for subscriber in self.subscribers:
                 if self._push.is_primary_for(subscriber):
                     self._push.send(subscriber)
@@ -288,7 +288,7 @@
         log.info("upstreams leave", extra={"instances": list(map(str, new))})
         self._broadcast(Left(tuple(new)))
 
-    def _push_newly_named(self) -> None:
+    def _push_newly_configured(self) -> None:
         """Tell of upstreams that registered before their pool was named."""
         pools = frozenset(self._replica.state.configuration.pools)
         new = pools - self._configured_pools
--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -84,15 +84,15 @@
     told: list[object] = []
     box.feed._broadcast = told.append  # type: ignore[assignment]
     row = make_upstream(1)
-    assert box.feed.takes(row)
+    assert box.feed.accepts(row)
     box.feed.register(row)
     assert told == []
     pools = {"p": cast("Any", SimpleNamespace())}
     box.state.configuration = cast("Any", SimpleNamespace(version=1, pools=pools))
-    box.feed._push_newly_named()
+    box.feed._push_newly_configured()
     (message,) = told
     assert cast("Any", message).rows == (row,)
-    assert not box.feed.takes(make_upstream(2, pool="q"))
+    assert not box.feed.accepts(make_upstream(2, pool="q"))
     # One that is heard stays an upstream when its pool goes.
     pools.clear()
-    assert box.feed.takes(row)
+    assert box.feed.accepts(row)
