--- a/src/leadseam/feed/load_aggregator.py
+++ b/src/leadseam/feed/load_aggregator.py
@@ -37,7 +37,7 @@
         """Replace a subscriber's report."""
         self._reports[subscriber] = _StoredReport(report, now)
 
-    def forget(self, subscriber: int) -> None:
+    def remove(self, subscriber: int) -> None:
         """Drop the report of a subscriber that is gone."""
         self._reports.pop(subscriber, None)
 
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -213,7 +213,7 @@
                 self._handle(subscriber, request)
         finally:
             del self._subscribers[number]
-            self._sums.forget(number)
+            self._sums.remove(number)
 
     def _send_initial_state(self, subscriber: Subscriber) -> None:
         """Send a new subscriber all that it may lack."""
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -76,5 +76,5 @@
     assert both.rows == (LoadRow(ENGINE.digest(), 2, 0, 0),)
     assert both.usage == (UsageRow("bank", 11, 22), UsageRow("shop", 3, 4))
     assert set(sums.totals(1_001)) == {2}
-    sums.forget(2)
+    sums.remove(2)
     assert sums.totals(1_001) == {}
