--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -167,7 +167,7 @@
                 await self._follow(endpoint, backoff)
         finally:
             self._followed.discard(endpoint)
-            self._directory.disconnected(endpoint)
+            self._directory.replica_lost(endpoint)
             self.view.disconnected(replica, self._clock.now())
 
     def report(self, report: LoadReport) -> None:
--- a/src/leadseam/feed/directory.py
+++ b/src/leadseam/feed/directory.py
@@ -45,7 +45,7 @@
         self._members_by_replica[by] = frozenset(members)
         self._refresh()
 
-    def disconnected(self, replica: Endpoint) -> None:
+    def replica_lost(self, replica: Endpoint) -> None:
         """Note that a replica is no longer followed; the last one's word is kept."""
         if len(self._members_by_replica) > 1:
             self._members_by_replica.pop(replica, None)
--- a/tests/feed/test_directory.py
+++ b/tests/feed/test_directory.py
@@ -41,12 +41,12 @@
     directory = ReplicaDirectory([at(1), at(2)])
     directory.set_members(at(1), [at(1), at(2), at(9)])
     directory.set_members(at(2), [at(1), at(2)])
-    directory.disconnected(at(1))
+    directory.replica_lost(at(1))
     assert set(directory.endpoints) == {at(1), at(2)}
 
 
 def test_with_all_replicas_lost_every_address_is_still_tried() -> None:
     directory = ReplicaDirectory([at(1)])
     directory.set_members(at(2), [at(2), at(3)])
-    directory.disconnected(at(2))
+    directory.replica_lost(at(2))
     assert set(directory.endpoints) == {at(1), at(2), at(3)}
