--- a/src/leadseam/feed/configuration_push.py
+++ b/src/leadseam/feed/configuration_push.py
@@ -82,8 +82,8 @@
             return True
         own = base_name(self._replica.raft.identity)
         names = {*self._replica.members, own}
-        primary = max(names, key=lambda name: _rendezvous_weight(subscriber.node, name))
-        return bool(own == primary)
+        first = max(names, key=lambda name: _rendezvous_weight(subscriber.node, name))
+        return bool(own == first)
 
     def send(self, subscriber: Subscriber) -> None:
         """Send what a subscriber lacks, if this replica is current."""
