--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -19,8 +19,8 @@
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.pace import SHORTEST, interval_for
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.load_aggregator import LoadAggregator
+from leadseam.feed.report_interval import MIN_INTERVAL, interval_for
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import AdmittedRequest
@@ -108,7 +108,7 @@
         feed = cast("FeedClient", _Feed(rows, cfg))
         self._placers = [self._placer(feed) for _ in range(cfg.entries)]
         self._routes = {kind.name: _route(kind) for kind in cfg.kinds}
-        self._summer = LoadSummer()
+        self._summer = LoadAggregator()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
@@ -209,15 +209,15 @@
     # Shared sums
 
     async def _report(self, number: int) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         await sleep(self._rng.randrange(interval))
         while True:
             await sleep(interval)
             report = self._placers[number].load_report()
-            self._summer.take(number, report, self._clock.now())
+            self._summer.update(number, report, self._clock.now())
 
     async def _add_up(self) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         while True:
             await sleep(interval)
             for number, totals in self._summer.totals(self._clock.now()).items():
--- a/src/leadseam/feed/summing.py
+++ b/src/leadseam/feed/aggregator_selector.py
@@ -22,7 +22,7 @@
 """Pause between two reports to a replica that is passed over."""
 
 
-class SummingReplica:
+class AggregatorSelector:
     """The choice of one entry among the replicas that it follows."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._probed: dict[str, Millis] = {}
 
     def __repr__(self) -> str:
-        return f"SummingReplica(chosen={self.chosen}, silent={list(self._probed)})"
+        return f"AggregatorSelector(chosen={self.chosen}, silent={list(self._probed)})"
 
     def targets(self, followed: Iterable[str], now: Millis) -> tuple[str, ...]:
         """Return who gets the next report: the replica chosen, and those probed.
@@ -41,9 +41,9 @@
             now: Current time.
         """
         names = sorted(followed)
-        self._forget_all_but(names)
-        sound = [name for name in names if not self._is_silent(name, now)]
-        self.chosen = next(iter(sound or names), None)
+        self._retain_only(names)
+        responsive = [name for name in names if not self._is_silent(name, now)]
+        self.chosen = next(iter(responsive or names), None)
         targets = [name for name in names if self._is_due(name, now)]
         for name in targets:
             self._unanswered.setdefault(name, now)
@@ -69,7 +69,7 @@
         since = self._unanswered.get(name)
         return since is not None and now - since > SILENCE_LIMIT
 
-    def _forget_all_but(self, names: list[str]) -> None:
+    def _retain_only(self, names: list[str]) -> None:
         for gone in self._unanswered.keys() - names:
             del self._unanswered[gone]
             self._probed.pop(gone, None)
--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -14,7 +14,7 @@
     from collections.abc import Awaitable, Callable
 
     from leadseam.clock import Clock, Millis
-    from leadseam.control.evacuations import EvacuationRow, Evacuations
+    from leadseam.control.evacuations import EvacuationRow, EvacuationTable
     from leadseam.control.replica import Replica
     from leadseam.control.state import Command, CommandResult
     from leadseam.runtime.metrics import ControlMetrics
@@ -47,7 +47,7 @@
         replica: Source of the committed table.
         clock: Source of time.
         metrics: Where the number of evacuated domains is shown.
-        tell_all: Sends a message to all subscribers.
+        broadcast: Sends a message to all subscribers.
         resend_limit: Milliseconds for which operators may send an order again.
     """
 
@@ -56,23 +56,23 @@
         replica: Replica,
         clock: Clock,
         metrics: ControlMetrics,
-        tell_all: Callable[[Evacuated], None],
+        broadcast: Callable[[Evacuated], None],
         *,
         resend_limit: Millis = RESEND_LIMIT,
     ) -> None:
         self._replica = replica
         self._clock = clock
         self._metrics = metrics
-        self._tell_all = tell_all
+        self._broadcast = broadcast
         self._guard = OrderGuard(resend_limit)
-        self._told = 0
-        self.applied()
+        self._sent_revision = 0
+        self.on_applied()
 
     def __repr__(self) -> str:
         return f"EvacuationServer({self._table!r})"
 
     @property
-    def _table(self) -> Evacuations:
+    def _table(self) -> EvacuationTable:
         return self._replica.state.evacuations
 
     def rows(self) -> tuple[EvacuationRow, ...]:
@@ -83,17 +83,17 @@
         """Return what a new subscriber has to know, or None."""
         return self._message() if self._table.revision else None
 
-    def applied(self) -> None:
+    def on_applied(self) -> None:
         """Tell entries of a switch that was committed since the last call."""
         table = self._table
-        if table.revision <= self._told:
+        if table.revision <= self._sent_revision:
             return
-        self._told = table.revision
-        self._guard.applied(table.rows(), self._clock.now())
+        self._sent_revision = table.revision
+        self._guard.record_applied(table.rows(), self._clock.now())
         self._metrics.evacuated_domains.set({}, len(table.evacuated))
         extra = {"revision": table.revision, "evacuated": table.evacuated}
         log.warning("evacuated failure domains changed", extra=extra)
-        self._tell_all(self._message())
+        self._broadcast(self._message())
 
     async def order(
         self,
@@ -109,8 +109,8 @@
             evacuated: Whether it is evacuated or taken back.
             submit: Has a command committed, within the time that callers wait.
         """
-        self.applied()
-        status = await self._carry_out(domain, evacuated, submit)
+        self.on_applied()
+        status = await self._execute(domain, evacuated, submit)
         extra = {
             "domain": domain,
             "evacuated": evacuated,
@@ -120,7 +120,7 @@
         log.info("evacuation ordered", extra=extra)
         return status
 
-    async def _carry_out(
+    async def _execute(
         self,
         domain: str,
         evacuated: bool,
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -8,11 +8,15 @@
 
 from leadseam.clock import Clock, Millis, SystemClock, seconds, sleep
 from leadseam.feed.claim_server import ClaimServer
-from leadseam.feed.configuration_push import FIRST_LEAD, ConfigurationPush, Subscriber
+from leadseam.feed.configuration_push import (
+    PRIMARY_HEAD_START,
+    ConfigurationPush,
+    Subscriber,
+)
 from leadseam.feed.crash_server import CrashServer
 from leadseam.feed.evacuation_server import RESEND_LIMIT, EvacuationServer
-from leadseam.feed.pace import SHORTEST, interval_for
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.load_aggregator import LoadAggregator
+from leadseam.feed.report_interval import MIN_INTERVAL, interval_for
 from leadseam.incarnation import NO_START
 from leadseam.membership.departures import Departures
 from leadseam.membership.registry import DEFAULT_HEARTBEAT, Registry
@@ -45,9 +49,9 @@
 """Pause in which registrations are gathered for one message to all subscribers: when
 all control boxes have started again, thousands of upstreams register within a second,
 and a message for each of them to hundreds of entries takes a replica many seconds."""
-MAX_NAMED = 20
+MAX_LOGGED_UPSTREAMS = 20
 """Upstreams named on one log line."""
-MAX_LEFT_TOLD = 1_000
+MAX_DEPARTURES_SENT = 1_000
 """Left upstreams told to a new subscriber; older ones have ended long ago."""
 
 log = logging.getLogger(__name__)
@@ -77,17 +81,17 @@
         self._metrics = metrics
         self._registry = registry or Registry(DEFAULT_HEARTBEAT)
         self._clock = clock or SystemClock()
-        self._told_left = Departures()
-        self._named_pools: frozenset[str] = frozenset()
-        self._sums = LoadSummer()
+        self._reported_departures = Departures()
+        self._configured_pools: frozenset[str] = frozenset()
+        self._sums = LoadAggregator()
         self._subscribers: dict[int, Subscriber] = {}
         self._next_id = 0
         self._claims = ClaimServer(replica, metrics)
-        self.crashes = CrashServer(replica, self._clock, metrics, self._tell_all)
+        self.crashes = CrashServer(replica, self._clock, metrics, self._broadcast)
         self.evacuations = EvacuationServer(
-            replica, self._clock, metrics, self._tell_all, resend_limit=resend_limit
+            replica, self._clock, metrics, self._broadcast, resend_limit=resend_limit
         )
-        self._fresh: dict[str, Registration] = {}
+        self._pending_registrations: dict[str, Registration] = {}
         self._registered = asyncio.Event()
         self._push = ConfigurationPush(replica, metrics)
         self._pushing_later = False
@@ -113,22 +117,25 @@
             return
         if not self._registry.heartbeat(registration, self._clock.now()):
             return
-        if self._is_named(registration):
-            self._fresh[registration.instance] = registration
+        if self._has_configured_pool(registration):
+            self._pending_registrations[registration.instance] = registration
             self._registered.set()
 
     def push_registrations(self) -> None:
         """Tell subscribers of the upstreams whose registration has changed."""
-        rows, self._fresh = tuple(self._fresh.values()), {}
+        rows, self._pending_registrations = (
+            tuple(self._pending_registrations.values()),
+            {},
+        )
         if not rows:
             return
         extra = {
             "count": len(rows),
-            "instances": [str(row.incarnation) for row in rows[:MAX_NAMED]],
+            "instances": [str(row.incarnation) for row in rows[:MAX_LOGGED_UPSTREAMS]],
             "pools": sorted({row.pool for row in rows}),
         }
         log.info("upstreams registered", extra=extra)
-        self._tell_all(Registered(rows))
+        self._broadcast(Registered(rows))
 
     async def _push_registrations(self) -> None:
         while True:
@@ -137,7 +144,7 @@
             self._registered.clear()
             self.push_registrations()
 
-    def takes(self, registration: Registration) -> bool:
+    def accepts(self, registration: Registration) -> bool:
         """Tell whether a registration may be of an upstream.
 
         One of a pool that the configuration does not name is of none: whoever wrote it,
@@ -147,9 +154,11 @@
         """
         if not self._replica.state.configuration.version:
             return True
-        return self._is_named(registration) or self._registry.hears(registration)
+        return self._has_configured_pool(registration) or self._registry.hears(
+            registration
+        )
 
-    def _is_named(self, registration: Registration) -> bool:
+    def _has_configured_pool(self, registration: Registration) -> bool:
         return registration.pool in self._replica.state.configuration.pools
 
     def start_of(self, instance: str) -> int | None:
@@ -195,22 +204,24 @@
             message.version,
             in_force=message.version,
             clock=message.clock,
-            alone=message.width == 1,
+            single_replica=message.width == 1,
         )
         self._subscribers[number] = subscriber
         try:
-            self._greet(subscriber)
+            self._send_initial_state(subscriber)
             async for request in link.messages():
                 self._handle(subscriber, request)
         finally:
             del self._subscribers[number]
-            self._sums.forget(number)
+            self._sums.remove(number)
 
-    def _greet(self, subscriber: Subscriber) -> None:
+    def _send_initial_state(self, subscriber: Subscriber) -> None:
         """Send a new subscriber all that it may lack."""
-        named = tuple(row for row in self._registry.rows() if self._is_named(row))
+        named = tuple(
+            row for row in self._registry.rows() if self._has_configured_pool(row)
+        )
         subscriber.link.send(Registered(named, whole=True))
-        left = tuple(self._replica.state.departed)[-MAX_LEFT_TOLD:]
+        left = tuple(self._replica.state.departed)[-MAX_DEPARTURES_SENT:]
         if left:
             subscriber.link.send(Left(left))
         # Before the configuration, so that nobody serves without knowing these.
@@ -221,7 +232,7 @@
         self._push.send(subscriber)
         self._send_heartbeat(subscriber)
 
-    def _tell_all(self, message: AnyMessage) -> None:
+    def _broadcast(self, message: AnyMessage) -> None:
         if not self._subscribers:
             return
         prepared = prepare(message)
@@ -231,9 +242,9 @@
     def _handle(self, subscriber: Subscriber, message: AnyMessage) -> None:
         match message:
             case LoadReport():
-                self._sums.take(subscriber.number, message, self._clock.now())
+                self._sums.update(subscriber.number, message, self._clock.now())
             case Crashes():
-                self.crashes.take(message)
+                self.crashes.receive(message)
             case InForce(version=version, clock=clock):
                 subscriber.in_force = max(subscriber.in_force, version)
                 subscriber.clock = max(subscriber.clock, clock)
@@ -245,12 +256,12 @@
     async def _push_changes(self) -> None:
         while True:
             await self._replica.wait_for_apply()
-            self._push_left()
-            self.evacuations.applied()
-            self.crashes.applied()
-            self._push_newly_named()
+            self._push_departures()
+            self.evacuations.on_applied()
+            self.crashes.on_applied()
+            self._push_newly_configured()
             for subscriber in self.subscribers:
-                if self._push.is_first_for(subscriber):
+                if self._push.is_primary_for(subscriber):
                     self._push.send(subscriber)
             self._push_later()
 
@@ -258,7 +269,7 @@
         """Send what the replica that is first for a subscriber has not sent by then."""
         if not self._pushing_later:
             self._pushing_later = True
-            delay = seconds(FIRST_LEAD)
+            delay = seconds(PRIMARY_HEAD_START)
             asyncio.get_running_loop().call_later(delay, self._push_to_all)
 
     def _push_to_all(self) -> None:
@@ -266,37 +277,37 @@
         for subscriber in self.subscribers:
             self._push.send(subscriber)
 
-    def _push_left(self) -> None:
+    def _push_departures(self) -> None:
         """Tell of upstreams whose leaving was committed since the last call."""
         departed = self._replica.state.departed
-        fresh = [one for one in departed if self._told_left.add(one)]
-        if not fresh:
+        new = [one for one in departed if self._reported_departures.add(one)]
+        if not new:
             return
-        for incarnation in fresh:
+        for incarnation in new:
             self._registry.remove(incarnation)
-        log.info("upstreams leave", extra={"instances": list(map(str, fresh))})
-        self._tell_all(Left(tuple(fresh)))
+        log.info("upstreams leave", extra={"instances": list(map(str, new))})
+        self._broadcast(Left(tuple(new)))
 
-    def _push_newly_named(self) -> None:
+    def _push_newly_configured(self) -> None:
         """Tell of upstreams that registered before their pool was named."""
         pools = frozenset(self._replica.state.configuration.pools)
-        fresh = pools - self._named_pools
-        self._named_pools = pools
-        rows = tuple(row for row in self._registry.rows() if row.pool in fresh)
+        new = pools - self._configured_pools
+        self._configured_pools = pools
+        rows = tuple(row for row in self._registry.rows() if row.pool in new)
         if rows:
-            self._tell_all(Registered(rows))
+            self._broadcast(Registered(rows))
 
     async def _push_heartbeats(self) -> None:
         while True:
             await sleep(HEARTBEAT_INTERVAL)
             self._expire()
-            self.crashes.fade()
+            self.crashes.expire()
             for subscriber in self.subscribers:
                 self._push.send(subscriber)
                 self._send_heartbeat(subscriber)
 
     async def _push_totals(self) -> None:
-        interval = SHORTEST
+        interval = MIN_INTERVAL
         while True:
             await sleep(interval)
             for number, totals in self._sums.totals(self._clock.now()).items():
@@ -308,7 +319,7 @@
         if lost:
             extra = {"instances": list(map(str, lost))}
             log.warning("upstreams are silent", extra=extra)
-            self._tell_all(Expired(lost))
+            self._broadcast(Expired(lost))
 
     def _send_heartbeat(self, subscriber: Subscriber) -> None:
         names = tuple(sorted(self._replica.members))
--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -65,34 +65,34 @@
 async def test_a_word_of_leaving_without_a_start_is_of_the_one_that_is_heard() -> None:
     box = Box()
     box.feed.register(make_upstream(1, start=2_000))
-    assert await box.service.leave_unstated("i-1") == Accepted()
+    assert await box.service.leave_without_start("i-1") == Accepted()
     assert tuple(box.state.departed) == (LATER,)
     # Starts are stated here, and this one is heard elsewhere.
-    assert isinstance(await box.service.leave_unstated("i-2"), Unavailable)
+    assert isinstance(await box.service.leave_without_start("i-2"), Unavailable)
     assert len(box.state.departed) == 1
 
 
 async def test_where_no_starts_are_stated_an_id_leaves_for_good() -> None:
     box = Box()
     box.feed.register(make_upstream(1))
-    assert await box.service.leave_unstated("i-9") == Accepted()
+    assert await box.service.leave_without_start("i-9") == Accepted()
     assert tuple(box.state.departed) == (Incarnation("i-9"),)
 
 
 def test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is() -> None:
     box = Box()
     told: list[object] = []
-    box.feed._tell_all = told.append  # type: ignore[assignment]
+    box.feed._broadcast = told.append  # type: ignore[assignment]
     row = make_upstream(1)
-    assert box.feed.takes(row)
+    assert box.feed.accepts(row)
     box.feed.register(row)
     assert told == []
     pools = {"p": cast("Any", SimpleNamespace())}
     box.state.configuration = cast("Any", SimpleNamespace(version=1, pools=pools))
-    box.feed._push_newly_named()
+    box.feed._push_newly_configured()
     (message,) = told
     assert cast("Any", message).rows == (row,)
-    assert not box.feed.takes(make_upstream(2, pool="q"))
+    assert not box.feed.accepts(make_upstream(2, pool="q"))
     # One that is heard stays an upstream when its pool goes.
     pools.clear()
-    assert box.feed.takes(row)
+    assert box.feed.accepts(row)
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -49,12 +49,12 @@
         replica = SimpleNamespace(state=SimpleNamespace(crashes=self.log))
         clock = ManualClock(0)
 
-        def tell_all(message: Crashes) -> None:
+        def broadcast(message: Crashes) -> None:
             for entry in ENTRIES:
                 self.link("down", entry, number).append(message)
 
         return CrashServer(
-            cast("Any", replica), clock, ControlMetrics(Metrics()), tell_all
+            cast("Any", replica), clock, ControlMetrics(Metrics()), broadcast
         )
 
     def link(self, way: str, entry: int, replica: int) -> deque[Crashes]:
@@ -115,7 +115,7 @@
 
     def take(self, way: str, entry: int, replica: int, message: Crashes) -> None:
         if way == "up":
-            self.replicas[replica].take(message)
+            self.replicas[replica].receive(message)
         else:
             self.entries[entry].told(message.rows, self.now)
 
@@ -144,7 +144,7 @@
     @rule(replica=st.sampled_from(REPLICAS))
     def apply(self, replica: int) -> None:
         """A replica looks at the log."""
-        self.replicas[replica].applied()
+        self.replicas[replica].on_applied()
 
     @rule()
     def lose_all(self) -> None:
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -8,9 +8,9 @@
 
 from leadseam.clock import ManualClock
 from leadseam.control.raft_types import Role
-from leadseam.control.state import ControlState, CrashesNoted, NoteCrashes
+from leadseam.control.state import ControlState, CrashesRecorded, RecordCrashes
 from leadseam.crashes.book import SUSPECT_LIFE
-from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
+from leadseam.feed.crash_server import VERDICT_LIFETIME, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.codec import decode_frame, encode_frame
 from leadseam.wire.crashes import Crashes
@@ -43,12 +43,12 @@
     def __init__(self) -> None:
         self.box = Box()
         self.clock = ManualClock(0)
-        self.told: list[Crashes] = []
+        self.sent: list[Crashes] = []
         self.server = CrashServer(
             cast("Any", self.box),
             self.clock,
             ControlMetrics(Metrics()),
-            self.told.append,
+            self.sent.append,
         )
 
     async def settle(self) -> None:
@@ -61,47 +61,49 @@
 
 def test_entries_hear_of_a_request_from_the_second_end_on() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1),)))
-    assert one.told == []
+    one.server.receive(Crashes((make_row(1),)))
+    assert one.sent == []
     assert one.server.greeting() is None
-    one.server.take(Crashes((make_row(2),)))
-    assert one.told == [Crashes((make_row(1, 2),))]
+    one.server.receive(Crashes((make_row(2),)))
+    assert one.sent == [Crashes((make_row(1, 2),))]
     assert one.server.greeting() == Crashes((make_row(1, 2),))
 
 
 async def test_a_verdict_is_told_at_once_and_written_once() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
-    assert one.told == [Crashes((make_row(1, 2, 3),))]
+    one.server.receive(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
+    assert one.sent == [Crashes((make_row(1, 2, 3),))]
     await one.settle()
-    one.server.take(Crashes((make_row(3),)))
+    one.server.receive(Crashes((make_row(3),)))
     await one.settle()
-    assert one.box.written == [NoteCrashes((make_row(1, 2, 3),))]
+    assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
 async def test_it_needs_no_quorum_to_tell() -> None:
     one = Fixture()
     one.box.quorum = False
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
-    assert one.told and not one.box.written
+    assert one.sent and not one.box.written
     one.box.quorum = True
     one.server._wake.set()
     await one.settle()
-    assert one.box.written == [NoteCrashes((make_row(1, 2, 3),))]
+    assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
 def test_what_comes_through_the_log_is_told_once() -> None:
     one = Fixture()
-    assert one.box.state.apply(NoteCrashes((make_row(1, 2, 3),))) == CrashesNoted(1)
-    one.server.applied()
-    one.server.applied()
-    assert one.told == [Crashes((make_row(1, 2, 3),))]
+    assert one.box.state.apply(RecordCrashes((make_row(1, 2, 3),))) == CrashesRecorded(
+        1
+    )
+    one.server.on_applied()
+    one.server.on_applied()
+    assert one.sent == [Crashes((make_row(1, 2, 3),))]
 
 
 def test_a_replica_that_starts_anew_greets_with_what_is_written() -> None:
     one = Fixture()
-    one.box.state.apply(NoteCrashes((make_row(1, 2, 3),)))
+    one.box.state.apply(RecordCrashes((make_row(1, 2, 3),)))
     saved = one.box.state.save()
     other = Fixture()
     other.box.state.restore(saved)
@@ -111,26 +113,26 @@
 
 async def test_a_verdict_that_is_lifted_is_over_everywhere() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
     assert await one.server.lift(DEADLY.fingerprint)
     lifted = make_row(1, 2, 3, void=(1, 2, 3))
-    assert one.told[-1] == Crashes((lifted,))
+    assert one.sent[-1] == Crashes((lifted,))
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
     # An entry that has not heard of it repeats what it knows.
-    one.server.take(Crashes((make_row(1, 2, 3),)))
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
     assert one.server.verdicts() == ()
     assert await one.server.lift("unknown")
 
 
 def test_suspects_fade_at_a_replica() -> None:
     one = Fixture()
-    one.server.take(Crashes((make_row(1),)))
+    one.server.receive(Crashes((make_row(1),)))
     one.clock.advance(SUSPECT_LIFE + 1)
-    one.server.fade()
-    one.server.take(Crashes((make_row(2),)))
-    assert one.told == []
+    one.server.expire()
+    one.server.receive(Crashes((make_row(2),)))
+    assert one.sent == []
 
 
 def test_rows_pass_the_wire() -> None:
@@ -141,13 +143,13 @@
 async def test_an_old_verdict_is_lifted_by_whoever_leads() -> None:
     one = Fixture()
     one.box.raft.role = Role.FOLLOWER
-    one.server.take(Crashes((make_row(1, 2, 3),)))
-    one.server.fade()
-    one.clock.advance(VERDICT_LIFE + 1)
-    one.server.fade()
+    one.server.receive(Crashes((make_row(1, 2, 3),)))
+    one.server.expire()
+    one.clock.advance(VERDICT_LIFETIME + 1)
+    one.server.expire()
     assert one.server.verdicts() == (make_row(1, 2, 3),)
     one.box.raft.role = Role.LEADER
-    one.server.fade()
+    one.server.expire()
     await asyncio.sleep(0)
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
--- a/tests/feed/test_pace.py
+++ b/tests/feed/test_report_interval.py
@@ -12,9 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadseam.feed import totals as module
-from leadseam.feed.pace import LONGEST, SHORTEST, interval_for, report_size
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed import load_aggregator as module
+from leadseam.feed.load_aggregator import LoadAggregator
+from leadseam.feed.report_interval import (
+    MAX_INTERVAL,
+    MIN_INTERVAL,
+    interval_for,
+    report_size,
+)
 from leadseam.incarnation import Incarnation
 from leadseam.wire.codec import encode
 from leadseam.wire.feed import LoadReport, LoadRow, UsageRow
@@ -48,20 +53,20 @@
 def test_the_sums_take_no_more_of_a_node_than_its_limit(
     engines: int, accounts: int
 ) -> None:
-    summer = LoadSummer()
-    summer.take(1, make_report(engines, accounts), 0)
-    totals = summer.totals(0)[1]
+    aggregator = LoadAggregator()
+    aggregator.update(1, make_report(engines, accounts), 0)
+    totals = aggregator.totals(0)[1]
     interval = interval_for(len(totals.data))
     assert len(encode(totals)) <= len(totals.data) + ENVELOPE
-    if interval < LONGEST:
+    if interval < MAX_INTERVAL:
         # Whole milliseconds: the last one may be missing.
         assert len(totals.data) * 1_000 / (interval + 1) < LIMIT
 
 
 def test_intervals_stay_between_the_shortest_and_the_longest() -> None:
-    assert interval_for(0) == SHORTEST
+    assert interval_for(0) == MIN_INTERVAL
     assert interval_for(2_200) == 110
-    assert interval_for(54_565) == LONGEST
+    assert interval_for(54_565) == MAX_INTERVAL
 
 
 def test_the_size_of_a_report_is_told_by_its_rows() -> None:
@@ -70,11 +75,11 @@
 
 
 def test_sums_are_encoded_once_for_all_entries() -> None:
-    summer = LoadSummer()
+    aggregator = LoadAggregator()
     for number in range(68):
-        summer.take(number, make_report(10, 10), 0)
+        aggregator.update(number, make_report(10, 10), 0)
     with mock.patch.object(module, "encode", wraps=encode) as counted:
-        totals = summer.totals(0)
+        totals = aggregator.totals(0)
     assert counted.call_count == 1
     assert len(totals) == 68
     assert len({id(one.data) for one in totals.values()}) == 1
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.load_aggregator import LoadAggregator
 from leadseam.incarnation import Incarnation
 from leadseam.routing.load import KEPT_REPORTS, MAX_TOTALS_AGE, Load, LoadTable
 from leadseam.wire.codec import decode
@@ -18,9 +18,9 @@
 
 def exchange(books: list[LoadTable], now: int = 0) -> None:
     """Have every book report, and take the totals."""
-    sums = LoadSummer()
+    sums = LoadAggregator()
     for number, book in enumerate(books):
-        sums.take(number, book.report(()), now)
+        sums.update(number, book.report(()), now)
     for number, totals in sums.totals(now).items():
         books[number].apply_sums(totals.included, sums_of(totals), now)
 
@@ -57,8 +57,8 @@
 def test_totals_of_a_report_that_was_forgotten_count_the_own_part_twice() -> None:
     book = LoadTable()
     book.begin(ENGINE, Load(requests=1))
-    sums = LoadSummer()
-    sums.take(0, book.report(()), 0)
+    sums = LoadAggregator()
+    sums.update(0, book.report(()), 0)
     totals = sums.totals(0)[0]
     for _ in range(KEPT_REPORTS):
         book.report(())
@@ -67,14 +67,14 @@
 
 
 def test_a_replica_drops_old_reports_and_sums_usage() -> None:
-    sums = LoadSummer()
+    sums = LoadAggregator()
     book = LoadTable()
     book.begin(ENGINE, Load(requests=1))
-    sums.take(1, book.report([UsageRow("bank", 10, 20)]), 0)
-    sums.take(2, book.report([UsageRow("bank", 1, 2), UsageRow("shop", 3, 4)]), 900)
+    sums.update(1, book.report([UsageRow("bank", 10, 20)]), 0)
+    sums.update(2, book.report([UsageRow("bank", 1, 2), UsageRow("shop", 3, 4)]), 900)
     both = sums_of(sums.totals(1_000)[2])
     assert both.rows == (LoadRow(ENGINE.digest(), 2, 0, 0),)
     assert both.usage == (UsageRow("bank", 11, 22), UsageRow("shop", 3, 4))
     assert set(sums.totals(1_001)) == {2}
-    sums.forget(2)
+    sums.remove(2)
     assert sums.totals(1_001) == {}
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -259,7 +259,7 @@
     Variant(
         "pools that nobody named are taken",
         "feed/server.py",
-        "        return self._is_named(registration) or",
+        "        return self._has_configured_pool(registration) or",
         "        return True or",
         "tests/control/test_departed.py"
         "::test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is",
@@ -275,7 +275,7 @@
     Variant(
         "nobody is told of upstreams that have ended",
         "feed/crash_server.py",
-        "        self._tell_all(Crashes(told))\n",
+        "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
         f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
     ),
