--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -16,7 +16,7 @@
     operation_faults,
 )
 from leadseam.control.evacuations import EvacuationRow, Evacuations
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.incarnation import NO_START, Incarnation
 from leadseam.membership.departures import Departures
 from leadseam.wire.codec import decode, encode
@@ -232,7 +232,7 @@
         self.history: list[HistoryRow] = []
         self.deltas: list[VersionedOperations] = []
         self.departed = Departures()
-        self.crashes = CrashBook()
+        self.crashes = CrashTable()
         self.evacuations = Evacuations()
         self._changes: OrderedDict[str, ChangeResult] = OrderedDict()
         self._claims = ClaimTable({})
@@ -305,7 +305,7 @@
         self._claims = ClaimTable(rows)
         older = map(Incarnation, saved.left_without_start)
         self.departed = Departures([*older, *saved.departed])
-        self.crashes = CrashBook(saved.crashes)
+        self.crashes = CrashTable(saved.crashes)
         self.evacuations = Evacuations(saved.evacuations)
 
     def _replace(self, configuration: Configuration) -> ChangeResult:
--- a/src/leadseam/crashes/book.py
+++ b/src/leadseam/crashes/book.py
@@ -34,7 +34,7 @@
 _Rows = OrderedDict["Fingerprint", "CrashRow"]
 
 
-class CrashBook:
+class CrashTable:
     """Rows by fingerprint; one client account cannot push out another's.
 
     Args:
@@ -54,7 +54,7 @@
             self.merge(row)
 
     def __repr__(self) -> str:
-        return f"CrashBook(rows={len(self)})"
+        return f"CrashTable(rows={len(self)})"
 
     def __len__(self) -> int:
         return len(self._account_of)
--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -15,7 +15,7 @@
 
 from leadseam.clock import Millis
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.wire.crashes import CrashRow
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
     """
 
     def __init__(self) -> None:
-        self.book = CrashBook()
+        self.book = CrashTable()
         self._breaks: dict[Incarnation, _Break] = {}
         self._undecided = 0
 
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import MILLIS_PER_SECOND, Millis
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.crashes.suspects import Suspect, Suspects
 from leadseam.feed.crash_server import TOLD
@@ -123,7 +123,7 @@
         self._names = itertools.count(1)
         self._upstreams = [_Upstream(self._start()) for _ in range(cfg.upstreams)]
         self._entries = [Suspects() for _ in range(cfg.entries)]
-        self._book = CrashBook()
+        self._book = CrashTable()
         self._first_crash: Millis = -1
 
     def __repr__(self) -> str:
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -16,7 +16,7 @@
 from leadseam.control.raft_work import Role
 from leadseam.control.state import NoteCrashes
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.crashes import Crashes
 
@@ -65,7 +65,7 @@
         self._clock = clock
         self._metrics = metrics
         self._tell_all = tell_all
-        self._book = CrashBook()
+        self._book = CrashTable()
         self._written = -1
         self._convicted_at: dict[Fingerprint, Millis] = {}
         self._wake = asyncio.Event()
--- a/tests/crashes/test_book.py
+++ b/tests/crashes/test_book.py
@@ -11,7 +11,7 @@
     MAX_ENDED,
     MAX_ROWS_OF_ACCOUNT,
     SUSPECT_LIFE,
-    CrashBook,
+    CrashTable,
 )
 from leadseam.crashes.suspects import Suspect
 from tests.crashes.samples import DEADLY, GOOD, make_row
@@ -37,7 +37,7 @@
     rows: list[CrashRow], data: st.DataObject
 ) -> None:
     other = data.draw(st.permutations(rows + rows))
-    first, second = CrashBook(rows), CrashBook(other)
+    first, second = CrashTable(rows), CrashTable(other)
     for suspect in (DEADLY, GOOD):
         one, two = (book.get(suspect.fingerprint) for book in (first, second))
         assert (one is None) == (two is None)
@@ -45,7 +45,7 @@
 
 
 def test_three_ends_convict_and_the_same_one_counts_once() -> None:
-    book = CrashBook([make_row(1), make_row(1), make_row(2)])
+    book = CrashTable([make_row(1), make_row(1), make_row(2)])
     assert book.count(DEADLY.fingerprint) == 2
     assert not book.convicts(DEADLY.fingerprint)
     assert book.merge(make_row(1, 2)) is None
@@ -54,7 +54,7 @@
 
 
 def test_what_is_void_does_not_count_and_a_further_end_counts_anew() -> None:
-    book = CrashBook([make_row(1, 2, 3)])
+    book = CrashTable([make_row(1, 2, 3)])
     assert book.void(DEADLY.fingerprint) == make_row(1, 2, 3, void=(1, 2, 3))
     assert book.void(DEADLY.fingerprint) is None
     assert book.merge(make_row(2, 3)) is None
@@ -64,7 +64,7 @@
 
 
 def test_suspects_fade_and_verdicts_stay() -> None:
-    book = CrashBook()
+    book = CrashTable()
     book.merge(make_row(1, 2, 3), 0)
     book.merge(make_row(1, 2, suspect=GOOD), 0)
     book.fade(SUSPECT_LIFE)
@@ -78,7 +78,7 @@
 
 
 def test_one_account_pushes_out_neither_its_worst_nor_anothers() -> None:
-    book = CrashBook([make_row(1, 2, 3), make_row(1, suspect=Suspect("o", "shop", 1))])
+    book = CrashTable([make_row(1, 2, 3), make_row(1, suspect=Suspect("o", "shop", 1))])
     for number in range(10_000):
         book.merge(make_row(1, suspect=Suspect(str(number), "bank", 7)))
     assert len(book) == MAX_ROWS_OF_ACCOUNT + 1
@@ -87,7 +87,7 @@
 
 
 def test_a_row_is_bounded() -> None:
-    book = CrashBook(make_row(number) for number in range(50))
+    book = CrashTable(make_row(number) for number in range(50))
     row = book.get(DEADLY.fingerprint)
     assert row is not None
     assert len(row.ended) == MAX_ENDED
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.crashes.evidence import convicts, weight_of
 from tests.crashes.samples import DEADLY, make_row
 
@@ -29,7 +29,7 @@
 
 
 def test_an_end_that_anybody_saw_early_is_early() -> None:
-    book = CrashBook([make_row(1, 2, 3, late=(1, 2, 3))])
+    book = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
     assert not book.convicts(DEADLY.fingerprint)
     book.merge(make_row(1, 2))
     assert book.weight(DEADLY.fingerprint) == 14
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from leadseam.clock import ManualClock
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.crashes.suspects import Suspects
 from leadseam.feed.crash_server import CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.log = CrashBook()
+        self.log = CrashTable()
         self.upstreams = 0
         self.ended = 0
         self.broken: list[tuple[int, Incarnation]] = []
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -12,7 +12,7 @@
 import pytest
 
 from leadseam.clock import ManualClock, Millis
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.book import CrashTable
 from leadseam.incarnation import Incarnation
 from leadseam.membership.registry import Registry
 from leadseam.membership.view import UpstreamView
@@ -107,7 +107,7 @@
 
 def suspected_request() -> Ask:
     """Whether a suspect of 590 s ago is still known."""
-    book = CrashBook()
+    book = CrashTable()
     book.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
 
     def ask(now: Millis) -> int:
