--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -16,7 +16,7 @@
     operation_faults,
 )
 from leadseam.control.evacuations import EvacuationRow, Evacuations
-from leadseam.crashes.book import CrashTable
+from leadseam.crashes.table import CrashTable
 from leadseam.incarnation import NO_START, Incarnation
 from leadseam.membership.departures import Departures
 from leadseam.wire.codec import decode, encode
--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -15,7 +15,7 @@
 
 from leadseam.clock import Millis
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashTable
+from leadseam.crashes.table import CrashTable
 from leadseam.wire.crashes import CrashRow
 
 if TYPE_CHECKING:
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -15,9 +15,9 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import MILLIS_PER_SECOND, Millis
-from leadseam.crashes.book import CrashTable
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.crashes.suspects import Suspect, Suspects
+from leadseam.crashes.table import CrashTable
 from leadseam.feed.crash_server import TOLD
 from leadseam.incarnation import Incarnation
 
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -16,7 +16,7 @@
 from leadseam.control.raft_work import Role
 from leadseam.control.state import NoteCrashes
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashTable
+from leadseam.crashes.table import CrashTable
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.crashes import Crashes
 
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from leadseam.crashes.book import CrashTable
 from leadseam.crashes.evidence import convicts, weight_of
+from leadseam.crashes.table import CrashTable
 from tests.crashes.samples import DEADLY, make_row
 
 
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -15,8 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from leadseam.clock import ManualClock
-from leadseam.crashes.book import CrashTable
 from leadseam.crashes.suspects import Suspects
+from leadseam.crashes.table import CrashTable
 from leadseam.feed.crash_server import CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.crashes import Crashes
--- a/tests/crashes/test_book.py
+++ b/tests/crashes/test_table.py
@@ -7,13 +7,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leadseam.crashes.book import (
+from leadseam.crashes.suspects import Suspect
+from leadseam.crashes.table import (
     MAX_ENDED,
     MAX_ROWS_OF_ACCOUNT,
     SUSPECT_LIFE,
     CrashTable,
 )
-from leadseam.crashes.suspects import Suspect
 from tests.crashes.samples import DEADLY, GOOD, make_row
 
 if TYPE_CHECKING:
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -9,7 +9,7 @@
 from leadseam.clock import ManualClock
 from leadseam.control.raft_work import Role
 from leadseam.control.state import ControlState, CrashesNoted, NoteCrashes
-from leadseam.crashes.book import SUSPECT_LIFE
+from leadseam.crashes.table import SUSPECT_LIFE
 from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.codec import decode_frame, encode_frame
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -12,7 +12,7 @@
 import pytest
 
 from leadseam.clock import ManualClock, Millis
-from leadseam.crashes.book import CrashTable
+from leadseam.crashes.table import CrashTable
 from leadseam.incarnation import Incarnation
 from leadseam.membership.registry import Registry
 from leadseam.membership.view import UpstreamView
