--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -88,16 +88,16 @@
     """Breaks that are undecided, and what all entries know.
 
     Attributes:
-        book: What this entry and the others have seen.
+        table: What this entry and the others have seen.
     """
 
     def __init__(self) -> None:
-        self.book = CrashTable()
+        self.table = CrashTable()
         self._breaks: dict[Incarnation, _Break] = {}
         self._undecided = 0
 
     def __repr__(self) -> str:
-        return f"Suspects(undecided={self._undecided}, {self.book!r})"
+        return f"Suspects(undecided={self._undecided}, {self.table!r})"
 
     @property
     def undecided(self) -> bool:
@@ -143,12 +143,12 @@
             _row(suspect, incarnation, early=early)
             for suspect, early in broken.suspects.items()
         ]
-        free = [row for row in rows if not self.book.convicts(row.fingerprint)]
-        merged = [self.book.merge(row, now) for row in rows]
+        free = [row for row in rows if not self.table.convicts(row.fingerprint)]
+        merged = [self.table.merge(row, now) for row in rows]
         return News(
             tuple(row for row in merged if row is not None),
             tuple(
-                row.fingerprint for row in free if self.book.convicts(row.fingerprint)
+                row.fingerprint for row in free if self.table.convicts(row.fingerprint)
             ),
         )
 
@@ -172,9 +172,9 @@
         """Take what others have seen; return the requests that are convicted by it."""
         fresh = []
         for row in rows:
-            known = self.book.convicts(row.fingerprint)
-            self.book.merge(row, now)
-            if not known and self.book.convicts(row.fingerprint):
+            known = self.table.convicts(row.fingerprint)
+            self.table.merge(row, now)
+            if not known and self.table.convicts(row.fingerprint):
                 fresh.append(row.fingerprint)
         return tuple(fresh)
 
@@ -184,7 +184,7 @@
             if suspect in broken.suspects:
                 del broken.suspects[suspect]
                 self._undecided -= 1
-        return self.book.void(suspect.fingerprint, now)
+        return self.table.void(suspect.fingerprint, now)
 
     def on_trial(self, suspect: Suspect) -> bool:
         """Tell whether a request would be convicted if its upstreams have ended."""
@@ -193,12 +193,12 @@
             for one in self._breaks.values()
             if suspect in one.suspects
         )
-        known = self.book.weight(suspect.fingerprint)
+        known = self.table.weight(suspect.fingerprint)
         return known + undecided >= evidence.CONVICTING
 
     def may_know(self, account: str, size: int) -> bool:
         """Tell whether a request may be known, before its body is digested."""
-        return self.book.may_hold(account, size) or any(
+        return self.table.may_hold(account, size) or any(
             (one.account, one.size) == (account, size)
             for broken in self._breaks.values()
             for one in broken.suspects
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -182,7 +182,7 @@
     def _try(self, call: _Call, entry: int, number: int) -> None:
         """Send an attempt to the least loaded upstream, if it may be."""
         suspects = self._entries[entry]
-        if suspects.book.convicts(call.suspect.fingerprint):
+        if suspects.table.convicts(call.suspect.fingerprint):
             self._refuse(call)
             return
         if suspects.on_trial(call.suspect):
@@ -304,7 +304,7 @@
     def _look_whether_known(self) -> None:
         if self.tally.known_after >= 0 or self._first_crash < 0:
             return
-        if all(one.book.convicts(DEADLY.fingerprint) for one in self._entries):
+        if all(one.table.convicts(DEADLY.fingerprint) for one in self._entries):
             self.tally.known_after = self._now - self._first_crash
 
 
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -75,7 +75,7 @@
         if not self._may_know(admitted):
             return None
         suspect = _suspect(admitted)
-        if self._suspects.book.convicts(suspect.fingerprint):
+        if self._suspects.table.convicts(suspect.fingerprint):
             return Reason.CRASHES_UPSTREAMS
         if self._suspects.on_trial(suspect):
             return Reason.MAY_CRASH_UPSTREAMS
@@ -115,7 +115,7 @@
     def review(self) -> None:
         """Look whether upstreams where attempts broke have gone, and forget the old."""
         now = self._clock.now()
-        self._suspects.book.fade(now)
+        self._suspects.table.fade(now)
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
@@ -126,7 +126,7 @@
 
     def greeting(self) -> Crashes | None:
         """Return what a replica has to know that is followed anew, or None."""
-        rows = self._suspects.book.rows()
+        rows = self._suspects.table.rows()
         return Crashes(rows) if rows else None
 
     def _broke(
@@ -179,7 +179,7 @@
     def _convict(self, fingerprints: tuple[Fingerprint, ...]) -> None:
         """Refuse requests from now on, and end their attempts under way."""
         for fingerprint in fingerprints:
-            row = self._suspects.book.get(fingerprint)
+            row = self._suspects.table.get(fingerprint)
             ended = [one for one in self._running if self._is_of(one, fingerprint)]
             for exchange in ended:
                 exchange.end_attempt()
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -74,7 +74,7 @@
     def send(self, entry: int, late: bool, good: bool, early: bool) -> None:
         """An entry sends the deadly request, if it may; a good one may run beside."""
         suspects = self.entries[entry]
-        if suspects.book.convicts(DEADLY.fingerprint) or suspects.on_trial(DEADLY):
+        if suspects.table.convicts(DEADLY.fingerprint) or suspects.on_trial(DEADLY):
             return
         self.now += 1
         self.upstreams += 1
@@ -124,7 +124,9 @@
         """A link breaks: what was under way is lost, and both sides greet."""
         for way in ("up", "down"):
             self.link(way, entry, replica).clear()
-        self.link("up", entry, replica).append(Crashes(self.entries[entry].book.rows()))
+        self.link("up", entry, replica).append(
+            Crashes(self.entries[entry].table.rows())
+        )
         if greeting := self.replicas[replica].greeting():
             self.link("down", entry, replica).append(greeting)
 
@@ -169,13 +171,13 @@
                     self.take(way, entry, replica, queue.popleft())
         known = self.ended >= CONVICTING_ENDS
         for suspects in self.entries.values():
-            assert suspects.book.convicts(DEADLY.fingerprint) is known
+            assert suspects.table.convicts(DEADLY.fingerprint) is known
 
     @invariant()
     def good_requests_are_never_convicted(self) -> None:
         """A request that was answered whole each time stays innocent."""
         for suspects in self.entries.values():
-            assert not suspects.book.convicts(GOOD.fingerprint)
+            assert not suspects.table.convicts(GOOD.fingerprint)
 
 
 TestFleet = Fleet.TestCase
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -25,9 +25,9 @@
 
 
 def test_a_break_and_the_end_of_its_upstream_count(suspects: Suspects) -> None:
-    assert suspects.book.count(DEADLY.fingerprint) == 0
+    assert suspects.table.count(DEADLY.fingerprint) == 0
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
-    assert suspects.book.count(DEADLY.fingerprint) == 1
+    assert suspects.table.count(DEADLY.fingerprint) == 1
     assert not suspects.undecided
 
 
@@ -67,8 +67,8 @@
     suspects.broke(GOOD, upstream(1), 1, early=True)
     assert len(suspects.ended(upstream(1), 5).rows) == 2
     assert suspects.answered_whole(GOOD, 9) == make_row(1, suspect=GOOD, void=(1,))
-    assert suspects.book.count(GOOD.fingerprint) == 0
-    assert suspects.book.count(DEADLY.fingerprint) == 1
+    assert suspects.table.count(GOOD.fingerprint) == 0
+    assert suspects.table.count(DEADLY.fingerprint) == 1
 
 
 def test_an_answer_acquits_of_ends_that_are_not_known_yet(suspects: Suspects) -> None:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -304,7 +304,7 @@
     Variant(
         "nobody is acquitted",
         "crashes/suspects.py",
-        "        return self.book.void(suspect.fingerprint, now)\n",
+        "        return self.table.void(suspect.fingerprint, now)\n",
         "        return None\n",
         "tests/crashes/test_fleet.py",
     ),
