--- a/src/leadseam/membership/addresses.py
+++ b/src/leadseam/membership/addresses.py
@@ -31,7 +31,7 @@
     claimants: list[Incarnation] = field(default_factory=list)
 
 
-class AddressBook:
+class AddressTable:
     """Holders of the addresses of all known upstreams."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self._answered: dict[Incarnation, Millis] = {}
 
     def __repr__(self) -> str:
-        return f"AddressBook(addresses={len(self._claims)})"
+        return f"AddressTable(addresses={len(self._claims)})"
 
     def holds(self, row: Registration) -> bool:
         """Tell whether an incarnation holds the address that it claims."""
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis
-from leadseam.membership.addresses import AddressBook
+from leadseam.membership.addresses import AddressTable
 from leadseam.membership.departures import Departures
 from leadseam.membership.registry import DEFAULT_HEARTBEAT
 
@@ -67,7 +67,7 @@
         self._by_pool: dict[str, list[Registration]] | None = None
         self._by_scope: dict[tuple[str, frozenset[str]], list[Registration]] = {}
         self._slots: dict[str, tuple[int, int]] = {}
-        self._addresses = AddressBook()
+        self._addresses = AddressTable()
 
     def __repr__(self) -> str:
         return f"UpstreamView(known={len(self._known)}, {self._departed!r})"
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from leadseam.incarnation import Incarnation
-from leadseam.membership.addresses import PROOF, AddressBook
+from leadseam.membership.addresses import PROOF, AddressTable
 from leadseam.membership.view import UpstreamView
 from tests.routing.samples import make_upstream
 
@@ -78,7 +78,7 @@
 
 
 def test_who_is_left_inherits_the_address_and_nothing_is_kept_of_the_others() -> None:
-    book = AddressBook()
+    book = AddressTable()
     book.claim(SERVING, 0)
     book.answered(Incarnation("i-1"), 0)
     book.claim(STALE, 10)
@@ -89,4 +89,4 @@
     book.drop(SERVING)
     book.drop(STALE)
     assert not book.holds(STALE)
-    assert repr(book) == "AddressBook(addresses=0)"
+    assert repr(book) == "AddressTable(addresses=0)"
