--- a/src/leadseam/feed/totals.py
+++ b/src/leadseam/feed/totals.py
@@ -81,5 +81,5 @@
             for row in reported.report.usage:
                 counts = sums.setdefault(row.account, [0, 0])
                 counts[0] += row.served
-                counts[1] += row.asked
+                counts[1] += row.requested
         return tuple(UsageRow(name, *counts) for name, counts in sums.items())
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -206,7 +206,7 @@
         capacity: Service that all upstreams give in `MEMORY` as the operators state it;
             0 if they do not.
     """
-    demands = [max(row.asked, row.served) for row in rows]
+    demands = [max(row.requested, row.served) for row in rows]
     given = given_capacity(rows, capacity)
     # Unequal to the level below where engines give more than is stated: an account
     # within this share must not be refused for what others get beyond it.
@@ -237,7 +237,7 @@
     served = sum(row.served for row in rows)
     if served >= capacity * GIVEN_PART:
         return max(served, capacity)
-    asked = sum(max(row.asked, row.served) for row in rows)
+    asked = sum(max(row.requested, row.served) for row in rows)
     return served if asked > SCARCE * served else capacity
 
 
@@ -280,7 +280,7 @@
     short = [
         row.served
         for row in rows
-        if row.asked >= level and row.served < SHORT_PART * level
+        if row.requested >= level and row.served < SHORT_PART * level
     ]
     if not short:
         return float("inf")
@@ -291,5 +291,7 @@
     if own is None:
         return row
     return UsageRow(
-        row.account, max(row.served - own.served, 0), max(row.asked - own.asked, 0)
+        row.account,
+        max(row.served - own.served, 0),
+        max(row.requested - own.requested, 0),
     )
--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -160,12 +160,12 @@
     Args:
         account: The client account.
         served: Service of requests that were sent to upstreams.
-        asked: Service of requests that arrived.
+        requested: Service of requests that arrived.
     """
 
     account: str
     served: int
-    asked: int
+    requested: int
 
 
 class LoadReport(Message, frozen=True, array_like=True, tag=39):
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -140,7 +140,7 @@
     assert refusal.reason is Reason.ENTRY_BUSY
     # 100 tokens of its own to read, and 50 made that count twice.
     usage = entry.gateway.placer.load_report().usage
-    assert usage == (UsageRow("small", served=0, asked=200),)
+    assert usage == (UsageRow("small", served=0, requested=200),)
 
 
 def test_answers_tell_which_incarnation_holds_an_address() -> None:
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -89,9 +89,9 @@
 
 def test_who_is_beyond_the_stated_share_may_still_be_even_with_others() -> None:
     rows = (
-        UsageRow("large", served=700, asked=3_000),
-        UsageRow("other", served=720, asked=3_000),
-        UsageRow("small", served=80, asked=80),
+        UsageRow("large", served=700, requested=3_000),
+        UsageRow("other", served=720, requested=3_000),
+        UsageRow("small", served=80, requested=80),
     )
     book = UsageBook()
     book.take_sums(LoadSums((), rows), None, capacity=1_000, now=0)
@@ -102,7 +102,10 @@
 
 
 def test_nothing_is_stated_where_operators_say_nothing() -> None:
-    rows = (UsageRow("a", served=700, asked=900), UsageRow("b", served=100, asked=900))
+    rows = (
+        UsageRow("a", served=700, requested=900),
+        UsageRow("b", served=100, requested=900),
+    )
     book = UsageBook()
     book.take_sums(LoadSums((), rows), None, capacity=0, now=0)
     assert book.standing("a", 0) is Standing.STOPPED
@@ -110,25 +113,25 @@
 
 
 def test_accounts_leave_room_to_one_that_is_short() -> None:
-    ahead = UsageRow("ahead", served=480, asked=1_000)
-    behind = UsageRow("behind", served=300, asked=900)
-    small = UsageRow("small", served=10, asked=20)
+    ahead = UsageRow("ahead", served=480, requested=1_000)
+    behind = UsageRow("behind", served=300, requested=900)
+    small = UsageRow("small", served=10, requested=20)
     assert lead_level((ahead, behind, small), 500.0, 1.3) == pytest.approx(390.0)
     assert lead_level((ahead, small), 500.0, 1.3) == float("inf")
     assert lead_level((ahead, behind), float("inf"), 1.3) == float("inf")
 
 
 def test_an_account_that_has_just_begun_stops_nobody() -> None:
-    ahead = UsageRow("ahead", served=450, asked=1_000)
-    begun = UsageRow("begun", served=0, asked=900)
+    ahead = UsageRow("ahead", served=450, requested=1_000)
+    begun = UsageRow("begun", served=0, requested=900)
     assert lead_level((ahead, begun), 500.0, 1.3) == 250.0
 
 
 def test_one_that_is_far_ahead_of_a_short_one_stops() -> None:
     book = UsageBook()
     rows = (
-        UsageRow("ahead", served=470, asked=1_000),
-        UsageRow("behind", served=300, asked=900),
+        UsageRow("ahead", served=470, requested=1_000),
+        UsageRow("behind", served=300, requested=900),
     )
     book.take_sums(LoadSums((), rows), None, capacity=900, now=0)
     # The fair level is 450; 1.5 times what the short one got is 450 too.
@@ -139,17 +142,17 @@
 def test_nobody_stops_within_the_stated_share() -> None:
     book = UsageBook()
     rows = (
-        UsageRow("ahead", served=470, asked=1_000),
-        UsageRow("behind", served=300, asked=900),
+        UsageRow("ahead", served=470, requested=1_000),
+        UsageRow("behind", served=300, requested=900),
     )
     book.take_sums(LoadSums((), rows), None, capacity=1_000, now=0)
     assert book.standing("ahead", 0) is Standing.WITHIN
 
 
 FLOOD = (
-    UsageRow("ahead", served=470, asked=1_000),
-    UsageRow("behind", served=60, asked=1_000),
-    UsageRow("small", served=20, asked=20),
+    UsageRow("ahead", served=470, requested=1_000),
+    UsageRow("behind", served=60, requested=1_000),
+    UsageRow("small", served=20, requested=20),
 )
 
 
@@ -159,7 +162,10 @@
     assert given_capacity(FLOOD, 734) == 550
     assert given_capacity(FLOOD, 0) == 550
     assert given_capacity(FLOOD, 500) == 550
-    served = (UsageRow("a", served=400, asked=480), UsageRow("b", served=20, asked=20))
+    served = (
+        UsageRow("a", served=400, requested=480),
+        UsageRow("b", served=20, requested=20),
+    )
     assert given_capacity(served, 5_000) == 5_000
 
 
@@ -185,7 +191,7 @@
         for number, (served, asked) in enumerate(rows)
     )
     shares = shares_of(usage, capacity)
-    short = [row for row in usage if row.asked > row.served]
+    short = [row for row in usage if row.requested > row.served]
     if short:
         least = min(row.served for row in short)
         assert shares.standing(least) in (Standing.WITHIN, Standing.EVEN)
