--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -168,7 +168,9 @@
                     self._drop(incarnation)
         return news
 
-    def told(self, rows: Iterable[CrashRow], now: Millis) -> tuple[Fingerprint, ...]:
+    def merge_reports(
+        self, rows: Iterable[CrashRow], now: Millis
+    ) -> tuple[Fingerprint, ...]:
         """Take what others have seen; return the requests that are convicted by it."""
         fresh = []
         for row in rows:
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -298,7 +298,7 @@
     def _hear(self, rows: list[CrashRow]) -> None:
         self.tally.rows += len(rows) * len(self._entries)
         for suspects in self._entries:
-            suspects.told(rows, self._now)
+            suspects.merge_reports(rows, self._now)
         self._look_whether_known()
 
     def _look_whether_known(self) -> None:
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -121,7 +121,7 @@
 
     def take(self, message: Crashes) -> None:
         """Take what other entries have seen."""
-        convicted = self._suspects.told(message.rows, self._clock.now())
+        convicted = self._suspects.merge_reports(message.rows, self._clock.now())
         self._convict(convicted)
 
     def greeting(self) -> Crashes | None:
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -117,7 +117,7 @@
         if way == "up":
             self.replicas[replica].take(message)
         else:
-            self.entries[entry].told(message.rows, self.now)
+            self.entries[entry].merge_reports(message.rows, self.now)
 
     @rule(entry=st.sampled_from(ENTRIES), replica=st.sampled_from(REPLICAS))
     def follow_anew(self, entry: int, replica: int) -> None:
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -78,7 +78,7 @@
 
 
 def test_a_third_break_is_a_trial(suspects: Suspects) -> None:
-    suspects.told([make_row(7)], 0)
+    suspects.merge_reports([make_row(7)], 0)
     assert not suspects.on_trial(DEADLY)
     suspects.broke(DEADLY, upstream(2), 1, early=True)
     assert suspects.on_trial(DEADLY)
@@ -88,9 +88,9 @@
 
 
 def test_what_others_have_seen_convicts_once(suspects: Suspects) -> None:
-    assert suspects.told([make_row(2, 3)], 0) == ()
-    assert suspects.told([make_row(3, 4)], 0) == (DEADLY.fingerprint,)
-    assert suspects.told([make_row(5)], 0) == ()
+    assert suspects.merge_reports([make_row(2, 3)], 0) == ()
+    assert suspects.merge_reports([make_row(3, 4)], 0) == (DEADLY.fingerprint,)
+    assert suspects.merge_reports([make_row(5)], 0) == ()
 
 
 def test_breaks_are_bounded() -> None:
