--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -104,7 +104,7 @@
         """Whether it is not known yet of some upstream if it has ended."""
         return bool(self._breaks)
 
-    def broke(
+    def record_break(
         self, suspect: Suspect, incarnation: Incarnation, now: Millis, *, early: bool
     ) -> bool:
         """Note an attempt that broke.
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -263,7 +263,7 @@
         if not call.deadly and not call.hit:
             call.hit = True
             self.tally.hit += 1
-        self._entries[attempt.entry].broke(
+        self._entries[attempt.entry].record_break(
             call.suspect, incarnation, self._now, early=self._is_early(attempt)
         )
         if attempt.number < self._cfg.attempts:
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -135,7 +135,7 @@
         suspect = _suspect(admitted)
         incarnation = upstream.incarnation
         now = self._clock.now()
-        if self._suspects.broke(suspect, incarnation, now, early=early):
+        if self._suspects.record_break(suspect, incarnation, now, early=early):
             spawn(self._look(upstream))
 
     async def _look(self, upstream: Registration) -> None:
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -80,9 +80,9 @@
         self.upstreams += 1
         self.ended += 1
         incarnation = upstream(self.upstreams)
-        suspects.broke(DEADLY, incarnation, self.now, early=True)
+        suspects.record_break(DEADLY, incarnation, self.now, early=True)
         if good:
-            suspects.broke(GOOD, incarnation, self.now, early=early)
+            suspects.record_break(GOOD, incarnation, self.now, early=early)
         self.broken.append((entry, incarnation))
         if not late:
             self.find_out(-1)
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -20,7 +20,7 @@
 def suspects() -> Suspects:
     """An entry where an attempt at the first upstream broke at 0 ms."""
     suspects = Suspects()
-    assert suspects.broke(DEADLY, upstream(1), 0, early=True)
+    assert suspects.record_break(DEADLY, upstream(1), 0, early=True)
     return suspects
 
 
@@ -64,7 +64,7 @@
 def test_all_that_ran_there_is_suspected_and_an_answer_acquits(
     suspects: Suspects,
 ) -> None:
-    suspects.broke(GOOD, upstream(1), 1, early=True)
+    suspects.record_break(GOOD, upstream(1), 1, early=True)
     assert len(suspects.ended(upstream(1), 5).rows) == 2
     assert suspects.answered_whole(GOOD, 9) == make_row(1, suspect=GOOD, void=(1,))
     assert suspects.table.count(GOOD.fingerprint) == 0
@@ -72,7 +72,7 @@
 
 
 def test_an_answer_acquits_of_ends_that_are_not_known_yet(suspects: Suspects) -> None:
-    suspects.broke(GOOD, upstream(1), 1, early=True)
+    suspects.record_break(GOOD, upstream(1), 1, early=True)
     suspects.answered_whole(GOOD, 2)
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
 
@@ -80,7 +80,7 @@
 def test_a_third_break_is_a_trial(suspects: Suspects) -> None:
     suspects.merge_reports([make_row(7)], 0)
     assert not suspects.on_trial(DEADLY)
-    suspects.broke(DEADLY, upstream(2), 1, early=True)
+    suspects.record_break(DEADLY, upstream(2), 1, early=True)
     assert suspects.on_trial(DEADLY)
     assert not suspects.on_trial(GOOD)
     suspects.answered(upstream(2), 1 + SIGN_OF_LIFE)
@@ -96,5 +96,7 @@
 def test_breaks_are_bounded() -> None:
     suspects = Suspects()
     for number in range(2 * MAX_UNDECIDED):
-        suspects.broke(Suspect(str(number), "bank", 7), upstream(1), 0, early=True)
+        suspects.record_break(
+            Suspect(str(number), "bank", 7), upstream(1), 0, early=True
+        )
     assert len(suspects.ended(upstream(1), 1).rows) <= MAX_UNDECIDED
