--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -188,7 +188,7 @@
                 self._undecided -= 1
         return self.table.void(suspect.fingerprint, now)
 
-    def on_trial(self, suspect: Suspect) -> bool:
+    def would_be_convicted(self, suspect: Suspect) -> bool:
         """Tell whether a request would be convicted if its upstreams have ended."""
         undecided = sum(
             evidence.weight(early=one.suspects[suspect])
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -185,7 +185,7 @@
         if suspects.table.convicts(call.suspect.fingerprint):
             self._refuse(call)
             return
-        if suspects.on_trial(call.suspect):
+        if suspects.would_be_convicted(call.suspect):
             self.tally.put_off += not call.deadly
             self._come_back(call)
             return
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -77,7 +77,7 @@
         suspect = _suspect(admitted)
         if self._suspects.table.convicts(suspect.fingerprint):
             return Reason.CRASHES_UPSTREAMS
-        if self._suspects.on_trial(suspect):
+        if self._suspects.would_be_convicted(suspect):
             return Reason.MAY_CRASH_UPSTREAMS
         return None
 
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -74,7 +74,9 @@
     def send(self, entry: int, late: bool, good: bool, early: bool) -> None:
         """An entry sends the deadly request, if it may; a good one may run beside."""
         suspects = self.entries[entry]
-        if suspects.table.convicts(DEADLY.fingerprint) or suspects.on_trial(DEADLY):
+        if suspects.table.convicts(DEADLY.fingerprint) or suspects.would_be_convicted(
+            DEADLY
+        ):
             return
         self.now += 1
         self.upstreams += 1
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -79,12 +79,12 @@
 
 def test_a_third_break_is_a_trial(suspects: Suspects) -> None:
     suspects.merge_reports([make_row(7)], 0)
-    assert not suspects.on_trial(DEADLY)
+    assert not suspects.would_be_convicted(DEADLY)
     suspects.record_break(DEADLY, upstream(2), 1, early=True)
-    assert suspects.on_trial(DEADLY)
-    assert not suspects.on_trial(GOOD)
+    assert suspects.would_be_convicted(DEADLY)
+    assert not suspects.would_be_convicted(GOOD)
     suspects.answered(upstream(2), 1 + SIGN_OF_LIFE)
-    assert not suspects.on_trial(DEADLY)
+    assert not suspects.would_be_convicted(DEADLY)
 
 
 def test_what_others_have_seen_convicts_once(suspects: Suspects) -> None:
