--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -198,7 +198,7 @@
         known = self.table.weight(suspect.fingerprint)
         return known + undecided >= evidence.CONVICTING
 
-    def may_know(self, account: str, size: int) -> bool:
+    def may_match(self, account: str, size: int) -> bool:
         """Tell whether a request may be known, before its body is digested."""
         return self.table.may_hold(account, size) or any(
             (one.account, one.size) == (account, size)
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -154,7 +154,7 @@
             self._feed.tell(Crashes((row,)))
 
     def _may_know(self, admitted: Admitted) -> bool:
-        return self._suspects.may_know(admitted.account or "", len(admitted.body))
+        return self._suspects.may_match(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
         if self._feed.view.has_left(incarnation):
