--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -180,7 +180,7 @@
                 fresh.append(row.fingerprint)
         return tuple(fresh)
 
-    def answered_whole(self, suspect: Suspect, now: Millis) -> CrashRow | None:
+    def acquit(self, suspect: Suspect, now: Millis) -> CrashRow | None:
         """Acquit a request that has run to its end; return what is news, if any."""
         for broken in self._breaks.values():
             if suspect in broken.suspects:
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -225,7 +225,7 @@
         self.tally.answered += 1
         self.tally.hit_answered += attempt.call.hit
         entry = self._entries[attempt.entry]
-        row = entry.answered_whole(attempt.call.suspect, self._now)
+        row = entry.acquit(attempt.call.suspect, self._now)
         if row is not None:
             self._tell((row,))
 
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -149,7 +149,7 @@
         self._suspects.answered(upstream.incarnation, now)
         if not self._may_know(admitted):
             return
-        row = self._suspects.answered_whole(_suspect(admitted), now)
+        row = self._suspects.acquit(_suspect(admitted), now)
         if row is not None:
             self._feed.tell(Crashes((row,)))
 
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -89,7 +89,7 @@
         if not late:
             self.find_out(-1)
         if good:
-            row = suspects.answered_whole(GOOD, self.now)
+            row = suspects.acquit(GOOD, self.now)
             self.report(entry, (row,) if row is not None else ())
 
     @precondition(lambda self: self.broken)
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -66,14 +66,14 @@
 ) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
     assert len(suspects.ended(upstream(1), 5).rows) == 2
-    assert suspects.answered_whole(GOOD, 9) == make_row(1, suspect=GOOD, void=(1,))
+    assert suspects.acquit(GOOD, 9) == make_row(1, suspect=GOOD, void=(1,))
     assert suspects.table.count(GOOD.fingerprint) == 0
     assert suspects.table.count(DEADLY.fingerprint) == 1
 
 
 def test_an_answer_acquits_of_ends_that_are_not_known_yet(suspects: Suspects) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
-    suspects.answered_whole(GOOD, 2)
+    suspects.acquit(GOOD, 2)
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
 
 
