--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class Findings:
     """What was learned from ends of upstreams.
 
     Args:
@@ -134,32 +134,34 @@
         if broken is not None and now - broken.at >= SIGN_OF_LIFE:
             self._drop(incarnation)
 
-    def ended(self, incarnation: Incarnation, now: Millis) -> News:
+    def ended(self, incarnation: Incarnation, now: Millis) -> Findings:
         """Note that an upstream has ended; return what is learned from it."""
         broken = self._drop(incarnation)
         if broken is None:
-            return News()
+            return Findings()
         rows = [
             _row(suspect, incarnation, early=early)
             for suspect, early in broken.suspects.items()
         ]
         free = [row for row in rows if not self.table.convicts(row.fingerprint)]
         merged = [self.table.merge(row, now) for row in rows]
-        return News(
+        return Findings(
             tuple(row for row in merged if row is not None),
             tuple(
                 row.fingerprint for row in free if self.table.convicts(row.fingerprint)
             ),
         )
 
-    def review(self, presence: Callable[[Incarnation], Presence], now: Millis) -> News:
+    def review(
+        self, presence: Callable[[Incarnation], Presence], now: Millis
+    ) -> Findings:
         """Look at what registrations say; return what is learned from it."""
-        news = News()
+        news = Findings()
         for incarnation, broken in list(self._breaks.items()):
             match presence(incarnation):
                 case Presence.GONE:
                     ended = self.ended(incarnation, now)
-                    news = News(
+                    news = Findings(
                         news.rows + ended.rows, news.convicted + ended.convicted
                     )
                 case Presence.LEAVES:
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis, sleep
-from leadseam.crashes.suspects import News, Presence, Suspect, Suspects
+from leadseam.crashes.suspects import Findings, Presence, Suspect, Suspects
 from leadseam.outcome import Reason
 from leadseam.routing.attempt import FIRST_REDIRECTION, Broken, Streaming, Whole
 from leadseam.runtime.tasks import spawn
@@ -164,7 +164,7 @@
         # An entry that is cut off forgets upstreams that go on.
         return Presence.GONE if self._feed.fresh else Presence.UNKNOWN
 
-    def _report(self, news: News) -> None:
+    def _report(self, news: Findings) -> None:
         if not news.rows:
             return
         self._feed.tell(Crashes(news.rows))
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -8,7 +8,7 @@
     MAX_UNDECIDED,
     SIGN_OF_LIFE,
     UNDECIDED_LIMIT,
-    News,
+    Findings,
     Presence,
     Suspect,
     Suspects,
@@ -32,28 +32,28 @@
 
 
 def test_an_end_without_a_break_counts_against_nobody(suspects: Suspects) -> None:
-    assert suspects.ended(upstream(2), 5) == News()
+    assert suspects.ended(upstream(2), 5) == Findings()
 
 
 def test_an_upstream_that_answers_later_has_not_ended(suspects: Suspects) -> None:
     suspects.answered(upstream(1), SIGN_OF_LIFE - 1)
     assert suspects.undecided
     suspects.answered(upstream(1), SIGN_OF_LIFE)
-    assert suspects.ended(upstream(1), SIGN_OF_LIFE) == News()
+    assert suspects.ended(upstream(1), SIGN_OF_LIFE) == Findings()
 
 
 def test_an_upstream_that_has_announced_its_end_is_no_evidence(
     suspects: Suspects,
 ) -> None:
-    assert suspects.review(lambda _: Presence.LEAVES, 5) == News()
+    assert suspects.review(lambda _: Presence.LEAVES, 5) == Findings()
     assert not suspects.undecided
 
 
 def test_an_upstream_that_is_not_heard_any_more_has_ended(suspects: Suspects) -> None:
-    assert suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT) == News()
+    assert suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT) == Findings()
     assert suspects.undecided
     news = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
-    assert news == News(rows=(make_row(1),))
+    assert news == Findings(rows=(make_row(1),))
 
 
 def test_what_stays_undecided_is_forgotten(suspects: Suspects) -> None:
