--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -27,9 +27,9 @@
     Leaving,
     OthersService,
     Query,
+    QueryReply,
     Refused,
     Service,
-    Testimony,
 )
 from leadseam.wire.link import LINK_ERRORS, dial
 from leadseam.wire.messages import Hello
@@ -222,7 +222,7 @@
             case Leaving():
                 self.leaving = True
                 self._dispatcher.note_health()
-            case Testimony(attempt=attempt, started=started):
+            case QueryReply(attempt=attempt, started=started):
                 self._end_lost(attempt, started=started)
             case _:
                 return
--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -35,9 +35,9 @@
     Leaving,
     OthersService,
     Query,
+    QueryReply,
     Refused,
     Service,
-    Testimony,
 )
 from leadseam.wire.messages import Hello
 
@@ -220,7 +220,7 @@
                     self._abandon(running)
             case Query(attempt=attempt):
                 started = self._attempts.has_started(self._key(peer, attempt))
-                peer.link.send(Testimony(attempt, started))
+                peer.link.send(QueryReply(attempt, started))
             case _:
                 return
 
--- a/src/leadseam/wire/dispatch.py
+++ b/src/leadseam/wire/dispatch.py
@@ -184,7 +184,7 @@
     attempt: int
 
 
-class Testimony(Message, frozen=True, array_like=True, tag=17):
+class QueryReply(Message, frozen=True, array_like=True, tag=17):
     """Answer to `Query`.
 
     Args:
--- a/src/leadseam/wire/messages.py
+++ b/src/leadseam/wire/messages.py
@@ -33,9 +33,9 @@
     Leaving,
     OthersService,
     Query,
+    QueryReply,
     Refused,
     Service,
-    Testimony,
 )
 from leadseam.wire.feed import (
     Current,
@@ -83,7 +83,7 @@
     | Credit
     | Cancel
     | Query
-    | Testimony
+    | QueryReply
     | Leaving
     | Subscribe
     | Snapshot
