--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -21,7 +21,6 @@
     Decline,
     Dispatch,
     Final,
-    Free,
     Grant,
     Head,
     Leaving,
@@ -30,6 +29,7 @@
     QueryReply,
     Refused,
     Service,
+    SlotStatus,
 )
 from leadseam.wire.link import LINK_ERRORS, dial
 from leadseam.wire.messages import Hello
@@ -212,7 +212,7 @@
                 self._attempts.pop(message.attempt, None)
             case Grant():
                 self._on_grant(message)
-            case Free(healthy=healthy):
+            case SlotStatus(healthy=healthy):
                 self.healthy = healthy
                 self.tried = True
                 self._dispatcher.note_health()
--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -29,7 +29,6 @@
     Decline,
     Dispatch,
     Final,
-    Free,
     Grant,
     Head,
     Leaving,
@@ -38,6 +37,7 @@
     QueryReply,
     Refused,
     Service,
+    SlotStatus,
 )
 from leadseam.wire.messages import Hello
 
@@ -89,7 +89,7 @@
         self._gate = Gate()
         self._attempts = AttemptTable()
         self._peers: dict[str, EntryPeer] = {}
-        self._last_free: Free | None = None
+        self._last_free: SlotStatus | None = None
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -358,9 +358,9 @@
                 peer.link.send(free)
         self._grant()
 
-    def _free(self) -> Free:
+    def _free(self) -> SlotStatus:
         healthy = self._scheduler.open and self._scheduler.slots > 0
-        return Free(self._scheduler.slots, healthy)
+        return SlotStatus(self._scheduler.slots, healthy)
 
     def _share_of(self, account: str) -> int:
         row = self._configuration.accounts.get(account)
--- a/src/leadseam/wire/dispatch.py
+++ b/src/leadseam/wire/dispatch.py
@@ -5,7 +5,7 @@
 from leadseam.wire.record import Message, Record
 
 
-class Free(Message, frozen=True, array_like=True, tag=2):
+class SlotStatus(Message, frozen=True, array_like=True, tag=2):
     """State of a sidecar's slots.
 
     Args:
--- a/src/leadseam/wire/messages.py
+++ b/src/leadseam/wire/messages.py
@@ -27,7 +27,6 @@
     Decline,
     Dispatch,
     Final,
-    Free,
     Grant,
     Head,
     Leaving,
@@ -36,6 +35,7 @@
     QueryReply,
     Refused,
     Service,
+    SlotStatus,
 )
 from leadseam.wire.feed import (
     Current,
@@ -68,7 +68,7 @@
 
 AnyMessage: TypeAlias = (
     Hello
-    | Free
+    | SlotStatus
     | Backlog
     | Service
     | OthersService
