--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -40,7 +40,7 @@
     @property
     def cold_until(self) -> Millis:
         """Until when the upstream is cold; when it was heard if it is not."""
-        return self.heard_at + self.registration.cold_left
+        return self.heard_at + self.registration.cold_remaining
 
 
 class Registry:
@@ -141,9 +141,9 @@
 def _cold_moved(row: _Row, registration: Registration, now: Millis) -> bool:
     """Tell whether an upstream is cold for longer, or warm sooner, than it was."""
     expected = max(row.cold_until - now, 0)
-    return abs(registration.cold_left - expected) > COLD_TOLERANCE
+    return abs(registration.cold_remaining - expected) > COLD_TOLERANCE
 
 
 def _substance(registration: Registration) -> Registration:
     """Return a registration without what changes from heartbeat to heartbeat."""
-    return msgspec.structs.replace(registration, sequence=0, cold_left=0)
+    return msgspec.structs.replace(registration, sequence=0, cold_remaining=0)
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -250,7 +250,7 @@
         return over
 
     def _note_cold(self, known: _Known, now: Millis) -> None:
-        left = known.registration.cold_left
+        left = known.registration.cold_remaining
         known.cold_until = now + left if left else 0
         self._last_cold = max(self._last_cold, known.cold_until)
 
--- a/src/leadseam/platform/heartbeat.py
+++ b/src/leadseam/platform/heartbeat.py
@@ -120,7 +120,7 @@
         slots=beat.slots,
         ready=beat.state == READY,
         sequence=beat.sequence,
-        cold_left=round(beat.cold_remaining_ms),
+        cold_remaining=round(beat.cold_remaining_ms),
     )
 
 
--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -93,7 +93,7 @@
     slots: int
     ready: bool
     sequence: int
-    cold_left: int = 0
+    cold_remaining: int = 0
 
     @property
     def instance(self) -> str:
--- a/tests/membership/test_evacuated.py
+++ b/tests/membership/test_evacuated.py
@@ -13,7 +13,7 @@
 def upstream(number: int, domain: str, *, cold: int = 0, seq: int = 1) -> Registration:
     """Return an upstream of a failure domain."""
     row = make_upstream(number, sequence=seq)
-    return msgspec.structs.replace(row, failure_domain=domain, cold_left=cold)
+    return msgspec.structs.replace(row, failure_domain=domain, cold_remaining=cold)
 
 
 def names(view: UpstreamView, regions: frozenset[str] | None = None) -> set[str]:
--- a/tests/platform/test_heartbeat.py
+++ b/tests/platform/test_heartbeat.py
@@ -60,7 +60,7 @@
         slots=4,
         ready=True,
         sequence=7,
-        cold_left=0,
+        cold_remaining=0,
     )
     assert not read_heartbeat("i-1", changed(state="draining")).ready
     # Fields that are not known here are passed over.
