--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -73,7 +73,7 @@
     def cold_until(self, _: Registration) -> Millis:
         return 0
 
-    def part_left(self, _: Iterable[str]) -> float:
+    def available_fraction(self, _: Iterable[str]) -> float:
         return 1.0
 
 
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -142,7 +142,7 @@
         """Tell whether no upstream at all is cold: so it is nearly always."""
         return now >= self._last_cold
 
-    def part_left(self, pools: Iterable[str]) -> float:
+    def available_fraction(self, pools: Iterable[str]) -> float:
         """Return the part of the places of some pools that is not evacuated."""
         self._pools()
         counts = [self._slots.get(pool, (0, 0)) for pool in pools]
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -223,7 +223,7 @@
         cfg = self._feed.configuration
         engines = [name for name, pool in cfg.pools.items() if pool.engine is not None]
         # What is evacuated makes no tokens, so nobody may count on a share of it.
-        rate = cfg.limits.tokens_per_s * self._feed.view.part_left(engines)
+        rate = cfg.limits.tokens_per_s * self._feed.view.available_fraction(engines)
         capacity = round(rate * MEMORY / MILLIS_PER_SECOND)
         self._usage.take_sums(sums, own, capacity=capacity, now=now)
         self._pump_soon()
--- a/tests/membership/test_evacuated.py
+++ b/tests/membership/test_evacuated.py
@@ -34,13 +34,13 @@
     view = make_view()
     assert view.evacuate(1, ("north",), 0)
     assert names(view) == {"i-2", "i-3"}
-    assert view.part_left(["p"]) == 2 / 3
+    assert view.available_fraction(["p"]) == 2 / 3
     # What registers there later gets nothing either.
     view.update("b", [upstream(9, "north")], 0)
     assert names(view) == {"i-2", "i-3"}
     assert view.evacuate(2, (), 0)
     assert names(view) == {"i-1", "i-2", "i-3", "i-9"}
-    assert view.part_left(["p"]) == 1
+    assert view.available_fraction(["p"]) == 1
 
 
 def test_an_older_revision_changes_nothing() -> None:
@@ -56,7 +56,7 @@
     view = make_view()
     view.evacuate(1, ("north", "south", "west"), 0)
     assert names(view) == set()
-    assert view.part_left(["p"]) == 0
+    assert view.available_fraction(["p"]) == 0
 
 
 def test_a_domain_that_is_taken_back_counts_as_cold_for_three_heartbeats() -> None:
