--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -155,7 +155,7 @@
     def start_of(self, instance: str) -> int | None:
         """Return the start that a word of leaving without one concerns, if any."""
         start = self._registry.start_of(instance)
-        if start is None and not self._registry.states_starts:
+        if start is None and not self._registry.reports_start_times:
             return NO_START
         return start
 
--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -123,7 +123,7 @@
         return row.registration.incarnation.start if row is not None else None
 
     @property
-    def states_starts(self) -> bool:
+    def reports_start_times(self) -> bool:
         """Whether an upstream that is heard here states its start."""
         return any(row.registration.incarnation.start for row in self._rows.values())
 
