--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -147,7 +147,9 @@
         """
         if not self._replica.state.configuration.version:
             return True
-        return self._is_named(registration) or self._registry.hears(registration)
+        return self._is_named(registration) or self._registry.is_registered(
+            registration
+        )
 
     def _is_named(self, registration: Registration) -> bool:
         return registration.pool in self._replica.state.configuration.pools
--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -110,7 +110,7 @@
         for row in self._rows.values():
             row.heard_at = min(row.heard_at + now - before - MAX_STEP, now)
 
-    def hears(self, registration: Registration) -> bool:
+    def is_registered(self, registration: Registration) -> bool:
         """Tell whether this start of an upstream is heard here, for the same pool."""
         row = self._rows.get(registration.instance)
         if row is None or row.registration.incarnation != registration.incarnation:
