--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -536,10 +536,10 @@
 
     def _on_join(self, now: Millis, message: Join) -> None:
         if self.role is not Role.LEADER:
-            if self.leader and not message.passed:
+            if self.leader and not message.forwarded:
                 # Passed on once: followers may take each other for the leader. Who
                 # wants to join asks again.
-                self._send(self.leader, Join(message.sender, passed=True))
+                self._send(self.leader, Join(message.sender, forwarded=True))
             return
         step = joined(self.membership, message.sender)
         if step is not None and self._membership_settled():
--- a/src/leadseam/wire/consensus.py
+++ b/src/leadseam/wire/consensus.py
@@ -114,11 +114,11 @@
 
     Args:
         sender: The replica.
-        passed: Whether a follower has passed it on; this is done once.
+        forwarded: Whether a follower has forwarded it; this is done once.
     """
 
     sender: str
-    passed: bool = False
+    forwarded: bool = False
 
 
 class Forward(Message, frozen=True, array_like=True, tag=58):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -326,7 +326,7 @@
     first.leader, second.leader = second.identity, first.identity
     first.receive(cluster.now, Join("d#new"))
     ((to, passed),) = first.take_ready().send
-    assert (to, passed) == (second.identity, Join("d#new", passed=True))
+    assert (to, passed) == (second.identity, Join("d#new", forwarded=True))
     second.receive(cluster.now, passed)
     assert second.take_ready().send == ()
 
@@ -335,6 +335,6 @@
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None
-    leader.receive(cluster.now, Join("d#new", passed=True))
+    leader.receive(cluster.now, Join("d#new", forwarded=True))
     cluster.settle(5)
     assert "d#new" in leader.membership.everyone
