--- a/src/leadseam/crashes/evidence.py
+++ b/src/leadseam/crashes/evidence.py
@@ -22,7 +22,7 @@
 where its first token tells when it was: callers give a stream up after some 3 s."""
 EARLY_WEIGHT = 5
 LATE_WEIGHT = 4
-CONVICTING = 3 * EARLY_WEIGHT
+CONVICTION_WEIGHT = 3 * EARLY_WEIGHT
 """Weight from which on a request is refused: three early ends, two with two late ones,
 or four late ones. Three ends are to be borne, and three sends after them; a fourth end
 leaves two of these for copies that are under way then. One end takes everything that
@@ -42,4 +42,4 @@
 
 def convicts(row: CrashRow) -> bool:
     """Tell whether a request is to be refused."""
-    return weight_of(row) >= CONVICTING
+    return weight_of(row) >= CONVICTION_WEIGHT
--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -198,7 +198,7 @@
             if suspect in one.suspects
         )
         known = self.table.weight(suspect.fingerprint)
-        return known + undecided >= evidence.CONVICTING
+        return known + undecided >= evidence.CONVICTION_WEIGHT
 
     def may_match(self, account: str, size: int) -> bool:
         """Tell whether a request may be known, before its body is digested."""
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -47,7 +47,7 @@
 DEADLY_PAUSE = 0.3
 MASS_INTERVAL = 0.1
 """Seconds between two draws of upstreams that crash by themselves."""
-CONVICTING = 3
+CONVICTION_WEIGHT = 3
 """Upstreams after whose end a request is refused."""
 LOOKS = 100_000
 """Calls of which the cost of a look is the mean."""
@@ -95,8 +95,8 @@
     innocent: set[str] = field(default_factory=set)
 
     def __str__(self) -> str:
-        late = self.crashes[CONVICTING:]
-        after = late[-1].at - self.crashes[CONVICTING - 1].at if late else 0.0
+        late = self.crashes[CONVICTION_WEIGHT:]
+        after = late[-1].at - self.crashes[CONVICTION_WEIGHT - 1].at if late else 0.0
         return (
             f"| {self.callers} | {sum(self.deadly.values())} | {len(self.crashes)}"
             f" | {after:.2f} | {self.good[200]} / {self.good[502]} / {self.good[503]}"
