--- a/src/leadseam/crashes/table.py
+++ b/src/leadseam/crashes/table.py
@@ -27,7 +27,7 @@
 of three incarnations takes some 0.5 KB."""
 MAX_ACCOUNTS = 1_000
 """Client accounts with rows: 60 of today's largest deployment, and room to grow."""
-SUSPECT_LIFE: Millis = 600_000
+SUSPECT_TTL: Millis = 600_000
 """Time after which a suspect without a further end is forgotten: callers give a request
 up after seconds, and send it again within minutes."""
 
@@ -126,7 +126,7 @@
         old = [
             fingerprint
             for fingerprint, at in self._changed_at.items()
-            if now - at > SUSPECT_LIFE and not self.convicts(fingerprint)
+            if now - at > SUSPECT_TTL and not self.convicts(fingerprint)
         ]
         for fingerprint in old:
             self._forget(fingerprint)
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -11,7 +11,7 @@
 from leadseam.crashes.table import (
     MAX_ENDED,
     MAX_ROWS_OF_ACCOUNT,
-    SUSPECT_LIFE,
+    SUSPECT_TTL,
     CrashTable,
 )
 from tests.crashes.samples import DEADLY, GOOD, make_row
@@ -67,13 +67,13 @@
     book = CrashTable()
     book.merge(make_row(1, 2, 3), 0)
     book.merge(make_row(1, 2, suspect=GOOD), 0)
-    book.fade(SUSPECT_LIFE)
+    book.fade(SUSPECT_TTL)
     assert len(book) == 2
-    book.fade(SUSPECT_LIFE + 1)
+    book.fade(SUSPECT_TTL + 1)
     assert book.rows() == (make_row(1, 2, 3),)
     assert book.may_hold("bank", 7)
-    book.void(DEADLY.fingerprint, SUSPECT_LIFE + 2)
-    book.fade(2 * SUSPECT_LIFE + 3)
+    book.void(DEADLY.fingerprint, SUSPECT_TTL + 2)
+    book.fade(2 * SUSPECT_TTL + 3)
     assert not book.may_hold("bank", 7)
 
 
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -9,7 +9,7 @@
 from leadseam.clock import ManualClock
 from leadseam.control.raft_work import Role
 from leadseam.control.state import ControlState, CrashesNoted, NoteCrashes
-from leadseam.crashes.table import SUSPECT_LIFE
+from leadseam.crashes.table import SUSPECT_TTL
 from leadseam.feed.crash_server import VERDICT_LIFE, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.codec import decode_frame, encode_frame
@@ -127,7 +127,7 @@
 def test_suspects_fade_at_a_replica() -> None:
     one = Fixture()
     one.server.take(Crashes((make_row(1),)))
-    one.clock.advance(SUSPECT_LIFE + 1)
+    one.clock.advance(SUSPECT_TTL + 1)
     one.server.fade()
     one.server.take(Crashes((make_row(2),)))
     assert one.told == []
