--- a/src/leadseam/crashes/evidence.py
+++ b/src/leadseam/crashes/evidence.py
@@ -17,7 +17,7 @@
 EARLY_LIMIT: Millis = 200
 """Time from a send within which a break is early, if nothing was answered: a crash
 takes some 50 ms, and a busy event loop adds some 100."""
-EARLY_LIMIT_OF_PROMPTS: Millis = 2_000
+ENGINE_EARLY_LIMIT: Millis = 2_000
 """The same at an engine, where a request may stand in a queue before it is begun, and
 where its first token tells when it was: callers give a stream up after some 3 s."""
 EARLY_WEIGHT = 5
--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from leadseam.crashes.evidence import EARLY_LIMIT, EARLY_LIMIT_OF_PROMPTS
+from leadseam.crashes.evidence import EARLY_LIMIT, ENGINE_EARLY_LIMIT
 from leadseam.routing.load import Load
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
 
     def ended_early(self) -> bool:
         """Tell whether the attempt ends now soon after its send, with no answer."""
-        limit = EARLY_LIMIT_OF_PROMPTS if self._req.parts else EARLY_LIMIT
+        limit = ENGINE_EARLY_LIMIT if self._req.parts else EARLY_LIMIT
         return not self._read and self._clock.now() - self._sent <= limit
 
     def end(self) -> None:
