--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -304,7 +304,7 @@
             # A sidecar judges a new account by what the others gave it.
             accounts = [row.account for row in rows if row.waiting]
             merge = self._dispatcher.merge(self.upstream.pool)
-            news = merge.introduce(self.upstream.name, accounts)
+            news = merge.report_unsent(self.upstream.name, accounts)
             if news:
                 link.send(OthersService(news))
             link.send(Backlog(tuple(rows)))
--- a/src/leadseam/fairness/merge.py
+++ b/src/leadseam/fairness/merge.py
@@ -58,7 +58,7 @@
                 changed.append(row)
         return tuple(changed)
 
-    def introduce(
+    def report_unsent(
         self, sidecar: str, accounts: Iterable[str]
     ) -> tuple[ServiceRow, ...]:
         """Return rows of accounts that a connected sidecar has not heard of."""
