--- a/src/leadseam/runtime/process.py
+++ b/src/leadseam/runtime/process.py
@@ -82,7 +82,7 @@
     # What start-up made stays for good: the collector need not look at it again.
     gc.enable()
     gc.freeze()
-    log.info("started", extra={"clock": steady.NAME})
+    log.info("started", extra={"clock": steady.CLOCK_NAME})
     return await _serve(program, stopping)
 
 
--- a/src/leadseam/steady.py
+++ b/src/leadseam/steady.py
@@ -11,7 +11,7 @@
 
 _BOOTTIME: int | None = getattr(time, "CLOCK_BOOTTIME", None)
 
-NAME = "monotonic" if _BOOTTIME is None else "boottime"
+CLOCK_NAME = "monotonic" if _BOOTTIME is None else "boottime"
 """Which clock it is; "monotonic" leaves suspended time out."""
 
 
