--- a/src/leadseam/crashes/table.py
+++ b/src/leadseam/crashes/table.py
@@ -121,7 +121,7 @@
             return None
         return self.merge(msgspec.structs.replace(row, void=row.ended), now)
 
-    def fade(self, now: Millis) -> None:
+    def expire_suspects(self, now: Millis) -> None:
         """Forget suspects of long ago; who is convicted stays."""
         old = [
             fingerprint
--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -112,7 +112,7 @@
     def fade(self) -> None:
         """Forget suspects of long ago, and lift verdicts that are old."""
         now = self._clock.now()
-        self._book.fade(now)
+        self._book.expire_suspects(now)
         current = {row.fingerprint for row in self.verdicts()}
         self._convicted_at = {one: self._convicted_at.get(one, now) for one in current}
         if self._replica.raft.role is not Role.LEADER:
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -115,7 +115,7 @@
     def review(self) -> None:
         """Look whether upstreams where attempts broke have gone, and forget the old."""
         now = self._clock.now()
-        self._suspects.table.fade(now)
+        self._suspects.table.expire_suspects(now)
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -67,13 +67,13 @@
     book = CrashTable()
     book.merge(make_row(1, 2, 3), 0)
     book.merge(make_row(1, 2, suspect=GOOD), 0)
-    book.fade(SUSPECT_TTL)
+    book.expire_suspects(SUSPECT_TTL)
     assert len(book) == 2
-    book.fade(SUSPECT_TTL + 1)
+    book.expire_suspects(SUSPECT_TTL + 1)
     assert book.rows() == (make_row(1, 2, 3),)
     assert book.may_hold("bank", 7)
     book.void(DEADLY.fingerprint, SUSPECT_TTL + 2)
-    book.fade(2 * SUSPECT_TTL + 3)
+    book.expire_suspects(2 * SUSPECT_TTL + 3)
     assert not book.may_hold("bank", 7)
 
 
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -111,7 +111,7 @@
     book.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
 
     def ask(now: Millis) -> int:
-        book.fade(590_000 + now)
+        book.expire_suspects(590_000 + now)
         return len(book)
 
     return ask
