--- a/src/leadseam/control/peers.py
+++ b/src/leadseam/control/peers.py
@@ -88,7 +88,7 @@
                 async with dial(endpoint.ip, endpoint.port, self._traffic) as link:
                     link.send(Hello(self._name, 0))
                     self._links[name] = link
-                    backoff.reached()
+                    backoff.reset()
                     async for message in link.messages():
                         self._on_reply(message)
             self._links.pop(name, None)
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -152,7 +152,7 @@
     def _open(self, link: Link, hello: Hello) -> None:
         if hello.incarnation != self._incarnation:
             self.leaving = False
-        self._backoff.reached()
+        self._backoff.reset()
         self._incarnation = hello.incarnation
         self._dispatcher.merge(self.upstream.pool).connect(
             self.upstream.name, hello.incarnation
--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -217,7 +217,7 @@
                 greeting = self._greeting()
                 if greeting is not None:
                     link.send(greeting)
-            backoff.reached()
+            backoff.reset()
             self._handle(link, replica, message)
             if isinstance(message, Replicas):
                 self._take_members(endpoint, message)
--- a/src/leadseam/wire/backoff.py
+++ b/src/leadseam/wire/backoff.py
@@ -30,7 +30,7 @@
     def __repr__(self) -> str:
         return f"Backoff({self._limit} ms)"
 
-    def reached(self) -> None:
+    def reset(self) -> None:
         """Begin again with the first pause."""
         self._limit = self._first
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -11,5 +11,5 @@
     limits = [100, 200, 400, 400, 400]
     for pause, limit in zip(pauses, limits, strict=True):
         assert limit // 2 <= pause <= limit
-    backoff.reached()
+    backoff.reset()
     assert backoff.next_pause() <= 100
