--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class EncodedMessage:
     """A message that goes to many peers, encoded once for all of them.
 
     Args:
@@ -67,17 +67,19 @@
     data: bytes
 
 
-def prepare(message: AnyMessage) -> Prepared:
+def prepare(message: AnyMessage) -> EncodedMessage:
     """Encode a message that goes to many peers."""
-    return Prepared(message, encode(message))
+    return EncodedMessage(message, encode(message))
 
 
-def encode_frame(messages: Iterable[AnyMessage | Prepared]) -> bytes:
+def encode_frame(messages: Iterable[AnyMessage | EncodedMessage]) -> bytes:
     """Encode messages into one frame."""
     messages = tuple(messages)
-    if not any(isinstance(one, Prepared) for one in messages):
+    if not any(isinstance(one, EncodedMessage) for one in messages):
         return encode(messages)
-    items = [one.data if isinstance(one, Prepared) else encode(one) for one in messages]
+    items = [
+        one.data if isinstance(one, EncodedMessage) else encode(one) for one in messages
+    ]
     return b"".join([_array_head(len(items)), *items])
 
 
--- a/src/leadseam/wire/link.py
+++ b/src/leadseam/wire/link.py
@@ -14,7 +14,7 @@
 from leadseam.clock import Millis, seconds
 from leadseam.errors import WireError
 from leadseam.runtime.tasks import spawn
-from leadseam.wire.codec import Prepared, decode_frame, encode_frame
+from leadseam.wire.codec import EncodedMessage, decode_frame, encode_frame
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
@@ -53,7 +53,7 @@
     def __init__(self, conn: Connection, traffic: Traffic) -> None:
         self._conn = conn
         self._traffic = traffic
-        self._queue: deque[AnyMessage | Prepared] = deque()
+        self._queue: deque[AnyMessage | EncodedMessage] = deque()
         self._wake = asyncio.Event()
         self._writer = spawn(self._write())
         self._aborted = False
@@ -61,7 +61,7 @@
     def __repr__(self) -> str:
         return f"Link({self._conn.remote_address}, queued={len(self._queue)})"
 
-    def send(self, message: AnyMessage | Prepared) -> None:
+    def send(self, message: AnyMessage | EncodedMessage) -> None:
         """Queue a message; a peer that cannot keep up loses the connection."""
         if self._aborted:
             return
--- a/src/leadseam/wire/traffic.py
+++ b/src/leadseam/wire/traffic.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from leadseam.wire.codec import Prepared
+    from leadseam.wire.codec import EncodedMessage
     from leadseam.wire.messages import AnyMessage
 
 
@@ -30,7 +30,7 @@
     payload_sent: int = 0
     payload_received: int = 0
 
-    def sent(self, size: int, messages: Iterable[AnyMessage | Prepared]) -> None:
+    def sent(self, size: int, messages: Iterable[AnyMessage | EncodedMessage]) -> None:
         """Count a frame that was sent."""
         payload = payload_size(messages)
         self.payload_sent += payload
@@ -43,7 +43,7 @@
         self.control_received += size - payload
 
 
-def payload_size(messages: Iterable[AnyMessage | Prepared]) -> int:
+def payload_size(messages: Iterable[AnyMessage | EncodedMessage]) -> int:
     """Return the bytes of callers' bodies in messages."""
     size = 0
     for message in messages:
--- a/tests/feed/test_registrations.py
+++ b/tests/feed/test_registrations.py
@@ -21,7 +21,7 @@
 from leadseam.membership.registry import Registry
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire import codec
-from leadseam.wire.codec import Prepared, decode_frame, encode_frame, prepare
+from leadseam.wire.codec import EncodedMessage, decode_frame, encode_frame, prepare
 from leadseam.wire.feed import Current, Left, Registered
 from leadseam.wire.link import MAX_PER_FRAME
 from tests.routing.samples import make_upstream
@@ -32,9 +32,9 @@
 
 @dataclass
 class FakeLink:
-    sent: list[Prepared] = field(default_factory=list)
+    sent: list[EncodedMessage] = field(default_factory=list)
 
-    def send(self, message: Prepared) -> None:
+    def send(self, message: EncodedMessage) -> None:
         self.sent.append(message)
 
 
