--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -18,7 +18,7 @@
 from leadseam.membership.registry import DEFAULT_HEARTBEAT, Registry
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.claim import Claim, ClaimDone, ClaimRelease
-from leadseam.wire.codec import prepare
+from leadseam.wire.codec import encode_message
 from leadseam.wire.crashes import Crashes
 from leadseam.wire.feed import (
     Current,
@@ -226,7 +226,7 @@
     def _tell_all(self, message: AnyMessage) -> None:
         if not self._subscribers:
             return
-        prepared = prepare(message)
+        prepared = encode_message(message)
         for subscriber in self.subscribers:
             subscriber.link.send(prepared)
 
--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -67,7 +67,7 @@
     data: bytes
 
 
-def prepare(message: AnyMessage) -> EncodedMessage:
+def encode_message(message: AnyMessage) -> EncodedMessage:
     """Encode a message that goes to many peers."""
     return EncodedMessage(message, encode(message))
 
--- a/tests/feed/test_registrations.py
+++ b/tests/feed/test_registrations.py
@@ -21,7 +21,12 @@
 from leadseam.membership.registry import Registry
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire import codec
-from leadseam.wire.codec import EncodedMessage, decode_frame, encode_frame, prepare
+from leadseam.wire.codec import (
+    EncodedMessage,
+    decode_frame,
+    encode_frame,
+    encode_message,
+)
 from leadseam.wire.feed import Current, Left, Registered
 from leadseam.wire.link import MAX_PER_FRAME
 from tests.routing.samples import make_upstream
@@ -86,7 +91,10 @@
 @pytest.mark.parametrize("length", [1, 23, 24, 255, MAX_PER_FRAME])
 def test_frames_of_prepared_messages_are_read_as_any_other(length: int) -> None:
     messages = [Current(number) for number in range(length)]
-    mixed = [prepare(one) if number % 2 else one for number, one in enumerate(messages)]
-    mixed[-1] = prepare(Left(()))
+    mixed = [
+        encode_message(one) if number % 2 else one
+        for number, one in enumerate(messages)
+    ]
+    mixed[-1] = encode_message(Left(()))
     messages[-1] = cast("Any", Left(()))
     assert decode_frame(encode_frame(mixed)) == tuple(messages)
