--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -197,7 +197,7 @@
             message.version,
             in_force=message.version,
             clock=message.clock,
-            alone=message.width == 1,
+            alone=message.replica_count == 1,
         )
         self._subscribers[number] = subscriber
         try:
--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -14,14 +14,14 @@
         incarnation: Its incarnation.
         version: Highest version it holds, 0 for none.
         clock: The subscriber's clock.
-        width: Number of replicas that it follows if it can.
+        replica_count: Number of replicas that it follows if it can.
     """
 
     node: str
     incarnation: int
     version: int
     clock: int = -1
-    width: int = 1
+    replica_count: int = 1
 
 
 class Snapshot(Message, frozen=True, array_like=True, tag=31):
