--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -16,7 +16,7 @@
 from leadseam.control.raft_types import Role
 from leadseam.control.state import RecordCrashes
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.table import CrashTable
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.crashes import Crashes
 
@@ -65,7 +65,7 @@
         self._clock = clock
         self._metrics = metrics
         self._broadcast = broadcast
-        self._table = CrashBook()
+        self._table = CrashTable()
         self._applied_changes = -1
         self._convicted_at: dict[Fingerprint, Millis] = {}
         self._wake = asyncio.Event()
@@ -112,7 +112,7 @@
     def expire(self) -> None:
         """Forget suspects of long ago, and lift verdicts that are old."""
         now = self._clock.now()
-        self._table.fade(now)
+        self._table.expire_suspects(now)
         current = {row.fingerprint for row in self.verdicts()}
         self._convicted_at = {one: self._convicted_at.get(one, now) for one in current}
         if self._replica.raft.role is not Role.LEADER:
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -22,7 +22,7 @@
 from leadseam.membership.registry import DEFAULT_HEARTBEAT, Registry
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.claim import Claim, ClaimDone, ClaimRelease
-from leadseam.wire.codec import prepare
+from leadseam.wire.codec import encode_message
 from leadseam.wire.crashes import Crashes
 from leadseam.wire.feed import (
     Current,
@@ -154,7 +154,7 @@
         """
         if not self._replica.state.configuration.version:
             return True
-        return self._has_configured_pool(registration) or self._registry.hears(
+        return self._has_configured_pool(registration) or self._registry.is_registered(
             registration
         )
 
@@ -164,7 +164,7 @@
     def start_of(self, instance: str) -> int | None:
         """Return the start that a word of leaving without one concerns, if any."""
         start = self._registry.start_of(instance)
-        if start is None and not self._registry.states_starts:
+        if start is None and not self._registry.reports_start_times:
             return NO_START
         return start
 
@@ -204,7 +204,7 @@
             message.version,
             in_force=message.version,
             clock=message.clock,
-            single_replica=message.width == 1,
+            single_replica=message.replica_count == 1,
         )
         self._subscribers[number] = subscriber
         try:
@@ -235,7 +235,7 @@
     def _broadcast(self, message: AnyMessage) -> None:
         if not self._subscribers:
             return
-        prepared = prepare(message)
+        prepared = encode_message(message)
         for subscriber in self.subscribers:
             subscriber.link.send(prepared)
 
--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -40,7 +40,7 @@
     @property
     def cold_until(self) -> Millis:
         """Until when the upstream is cold; when it was heard if it is not."""
-        return self.heard_at + self.registration.cold_left
+        return self.heard_at + self.registration.cold_remaining
 
 
 class Registry:
@@ -110,7 +110,7 @@
         for row in self._rows.values():
             row.heard_at = min(row.heard_at + now - before - MAX_STEP, now)
 
-    def hears(self, registration: Registration) -> bool:
+    def is_registered(self, registration: Registration) -> bool:
         """Tell whether this start of an upstream is heard here, for the same pool."""
         row = self._rows.get(registration.instance)
         if row is None or row.registration.incarnation != registration.incarnation:
@@ -123,7 +123,7 @@
         return row.registration.incarnation.start if row is not None else None
 
     @property
-    def states_starts(self) -> bool:
+    def reports_start_times(self) -> bool:
         """Whether an upstream that is heard here states its start."""
         return any(row.registration.incarnation.start for row in self._rows.values())
 
@@ -141,9 +141,9 @@
 def _cold_moved(row: _Row, registration: Registration, now: Millis) -> bool:
     """Tell whether an upstream is cold for longer, or warm sooner, than it was."""
     expected = max(row.cold_until - now, 0)
-    return abs(registration.cold_left - expected) > COLD_TOLERANCE
+    return abs(registration.cold_remaining - expected) > COLD_TOLERANCE
 
 
 def _substance(registration: Registration) -> Registration:
     """Return a registration without what changes from heartbeat to heartbeat."""
-    return msgspec.structs.replace(registration, sequence=0, cold_left=0)
+    return msgspec.structs.replace(registration, sequence=0, cold_remaining=0)
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis, sleep
-from leadseam.crashes.suspects import News, Presence, Suspect, Suspects
+from leadseam.crashes.suspects import Findings, Presence, Suspect, Suspects
 from leadseam.outcome import Reason
 from leadseam.routing.attempt import FIRST_REDIRECTION, Broken, Streaming, Whole
 from leadseam.runtime.tasks import spawn
@@ -75,9 +75,9 @@
         if not self._may_know(admitted):
             return None
         suspect = _suspect(admitted)
-        if self._suspects.book.convicts(suspect.fingerprint):
+        if self._suspects.table.convicts(suspect.fingerprint):
             return Reason.CRASHES_UPSTREAMS
-        if self._suspects.on_trial(suspect):
+        if self._suspects.would_be_convicted(suspect):
             return Reason.MAY_CRASH_UPSTREAMS
         return None
 
@@ -115,18 +115,18 @@
     def review(self) -> None:
         """Look whether upstreams where attempts broke have gone, and forget the old."""
         now = self._clock.now()
-        self._suspects.book.fade(now)
+        self._suspects.table.expire_suspects(now)
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
     def receive(self, message: Crashes) -> None:
         """Take what other entries have seen."""
-        convicted = self._suspects.told(message.rows, self._clock.now())
+        convicted = self._suspects.merge_reports(message.rows, self._clock.now())
         self._convict(convicted)
 
     def initial_report(self) -> Crashes | None:
         """Return what a replica has to know that is followed anew, or None."""
-        rows = self._suspects.book.rows()
+        rows = self._suspects.table.rows()
         return Crashes(rows) if rows else None
 
     def _broke(
@@ -135,7 +135,7 @@
         suspect = _suspect(admitted)
         incarnation = upstream.incarnation
         now = self._clock.now()
-        if self._suspects.broke(suspect, incarnation, now, early=early):
+        if self._suspects.record_break(suspect, incarnation, now, early=early):
             spawn(self._look(upstream))
 
     async def _look(self, upstream: Registration) -> None:
@@ -151,12 +151,12 @@
         self._suspects.answered(upstream.incarnation, now)
         if not self._may_know(admitted):
             return
-        row = self._suspects.answered_whole(_suspect(admitted), now)
+        row = self._suspects.acquit(_suspect(admitted), now)
         if row is not None:
             self._feed.broadcast(Crashes((row,)))
 
     def _may_know(self, admitted: AdmittedRequest) -> bool:
-        return self._suspects.may_know(admitted.account or "", len(admitted.body))
+        return self._suspects.may_match(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
         if self._feed.view.has_left(incarnation):
@@ -166,7 +166,7 @@
         # An entry that is cut off forgets upstreams that go on.
         return Presence.GONE if self._feed.fresh else Presence.UNKNOWN
 
-    def _report(self, news: News) -> None:
+    def _report(self, news: Findings) -> None:
         if not news.rows:
             return
         self._feed.broadcast(Crashes(news.rows))
@@ -181,7 +181,7 @@
     def _convict(self, fingerprints: tuple[Fingerprint, ...]) -> None:
         """Refuse requests from now on, and end their attempts under way."""
         for fingerprint in fingerprints:
-            row = self._suspects.book.get(fingerprint)
+            row = self._suspects.table.get(fingerprint)
             ended = [one for one in self._running if self._is_of(one, fingerprint)]
             for exchange in ended:
                 exchange.end_attempt()
--- a/src/leadseam/wire/dispatch.py
+++ b/src/leadseam/wire/dispatch.py
@@ -5,7 +5,7 @@
 from leadseam.wire.record import Message, Record
 
 
-class Free(Message, frozen=True, array_like=True, tag=2):
+class SlotStatus(Message, frozen=True, array_like=True, tag=2):
     """State of a sidecar's slots.
 
     Args:
@@ -184,7 +184,7 @@
     attempt: int
 
 
-class Testimony(Message, frozen=True, array_like=True, tag=17):
+class QueryReply(Message, frozen=True, array_like=True, tag=17):
     """Answer to `Query`.
 
     Args:
--- a/src/leadseam/wire/messages.py
+++ b/src/leadseam/wire/messages.py
@@ -27,15 +27,15 @@
     Decline,
     Dispatch,
     Final,
-    Free,
     Grant,
     Head,
     Leaving,
     OthersService,
     Query,
+    QueryReply,
     Refused,
     Service,
-    Testimony,
+    SlotStatus,
 )
 from leadseam.wire.feed import (
     Current,
@@ -68,7 +68,7 @@
 
 AnyMessage: TypeAlias = (
     Hello
-    | Free
+    | SlotStatus
     | Backlog
     | Service
     | OthersService
@@ -83,7 +83,7 @@
     | Credit
     | Cancel
     | Query
-    | Testimony
+    | QueryReply
     | Leaving
     | Subscribe
     | Snapshot
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -15,8 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from leadseam.clock import ManualClock
-from leadseam.crashes.book import CrashBook
 from leadseam.crashes.suspects import Suspects
+from leadseam.crashes.table import CrashTable
 from leadseam.feed.crash_server import CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.crashes import Crashes
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
-        self.log = CrashBook()
+        self.log = CrashTable()
         self.upstreams = 0
         self.ended = 0
         self.broken: list[tuple[int, Incarnation]] = []
@@ -74,20 +74,22 @@
     def send(self, entry: int, late: bool, good: bool, early: bool) -> None:
         """An entry sends the deadly request, if it may; a good one may run beside."""
         suspects = self.entries[entry]
-        if suspects.book.convicts(DEADLY.fingerprint) or suspects.on_trial(DEADLY):
+        if suspects.table.convicts(DEADLY.fingerprint) or suspects.would_be_convicted(
+            DEADLY
+        ):
             return
         self.now += 1
         self.upstreams += 1
         self.ended += 1
         incarnation = upstream(self.upstreams)
-        suspects.broke(DEADLY, incarnation, self.now, early=True)
+        suspects.record_break(DEADLY, incarnation, self.now, early=True)
         if good:
-            suspects.broke(GOOD, incarnation, self.now, early=early)
+            suspects.record_break(GOOD, incarnation, self.now, early=early)
         self.broken.append((entry, incarnation))
         if not late:
             self.find_out(-1)
         if good:
-            row = suspects.answered_whole(GOOD, self.now)
+            row = suspects.acquit(GOOD, self.now)
             self.report(entry, (row,) if row is not None else ())
 
     @precondition(lambda self: self.broken)
@@ -117,14 +119,16 @@
         if way == "up":
             self.replicas[replica].receive(message)
         else:
-            self.entries[entry].told(message.rows, self.now)
+            self.entries[entry].merge_reports(message.rows, self.now)
 
     @rule(entry=st.sampled_from(ENTRIES), replica=st.sampled_from(REPLICAS))
     def follow_anew(self, entry: int, replica: int) -> None:
         """A link breaks: what was under way is lost, and both sides greet."""
         for way in ("up", "down"):
             self.link(way, entry, replica).clear()
-        self.link("up", entry, replica).append(Crashes(self.entries[entry].book.rows()))
+        self.link("up", entry, replica).append(
+            Crashes(self.entries[entry].table.rows())
+        )
         if greeting := self.replicas[replica].greeting():
             self.link("down", entry, replica).append(greeting)
 
@@ -169,13 +173,13 @@
                     self.take(way, entry, replica, queue.popleft())
         known = self.ended >= CONVICTING_ENDS
         for suspects in self.entries.values():
-            assert suspects.book.convicts(DEADLY.fingerprint) is known
+            assert suspects.table.convicts(DEADLY.fingerprint) is known
 
     @invariant()
     def good_requests_are_never_convicted(self) -> None:
         """A request that was answered whole each time stays innocent."""
         for suspects in self.entries.values():
-            assert not suspects.book.convicts(GOOD.fingerprint)
+            assert not suspects.table.convicts(GOOD.fingerprint)
 
 
 TestFleet = Fleet.TestCase
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -9,7 +9,7 @@
 from leadseam.clock import ManualClock
 from leadseam.control.raft_types import Role
 from leadseam.control.state import ControlState, CrashesRecorded, RecordCrashes
-from leadseam.crashes.book import SUSPECT_LIFE
+from leadseam.crashes.table import SUSPECT_TTL
 from leadseam.feed.crash_server import VERDICT_LIFETIME, CrashServer
 from leadseam.runtime.metrics import ControlMetrics, Metrics
 from leadseam.wire.codec import decode_frame, encode_frame
@@ -129,7 +129,7 @@
 def test_suspects_fade_at_a_replica() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1),)))
-    one.clock.advance(SUSPECT_LIFE + 1)
+    one.clock.advance(SUSPECT_TTL + 1)
     one.server.expire()
     one.server.receive(Crashes((make_row(2),)))
     assert one.sent == []
