--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -42,16 +42,16 @@
     from leadseam.control.raft_types import RaftMessage, TermMessage
 
 HEARTBEAT_INTERVAL: Millis = 120
-LEASE: Millis = 440
+LEASE_DURATION: Millis = 440
 """How long no other leader can exist after a quorum has answered: below the least
 election timeout by more than clocks drift apart in that time."""
-CURRENT_LIMIT: Millis = 900
+MAX_STALENESS: Millis = 900
 """Age of a leader's word up to which a follower is current: seven heartbeats."""
 MAX_APPEND_ENTRIES = 256
 CATCH_UP_DISTANCE = 32
 JOIN_INTERVAL: Millis = 300
 """Pause between requests to be taken in; a new box should count within seconds."""
-LEAVE_PAUSE: Millis = 2 * HEARTBEAT_INTERVAL
+LEAVE_GRACE_PERIOD: Millis = 2 * HEARTBEAT_INTERVAL
 """Time for which a replica that stops goes on answering once a leader has been told."""
 
 
@@ -89,8 +89,8 @@
         self.membership = metadata.membership
         self._election = Election(seed, now)
         self._bounds = Bounds(tolerated_losses)
-        self._stops = False
-        self._told_at: Millis | None = None
+        self._is_stopping = False
+        self._stop_reported_at: Millis | None = None
         self._followers = Followers()
         self._liveness = Liveness()
         self._pending = Pending()
@@ -125,7 +125,7 @@
 
     def health(self, now: Millis) -> GroupHealth | None:
         """Return who of the group answers, or None while another replica leads."""
-        if not self.leads and self._hears_leader(now):
+        if not self.leads and self._has_recent_leader(now):
             return None
         voters = self.membership.voters if self.is_voter else ()
         missing = tuple(
@@ -145,13 +145,13 @@
             return False
         if self.log.term_at(self.commit_index) != self.term:
             return False
-        return now < self._quorum_ack(now) + LEASE
+        return now < self._quorum_ack(now) + LEASE_DURATION
 
     def is_current(self, now: Millis) -> bool:
         """Tell whether the applied state was the fleet's within `CURRENT_LIMIT`."""
         if self.role is Role.LEADER:
             return self.holds_lease(now)
-        return self._current_at >= 0 and now - self._current_at < CURRENT_LIMIT
+        return self._current_at >= 0 and now - self._current_at < MAX_STALENESS
 
     # Events
 
@@ -159,13 +159,13 @@
         """Let time pass: elections, heartbeats, loss of quorum."""
         if self.role is Role.LEADER:
             self._tick_leader(now)
-        elif self._stops:
+        elif self._is_stopping:
             return
         elif not self.is_voter:
             # A learner that was dropped while it was away has not been told.
             member = self.identity in self.membership.everyone
-            if not member or not self._hears_leader(now):
-                self._ask_to_join(now)
+            if not member or not self._has_recent_leader(now):
+                self._request_join(now)
         elif self._election.is_due(now):
             self._election.try_again_soon(now)
             self._start_pre_vote(now)
@@ -177,16 +177,19 @@
         a newcomer waits, it leaves the group within two heartbeats instead of 1.5 s. A
         leader steps down, so that another one can do that.
         """
-        self._stops = True
+        self._is_stopping = True
         self._election.stop_asking()
         if self.role is not Role.FOLLOWER:
             self._step_down(now)
 
-    def may_stop(self, now: Millis) -> bool:
+    def can_stop(self, now: Millis) -> bool:
         """Tell whether a leader knows that this replica stops, or need not know."""
         if not self.is_voter:
             return True
-        return self._told_at is not None and now - self._told_at >= LEAVE_PAUSE
+        return (
+            self._stop_reported_at is not None
+            and now - self._stop_reported_at >= LEAVE_GRACE_PERIOD
+        )
 
     def propose(self, now: Millis, kind: EntryKind, data: bytes) -> int | None:
         """Append an entry as leader.
@@ -303,10 +306,10 @@
         self.leader = ""
         self._election.give_up()
 
-    def _hears_leader(self, now: Millis) -> bool:
+    def _has_recent_leader(self, now: Millis) -> bool:
         return self.leads or self._election.hears_leader(now)
 
-    def _log_is_newer(self, last_term: int, last_index: int) -> bool:
+    def _log_is_up_to_date(self, last_term: int, last_index: int) -> bool:
         mine = (self.log.last_term, self.log.last_index)
         return (last_term, last_index) >= mine
 
@@ -329,8 +332,8 @@
             self._on_join(now, Join(message.sender))
         granted = (
             message.term > self.term
-            and not self._hears_leader(now)
-            and self._log_is_newer(message.last_term, message.last_index)
+            and not self._has_recent_leader(now)
+            and self._log_is_up_to_date(message.last_term, message.last_index)
         )
         reply = PreVoteReply(self.identity, message.term, granted)
         self._send(message.sender, reply)
@@ -360,7 +363,7 @@
 
     def _adopt_term(self, now: Millis, message: TermMessage) -> bool:
         """Enter a newer term, unless it is a vote against a leader that is heard."""
-        if isinstance(message, Vote) and self._hears_leader(now):
+        if isinstance(message, Vote) and self._has_recent_leader(now):
             return False
         self._step_down(now)
         self._set_term(message.term, "")
@@ -390,7 +393,7 @@
                 self._on_install(now, message)
 
     def _on_vote(self, now: Millis, message: Vote) -> None:
-        granted = self.vote in ("", message.sender) and self._log_is_newer(
+        granted = self.vote in ("", message.sender) and self._log_is_up_to_date(
             message.last_term, message.last_index
         )
         if granted:
@@ -529,7 +532,7 @@
 
     # Membership
 
-    def _ask_to_join(self, now: Millis) -> None:
+    def _request_join(self, now: Millis) -> None:
         if now >= self._join_at:
             self._join_at = now + JOIN_INTERVAL
             self._send("", Join(self.identity))
@@ -545,7 +548,7 @@
         if step is not None and self._membership_settled():
             # Its silence as a learner counts from here on.
             self._liveness.answered(message.sender, now)
-            self._take_step(now, step)
+            self._propose_change(now, step)
 
     def _membership_settled(self) -> bool:
         pending = self.log.between(self.commit_index + 1)
@@ -559,18 +562,18 @@
             return
         step = next_step(
             self.membership,
-            gone=self._gone(now),
+            gone=self._gone_members(now),
             caught_up=[one for one in self.membership.learners if self._caught_up(one)],
             bounds=self._bounds,
         )
         if step is not None:
-            self._take_step(now, step)
+            self._propose_change(now, step)
 
-    def _gone(self, now: Millis) -> list[str]:
+    def _gone_members(self, now: Millis) -> list[str]:
         gone = self._liveness.gone(self.membership, now)
         return [name for name in gone if name != self.identity]
 
-    def _take_step(self, now: Millis, step: Step) -> None:
+    def _propose_change(self, now: Millis, step: Step) -> None:
         self._pending.steps.append(step)
         self.propose(now, EntryKind.MEMBERSHIP, encode(step.membership))
 
@@ -584,24 +587,24 @@
         self, success: bool, match: int, sent: Millis, clock: Millis
     ) -> AppendReply:
         return AppendReply(
-            self.identity, self.term, success, match, sent, clock, self._stops
+            self.identity, self.term, success, match, sent, clock, self._is_stopping
         )
 
-    def _follow(self, now: Millis, leader: str) -> None:
+    def _accept_leader(self, now: Millis, leader: str) -> None:
         if self.role is Role.LEADER:
             raise InvariantError(f"two leaders in term {self.term}")
         self.role = Role.FOLLOWER
         self.leader = leader
-        if self._stops and self._told_at is None:
+        if self._is_stopping and self._stop_reported_at is None:
             # What is answered from here on says so.
-            self._told_at = now
+            self._stop_reported_at = now
         self._election.hear_leader(now)
 
     def _on_append(self, now: Millis, message: Append) -> None:
-        self._follow(now, message.sender)
+        self._accept_leader(now, message.sender)
         self._liveness.told(message.sender, message.silent, now)
         if message.prev_index < self.log.snapshot_metadata.index:
-            self._on_append_before_mark(now, message)
+            self._on_append_before_snapshot(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
             hint = min(message.prev_index - 1, self.log.last_index)
@@ -615,7 +618,7 @@
             self._current_at = max(self._current_at, message.echo)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
-    def _on_append_before_mark(self, now: Millis, message: Append) -> None:
+    def _on_append_before_snapshot(self, now: Millis, message: Append) -> None:
         reply = self._reply(True, self.log.snapshot_metadata.index, message.sent, now)
         self._send(message.sender, reply)
 
@@ -630,7 +633,7 @@
             return
 
     def _on_install(self, now: Millis, message: Install) -> None:
-        self._follow(now, message.sender)
+        self._accept_leader(now, message.sender)
         if message.index > self.commit_index:
             membership = Membership(message.voters, message.learners)
             metadata = SnapshotMetadata(message.index, message.index_term, membership)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -247,7 +247,7 @@
         self._inbox.put_nowait(_Leaving())
         while not self.failure and self._clock.now() < deadline:
             await sleep(TICK)
-            if self._raft.may_stop(self._clock.now()):
+            if self._raft.can_stop(self._clock.now()):
                 return
 
     def close(self) -> None:
--- a/tests/control/test_losses_borne.py
+++ b/tests/control/test_losses_borne.py
@@ -208,7 +208,7 @@
         assert raft is not None
         raft.leave(self.cluster.now)
         for _ in range(3 * SECOND):
-            if raft.may_stop(self.cluster.now):
+            if raft.can_stop(self.cluster.now):
                 return
             self._settle(1)
 
--- a/tests/control/test_replaced_box.py
+++ b/tests/control/test_replaced_box.py
@@ -169,7 +169,7 @@
     assert raft is not None
     raft.leave(cluster.now)
     for _ in range(3 * SECOND):
-        if raft.may_stop(cluster.now):
+        if raft.can_stop(cluster.now):
             return
         cluster.settle(1)
     raise AssertionError("nobody took note")
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -18,7 +18,7 @@
 )
 
 from leadseam.control.election import ELECTION_TIMEOUT, PRE_VOTE_PAUSE
-from leadseam.control.raft import LEASE, Raft
+from leadseam.control.raft import LEASE_DURATION, Raft
 from leadseam.control.raft_log import box_name
 from leadseam.control.raft_types import Role
 from leadseam.wire.consensus import Join, PreVote, PreVoteReply, Vote, VoteReply
@@ -314,7 +314,7 @@
         assert [one.granted for one in replies if isinstance(one, PreVoteReply)] == [
             granted
         ]
-    assert LEASE < ELECTION_TIMEOUT
+    assert LEASE_DURATION < ELECTION_TIMEOUT
 
 
 def test_a_request_to_join_is_passed_on_once() -> None:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -209,8 +209,8 @@
     Variant(
         "a stop is not told",
         "control/raft.py",
-        "        self._stops = True\n",
-        "        self._stops = False\n",
+        "        self._is_stopping = True\n",
+        "        self._is_stopping = False\n",
         f"{REPLACED}::test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent",
     ),
     Variant(
