--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -103,7 +103,7 @@
         self._recompute_membership()
         self._election.put_off(now)
         if self.term == 0 and not log:
-            self._election.found(now)
+            self._election.bootstrap(now)
 
     def __repr__(self) -> str:
         return (
@@ -167,7 +167,7 @@
             if not member or not self._has_recent_leader(now):
                 self._request_join(now)
         elif self._election.is_due(now):
-            self._election.try_again_soon(now)
+            self._election.schedule_retry(now)
             self._start_pre_vote(now)
 
     def leave(self, now: Millis) -> None:
@@ -178,7 +178,7 @@
         leader steps down, so that another one can do that.
         """
         self._is_stopping = True
-        self._election.stop_asking()
+        self._election.cancel_pre_vote()
         if self.role is not Role.FOLLOWER:
             self._step_down(now)
 
@@ -304,10 +304,10 @@
             self.role = Role.FOLLOWER
             self._election.put_off(now)
         self.leader = ""
-        self._election.give_up()
+        self._election.clear_votes()
 
     def _has_recent_leader(self, now: Millis) -> bool:
-        return self.leads or self._election.hears_leader(now)
+        return self.leads or self._election.has_recent_leader(now)
 
     def _log_is_up_to_date(self, last_term: int, last_index: int) -> bool:
         mine = (self.log.last_term, self.log.last_index)
@@ -316,8 +316,8 @@
     def _start_pre_vote(self, now: Millis) -> None:
         self.role = Role.FOLLOWER
         self.leader = ""
-        self._election.ask_first(self.identity)
-        if self._election.may_stand(self.membership):
+        self._election.start_pre_vote(self.identity)
+        if self._election.has_pre_vote_quorum(self.membership):
             self._start_election(now)
             return
         for peer in self._other_voters():
@@ -341,17 +341,17 @@
     def _on_pre_vote_reply(self, now: Millis, message: PreVoteReply) -> None:
         self._liveness.answered(message.sender, now)
         expected = self.role is Role.FOLLOWER and message.term == self.term + 1
-        if not (expected and message.granted and self._election.asks):
+        if not (expected and message.granted and self._election.in_pre_vote):
             return
-        self._election.granted_first(message.sender)
-        if self._election.may_stand(self.membership):
+        self._election.add_pre_vote(message.sender)
+        if self._election.has_pre_vote_quorum(self.membership):
             self._start_election(now)
 
     def _start_election(self, now: Millis) -> None:
         self.role = Role.CANDIDATE
         self._set_term(self.term + 1, self.identity)
-        self._election.stand(self.identity)
-        self._election.try_again_soon(now)
+        self._election.start_vote(self.identity)
+        self._election.schedule_retry(now)
         if self._election.is_won(self.membership):
             self._become_leader(now)
             return
@@ -598,7 +598,7 @@
         if self._is_stopping and self._stop_reported_at is None:
             # What is answered from here on says so.
             self._stop_reported_at = now
-        self._election.hear_leader(now)
+        self._election.record_leader_contact(now)
 
     def _on_append(self, now: Millis, message: Append) -> None:
         self._accept_leader(now, message.sender)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -17,7 +17,7 @@
     rule,
 )
 
-from leadseam.control.election import ELECTION_TIMEOUT, PRE_VOTE_PAUSE
+from leadseam.control.election import ELECTION_TIMEOUT, PRE_VOTE_RETRY_DELAY
 from leadseam.control.raft import LEASE_DURATION, Raft
 from leadseam.control.raft_log import box_name
 from leadseam.control.raft_types import Role
@@ -290,9 +290,9 @@
         times.append(time_to_lead_after_restarts(cluster, {"a": 0, "b": 390}))
     # The later one may vote 500 ms after its start; the other asks again soon.
     first_chance = 390 + ELECTION_TIMEOUT
-    assert mean(times) <= first_chance + PRE_VOTE_PAUSE
+    assert mean(times) <= first_chance + PRE_VOTE_RETRY_DELAY
     # Two that ask in the same 10 ms share the votes once.
-    assert max(times) <= first_chance + 4 * PRE_VOTE_PAUSE + 20
+    assert max(times) <= first_chance + 4 * PRE_VOTE_RETRY_DELAY + 20
 
 
 def test_a_voter_grants_nothing_until_a_lease_it_may_have_granted_is_over() -> None:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -133,8 +133,8 @@
         (
             Replacement(
                 "control/election.py",
-                "PRE_VOTE_PAUSE: Millis = 150",
-                "PRE_VOTE_PAUSE: Millis = 500",
+                "PRE_VOTE_RETRY_DELAY: Millis = 150",
+                "PRE_VOTE_RETRY_DELAY: Millis = 500",
             ),
         ),
     ),
