--- a/src/leadseam/control/liveness.py
+++ b/src/leadseam/control/liveness.py
@@ -16,17 +16,17 @@
 
     from leadseam.control.raft_log import Membership
 
-VOTER_SILENCE: Millis = 1_500
+VOTER_TIMEOUT: Millis = 1_500
 """Silence after which a voter is taken for gone: twelve heartbeats. A box that is gone
 has to be out of the group 4 s after its successor's start, through an election or two
 of up to 1.3 s each; one that was only away joins again within a second."""
-LEARNER_SILENCE: Millis = 10_000
+LEARNER_TIMEOUT: Millis = 10_000
 """Silence after which a learner is dropped. It costs no quorum, and it may be storing a
 snapshot meanwhile; it asks again if it runs."""
-SILENCE_TOLD: Millis = 500
+MIN_REPORTED_SILENCE: Millis = 500
 """Silence that a leader tells its followers of: four heartbeats. With two leaders
 replaced within 4 s and nothing told, the first one stayed a voter for 7.3 s."""
-ANSWER_PAUSE: Millis = 240
+NEW_LEADER_GRACE_PERIOD: Millis = 240
 """Time that all members have to answer a new leader before it takes any for gone: two
 heartbeats."""
 
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._answered: dict[str, Millis] = {}
-        self._told: dict[str, Millis] = {}
+        self._reported: dict[str, Millis] = {}
         self._stopping: set[str] = set()
         self._elected_at: Millis = 0
 
@@ -57,7 +57,7 @@
         else:
             self._stopping.discard(name)
 
-    def told(
+    def leader_reported(
         self, leader: str, silent: Iterable[tuple[str, Millis]], now: Millis
     ) -> None:
         """Take the word of the leader; its own silence begins with it.
@@ -67,17 +67,17 @@
             silent: Members that it does not hear, and for how long.
             now: Current time.
         """
-        self._told = {name: now - millis for name, millis in silent}
-        self._told[leader] = now
+        self._reported = {name: now - millis for name, millis in silent}
+        self._reported[leader] = now
 
-    def elected(self, now: Millis) -> None:
+    def became_leader(self, now: Millis) -> None:
         """Begin to ask all members, as their leader."""
         self._elected_at = now
         self._stopping.clear()
 
-    def forget_others(self, members: Collection[str]) -> None:
+    def retain(self, members: Collection[str]) -> None:
         """Drop what is known of replicas that are not in the group."""
-        for known in (self._answered, self._told):
+        for known in (self._answered, self._reported):
             for name in set(known).difference(members):
                 del known[name]
         self._stopping.intersection_update(members)
@@ -92,7 +92,7 @@
     ) -> tuple[tuple[str, Millis], ...]:
         """Return the members that a leader's followers have to know to be silent."""
         silences = [(name, self._silence(name, now)) for name in names]
-        return tuple(one for one in silences if one[1] > SILENCE_TOLD)
+        return tuple(one for one in silences if one[1] > MIN_REPORTED_SILENCE)
 
     def gone(self, membership: Membership, now: Millis) -> list[str]:
         """Return the members taken for gone, the one silent for longest first."""
@@ -106,12 +106,12 @@
     def _is_gone(self, name: str, now: Millis, *, votes: bool) -> bool:
         if name in self._stopping:
             return True
-        if now - self._elected_at < ANSWER_PAUSE:
+        if now - self._elected_at < NEW_LEADER_GRACE_PERIOD:
             return False
-        limit = VOTER_SILENCE if votes else LEARNER_SILENCE
+        limit = VOTER_TIMEOUT if votes else LEARNER_TIMEOUT
         return self._silence(name, now) > limit
 
     def _silence(self, name: str, now: Millis) -> Millis:
         """Return for how long a member has answered neither leader."""
-        before = self._told.get(name, self._elected_at)
+        before = self._reported.get(name, self._elected_at)
         return now - max(before, self._answered.get(name, before))
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -287,7 +287,7 @@
         # An equal one stays the same object, by which a replica sees a change cheaply.
         if membership != self.membership:
             self.membership = membership
-            self._liveness.forget_others(membership.everyone)
+            self._liveness.retain(membership.everyone)
         if self.role is Role.LEADER:
             self._sync_followers()
 
@@ -415,7 +415,7 @@
         self._elected_at = now
         self._followers = Followers()
         self._sync_followers()
-        self._liveness.elected(now)
+        self._liveness.became_leader(now)
         self.propose(now, EntryKind.NOOP, b"")
 
     # Leading
@@ -602,7 +602,7 @@
 
     def _on_append(self, now: Millis, message: Append) -> None:
         self._accept_leader(now, message.sender)
-        self._liveness.told(message.sender, message.silent, now)
+        self._liveness.leader_reported(message.sender, message.silent, now)
         if message.prev_index < self.log.snapshot_metadata.index:
             self._on_append_before_snapshot(now, message)
             return
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -216,7 +216,7 @@
     Variant(
         "silences die with their leader",
         "control/liveness.py",
-        "        before = self._told.get(name, self._elected_at)\n",
+        "        before = self._reported.get(name, self._elected_at)\n",
         "        before = self._elected_at\n",
         f"{REPLACED}::test_the_next_leader_goes_on_counting_a_silence",
     ),
