--- a/src/leadseam/control/membership.py
+++ b/src/leadseam/control/membership.py
@@ -21,7 +21,7 @@
 
 MAX_VOTERS = 7
 """Voters at the most; further boxes hold the log and do not vote."""
-LEAST_FLOOR = 3
+MIN_VOTERS = 3
 """Voters below which no group shrinks, whatever losses it is meant to bear: with two,
 either one stops it."""
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class MembershipChange:
     """One change of the group.
 
     Args:
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class VoterBounds:
     """How far the group may shrink and grow by itself.
 
     Args:
@@ -63,27 +63,27 @@
     tolerated_losses: int
 
     @property
-    def floor(self) -> int:
+    def min_voters(self) -> int:
         """Voters below which a silent one stays unless a newcomer takes its place."""
-        return max(2 * self.tolerated_losses + 1, LEAST_FLOOR)
+        return max(2 * self.tolerated_losses + 1, MIN_VOTERS)
 
 
-def joined(membership: Membership, newcomer: str) -> Step | None:
+def add_learner(membership: Membership, newcomer: str) -> MembershipChange | None:
     """Return the step that takes in a box that asks, or None if it is a member."""
     if newcomer in membership.everyone:
         return None
     kept = tuple(name for name in membership.learners if not same_box(name, newcomer))
     changed = Membership(membership.voters, (*kept, newcomer))
-    return Step(changed, newcomer, Reason.ASKED)
+    return MembershipChange(changed, newcomer, Reason.ASKED)
 
 
-def next_step(
+def next_change(
     membership: Membership,
     *,
     gone: Sequence[str],
     caught_up: Collection[str],
-    bounds: Bounds,
-) -> Step | None:
+    bounds: VoterBounds,
+) -> MembershipChange | None:
     """Return the next step towards the group that is wanted, or None if it is there.
 
     Args:
@@ -96,20 +96,23 @@
     gone_voters = [name for name in gone if name in voters]
     for learner in membership.learners:
         if learner in caught_up:
-            step = _towards_voting(membership, learner, gone_voters, bounds)
-            if step is not None:
-                return step
-    if gone_voters and len(voters) > bounds.floor:
-        return _without(membership, gone_voters[0], Reason.SURPLUS)
+            change = _promote(membership, learner, gone_voters, bounds)
+            if change is not None:
+                return change
+    if gone_voters and len(voters) > bounds.min_voters:
+        return _remove(membership, gone_voters[0], Reason.SURPLUS)
     for name in gone:
         if name in membership.learners:
-            return _without(membership, name, Reason.GONE)
+            return _remove(membership, name, Reason.GONE)
     return None
 
 
-def _towards_voting(
-    membership: Membership, learner: str, gone_voters: Sequence[str], bounds: Bounds
-) -> Step | None:
+def _promote(
+    membership: Membership,
+    learner: str,
+    gone_voters: Sequence[str],
+    bounds: VoterBounds,
+) -> MembershipChange | None:
     """Return the step that lets a learner vote, or first makes room for it.
 
     Room comes first, so that a voter that is gone counts no longer than it has to; but
@@ -118,18 +121,20 @@
     voters = membership.voters
     for name in voters:
         if same_box(name, learner):
-            return _without(membership, name, Reason.DISK_REPLACED)
-    if gone_voters and len(voters) >= bounds.floor:
-        return _without(membership, gone_voters[0], Reason.MAKES_ROOM)
+            return _remove(membership, name, Reason.DISK_REPLACED)
+    if gone_voters and len(voters) >= bounds.min_voters:
+        return _remove(membership, gone_voters[0], Reason.MAKES_ROOM)
     if len(voters) >= MAX_VOTERS:
         return None
     others = tuple(name for name in membership.learners if name != learner)
-    return Step(Membership((*voters, learner), others), learner, Reason.CAUGHT_UP)
+    return MembershipChange(
+        Membership((*voters, learner), others), learner, Reason.CAUGHT_UP
+    )
 
 
-def _without(membership: Membership, gone: str, reason: Reason) -> Step:
+def _remove(membership: Membership, gone: str, reason: Reason) -> MembershipChange:
     changed = Membership(
         tuple(name for name in membership.voters if name != gone),
         tuple(name for name in membership.learners if name != gone),
     )
-    return Step(changed, gone, reason)
+    return MembershipChange(changed, gone, reason)
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -13,7 +13,12 @@
 from leadseam.control.election import ELECTION_TIMEOUT, Election
 from leadseam.control.group_health import ANSWER_LIMIT, GroupHealth, MissingVoter
 from leadseam.control.liveness import Liveness
-from leadseam.control.membership import Bounds, Step, joined, next_step
+from leadseam.control.membership import (
+    MembershipChange,
+    VoterBounds,
+    add_learner,
+    next_change,
+)
 from leadseam.control.progress import Followers
 from leadseam.control.raft_log import (
     EntryKind,
@@ -88,7 +93,7 @@
         self.commit_index = metadata.index
         self.membership = metadata.membership
         self._election = Election(seed, now)
-        self._bounds = Bounds(tolerated_losses)
+        self._bounds = VoterBounds(tolerated_losses)
         self._is_stopping = False
         self._stop_reported_at: Millis | None = None
         self._followers = Followers()
@@ -241,7 +246,7 @@
             append=append,
             send=tuple(pending.send),
             commit=commit,
-            steps=tuple(pending.steps),
+            changes=tuple(pending.changes),
         )
 
     def compact(self, index: int, data: bytes) -> SnapshotMetadata:
@@ -544,11 +549,11 @@
                 # wants to join asks again.
                 self._send(self.leader, Join(message.sender, passed=True))
             return
-        step = joined(self.membership, message.sender)
-        if step is not None and self._membership_settled():
+        change = add_learner(self.membership, message.sender)
+        if change is not None and self._membership_settled():
             # Its silence as a learner counts from here on.
             self._liveness.answered(message.sender, now)
-            self._propose_change(now, step)
+            self._propose_change(now, change)
 
     def _membership_settled(self) -> bool:
         pending = self.log.between(self.commit_index + 1)
@@ -560,22 +565,22 @@
         """Propose one step towards a group of all boxes that answer, and no others."""
         if not self._membership_settled():
             return
-        step = next_step(
+        change = next_change(
             self.membership,
             gone=self._gone_members(now),
             caught_up=[one for one in self.membership.learners if self._caught_up(one)],
             bounds=self._bounds,
         )
-        if step is not None:
-            self._propose_change(now, step)
+        if change is not None:
+            self._propose_change(now, change)
 
     def _gone_members(self, now: Millis) -> list[str]:
         gone = self._liveness.gone(self.membership, now)
         return [name for name in gone if name != self.identity]
 
-    def _propose_change(self, now: Millis, step: Step) -> None:
-        self._pending.steps.append(step)
-        self.propose(now, EntryKind.MEMBERSHIP, encode(step.membership))
+    def _propose_change(self, now: Millis, change: MembershipChange) -> None:
+        self._pending.changes.append(change)
+        self.propose(now, EntryKind.MEMBERSHIP, encode(change.membership))
 
     def _caught_up(self, name: str) -> bool:
         match = self._followers[name].match
--- a/src/leadseam/control/raft_types.py
+++ b/src/leadseam/control/raft_types.py
@@ -18,7 +18,7 @@
 )
 
 if TYPE_CHECKING:
-    from leadseam.control.membership import Step
+    from leadseam.control.membership import MembershipChange
     from leadseam.control.raft_log import HardState, SnapshotMetadata
     from leadseam.wire.consensus import LogEntry
 
@@ -53,7 +53,7 @@
     append: tuple[LogEntry, ...]
     send: tuple[tuple[str, RaftMessage], ...]
     commit: tuple[LogEntry, ...]
-    steps: tuple[Step, ...] = ()
+    changes: tuple[MembershipChange, ...] = ()
 
 
 @dataclass(slots=True)
@@ -64,4 +64,4 @@
     hard_state: bool = False
     append_from: int | None = None
     send: list[tuple[str, RaftMessage]] = field(default_factory=list)
-    steps: list[Step] = field(default_factory=list)
+    changes: list[MembershipChange] = field(default_factory=list)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -334,7 +334,7 @@
                 self._handle(event)
             self._follow_members()
             ready = self._raft.take_ready()
-            _log_steps(ready)
+            _log_changes(ready)
             try:
                 await self._persist(ready)
             except StorageError as exc:
@@ -446,13 +446,13 @@
         log.error("storage failed; replica steps back", extra=extra)
 
 
-def _log_steps(ready: Ready) -> None:
-    for step in ready.steps:
+def _log_changes(ready: Ready) -> None:
+    for change in ready.changes:
         extra = {
-            "member": step.member,
-            "reason": step.reason,
-            "voters": step.membership.voters,
-            "learners": step.membership.learners,
+            "member": change.member,
+            "reason": change.reason,
+            "voters": change.membership.voters,
+            "learners": change.membership.learners,
         }
         log.info("membership change proposed", extra=extra)
 
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 from leadseam.control.membership import (
-    LEAST_FLOOR,
     MAX_VOTERS,
-    Bounds,
+    MIN_VOTERS,
+    MembershipChange,
     Reason,
-    Step,
-    joined,
-    next_step,
+    VoterBounds,
+    add_learner,
+    next_change,
 )
 from leadseam.control.raft_log import Membership
 
 FIVE = ("a#1", "b#1", "c#1", "d#1", "e#1")
-TWO_LOSSES = Bounds(2)
+TWO_LOSSES = VoterBounds(2)
 
 
 def step(
@@ -23,8 +23,8 @@
     *,
     gone: tuple[str, ...] = (),
     caught_up: tuple[str, ...] = (),
-) -> Step | None:
-    return next_step(
+) -> MembershipChange | None:
+    return next_change(
         Membership(voters, learners),
         gone=gone,
         caught_up=caught_up,
@@ -42,7 +42,7 @@
 
 
 def test_a_voter_that_is_gone_and_not_needed_leaves() -> None:
-    assert step((*FIVE, "f#1"), gone=("a#1",)) == Step(
+    assert step((*FIVE, "f#1"), gone=("a#1",)) == MembershipChange(
         Membership(("b#1", "c#1", "d#1", "e#1", "f#1")), "a#1", Reason.SURPLUS
     )
 
@@ -59,7 +59,7 @@
 
 
 def test_a_newcomer_is_added_while_nobody_is_found_gone() -> None:
-    assert step(FIVE, ("f#1",), caught_up=("f#1",)) == Step(
+    assert step(FIVE, ("f#1",), caught_up=("f#1",)) == MembershipChange(
         Membership((*FIVE, "f#1")), "f#1", Reason.CAUGHT_UP
     )
     assert step(FIVE, ("f#1",)) is None
@@ -67,7 +67,7 @@
 
 def test_a_newcomer_takes_the_place_of_one_that_is_gone_room_first() -> None:
     first = step(FIVE, ("f#1",), gone=("b#1",), caught_up=("f#1",))
-    assert first == Step(
+    assert first == MembershipChange(
         Membership(("a#1", "c#1", "d#1", "e#1"), ("f#1",)), "b#1", Reason.MAKES_ROOM
     )
     assert first is not None
@@ -86,7 +86,7 @@
 def test_a_new_disk_takes_the_place_of_the_old_one_not_of_a_box_that_is_cut_off() -> (
     None
 ):
-    assert step(FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)) == Step(
+    assert step(FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)) == MembershipChange(
         Membership(FIVE[:4], ("e#2",)), "e#1", Reason.DISK_REPLACED
     )
 
@@ -101,33 +101,37 @@
 
 
 def test_an_even_group_shrinks_to_the_odd_number_that_bears_as_much() -> None:
-    one_loss = Bounds(1)
+    one_loss = VoterBounds(1)
     four = Membership(("a#1", "b#1", "c#1", "d#1"))
-    shrunk = next_step(four, gone=("d#1",), caught_up=(), bounds=one_loss)
+    shrunk = next_change(four, gone=("d#1",), caught_up=(), bounds=one_loss)
     assert shrunk is not None
     assert shrunk.membership == Membership(("a#1", "b#1", "c#1"))
     assert (
-        next_step(shrunk.membership, gone=("c#1",), caught_up=(), bounds=one_loss)
+        next_change(shrunk.membership, gone=("c#1",), caught_up=(), bounds=one_loss)
         is None
     )
 
 
 def test_a_learner_that_is_gone_is_dropped() -> None:
-    assert step(FIVE, ("f#1", "g#1"), gone=("f#1",)) == Step(
+    assert step(FIVE, ("f#1", "g#1"), gone=("f#1",)) == MembershipChange(
         Membership(FIVE, ("g#1",)), "f#1", Reason.GONE
     )
 
 
 def test_a_box_that_asks_replaces_its_earlier_request() -> None:
     group = Membership(FIVE, ("f#1",))
-    assert joined(group, "f#1") is None
-    assert joined(group, "a#1") is None
-    assert joined(group, "f#2") == Step(Membership(FIVE, ("f#2",)), "f#2", Reason.ASKED)
+    assert add_learner(group, "f#1") is None
+    assert add_learner(group, "a#1") is None
+    assert add_learner(group, "f#2") == MembershipChange(
+        Membership(FIVE, ("f#2",)), "f#2", Reason.ASKED
+    )
 
 
 def test_no_group_shrinks_below_three() -> None:
-    assert [Bounds(tolerated_losses).floor for tolerated_losses in range(4)] == [
-        LEAST_FLOOR,
+    assert [
+        VoterBounds(tolerated_losses).min_voters for tolerated_losses in range(4)
+    ] == [
+        MIN_VOTERS,
         3,
         5,
         7,
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -202,7 +202,7 @@
     Variant(
         "a voter that is gone stays",
         "control/membership.py",
-        "    if gone_voters and len(voters) > bounds.floor:\n",
+        "    if gone_voters and len(voters) > bounds.min_voters:\n",
         "    if False:\n",
         f"{REPLACED}::test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss",
     ),
