--- a/src/leadseam/control/group_health.py
+++ b/src/leadseam/control/group_health.py
@@ -16,16 +16,16 @@
     from leadseam.control.raft import Raft
     from leadseam.runtime.metrics import ControlMetrics
 
-ANSWER_LIMIT: Millis = 1_000
+ANSWER_TIMEOUT: Millis = 1_000
 """Silence from which on a voter counts as missing: eight heartbeats, or three attempts
 to be elected."""
-LOOK_INTERVAL: Millis = 500
+CHECK_INTERVAL: Millis = 500
 """Pause between two looks, which bounds the lines written."""
 REPEAT_INTERVAL: Millis = 5_000
 """Pause after which the same lack of a quorum is told again."""
 
-NOT_KNOWN = float("nan")
-NOTHING_TOLD: tuple[bool, int, frozenset[str]] = (False, -1, frozenset())
+UNKNOWN = float("nan")
+NOTHING_REPORTED: tuple[bool, int, frozenset[str]] = (False, -1, frozenset())
 
 log = logging.getLogger(__name__)
 
@@ -82,42 +82,42 @@
 
     def __init__(self, metrics: ControlMetrics) -> None:
         self._metrics = metrics
-        self._next_look: Millis = 0
-        self._told = NOTHING_TOLD
-        self._told_at: Millis = 0
+        self._next_check: Millis = 0
+        self._reported = NOTHING_REPORTED
+        self._reported_at: Millis = 0
 
-    def look(self, now: Millis, raft: Raft) -> None:
+    def check(self, now: Millis, raft: Raft) -> None:
         """Tell what has changed since the last look."""
-        if now < self._next_look:
+        if now < self._next_check:
             return
-        self._next_look = now + LOOK_INTERVAL
+        self._next_check = now + CHECK_INTERVAL
         health = raft.health(now)
         self._metrics.leads.set({}, int(raft.leads))
         self._metrics.voters.set({}, len(raft.membership.voters))
         if health is None:
-            self._leave_to(raft.leader)
+            self._defer_to_leader(raft.leader)
             return
         self._metrics.voters_missing.set({}, len(health.missing))
         self._metrics.spare_voters.set({}, health.spare)
-        if self._is_news(now, health):
-            self._tell(now, health, raft)
+        if self._should_report(now, health):
+            self._report(now, health, raft)
 
-    def _leave_to(self, leader: str) -> None:
+    def _defer_to_leader(self, leader: str) -> None:
         """Say nothing of the others while another replica leads, which knows more."""
-        self._metrics.voters_missing.set({}, NOT_KNOWN)
-        self._metrics.spare_voters.set({}, NOT_KNOWN)
-        if self._told != NOTHING_TOLD:
-            self._told = NOTHING_TOLD
+        self._metrics.voters_missing.set({}, UNKNOWN)
+        self._metrics.spare_voters.set({}, UNKNOWN)
+        if self._reported != NOTHING_REPORTED:
+            self._reported = NOTHING_REPORTED
             log.info("a leader is heard", extra={"leader": leader})
 
-    def _is_news(self, now: Millis, health: GroupHealth) -> bool:
-        if _summary(health) != self._told:
+    def _should_report(self, now: Millis, health: GroupHealth) -> bool:
+        if _summary(health) != self._reported:
             return True
-        return health.spare < 0 and now - self._told_at >= REPEAT_INTERVAL
+        return health.spare < 0 and now - self._reported_at >= REPEAT_INTERVAL
 
-    def _tell(self, now: Millis, health: GroupHealth, raft: Raft) -> None:
-        self._told = _summary(health)
-        self._told_at = now
+    def _report(self, now: Millis, health: GroupHealth, raft: Raft) -> None:
+        self._reported = _summary(health)
+        self._reported_at = now
         extra = {
             "leads": health.leads,
             "term": raft.term,
--- a/src/leadseam/control/progress.py
+++ b/src/leadseam/control/progress.py
@@ -81,16 +81,16 @@
 
     def quorum_match(self, voters: Iterable[str]) -> int:
         """Return the highest index that a quorum of the voters holds."""
-        return _held_by_quorum(self[name].match for name in voters)
+        return _quorum_value(self[name].match for name in voters)
 
     def quorum_ack(self, voters: Iterable[str], leader: str, now: Millis) -> Millis:
         """Return the send time of the newest request that a quorum answered."""
-        return _held_by_quorum(
+        return _quorum_value(
             now if name == leader else self[name].acked_sent for name in voters
         )
 
 
-def _held_by_quorum(values: Iterable[int]) -> int:
+def _quorum_value(values: Iterable[int]) -> int:
     """Return the greatest value that more than half of all reach."""
     ordered = sorted(values, reverse=True)
     return ordered[len(ordered) // 2]
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -11,7 +11,7 @@
 
 from leadseam.clock import Millis
 from leadseam.control.election import ELECTION_TIMEOUT, Election
-from leadseam.control.group_health import ANSWER_LIMIT, GroupHealth, MissingVoter
+from leadseam.control.group_health import ANSWER_TIMEOUT, GroupHealth, MissingVoter
 from leadseam.control.liveness import Liveness
 from leadseam.control.membership import (
     MembershipChange,
@@ -139,7 +139,7 @@
             if name != self.identity
             and (
                 (silent := self._liveness.last_answer(name, now)) is None
-                or silent > ANSWER_LIMIT
+                or silent > ANSWER_TIMEOUT
             )
         )
         return GroupHealth(self.leads, len(voters), missing)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -347,7 +347,7 @@
             self._send(follow_up)
             self._apply(follow_up.commit)
             self._note_role()
-            self._health.look(self._clock.now(), self._raft)
+            self._health.check(self._clock.now(), self._raft)
             await self._compact_if_due()
 
     async def _take_batch(self) -> list[_Event]:
--- a/tests/control/test_group_health.py
+++ b/tests/control/test_group_health.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from leadseam.control.group_health import (
-    ANSWER_LIMIT,
-    LOOK_INTERVAL,
+    ANSWER_TIMEOUT,
+    CHECK_INTERVAL,
     REPEAT_INTERVAL,
     GroupHealth,
     HealthReporter,
@@ -27,12 +27,12 @@
     assert leader.health(cluster.now) == GroupHealth(True, 3, ())
     lost = next(name for name in BOXES if f"{name}#first" != leader.identity)
     cluster.boxes[lost].raft = None
-    cluster.settle(2 * ANSWER_LIMIT // 50)
+    cluster.settle(2 * ANSWER_TIMEOUT // 50)
 
     health = leader.health(cluster.now)
     assert health is not None
     assert [one.name for one in health.missing] == [f"{lost}#first"]
-    assert ANSWER_LIMIT < health.missing[0].silent_ms <= 2 * ANSWER_LIMIT + 200
+    assert ANSWER_TIMEOUT < health.missing[0].silent_ms <= 2 * ANSWER_TIMEOUT + 200
     assert (health.needed, health.answering, health.spare) == (2, 2, 0)
 
 
@@ -82,8 +82,8 @@
     metrics = Metrics()
     reporter = HealthReporter(ControlMetrics(metrics))
 
-    for later in range(0, REPEAT_INTERVAL + LOOK_INTERVAL, LOOK_INTERVAL // 5):
-        reporter.look(cluster.now + later, raft)
+    for later in range(0, REPEAT_INTERVAL + CHECK_INTERVAL, CHECK_INTERVAL // 5):
+        reporter.check(cluster.now + later, raft)
 
     lines = [line for line in caplog.records if line.message == "no quorum"]
     assert [line.spare for line in lines] == [-1, -1]  # type: ignore[attr-defined]
@@ -104,7 +104,7 @@
     reporter = HealthReporter(ControlMetrics(metrics))
     raft = cluster.boxes[first].raft
     assert raft is not None
-    reporter.look(cluster.now, raft)
+    reporter.check(cluster.now, raft)
     for name in others:
         cluster.start(name)
     while cluster.leader() is None or raft.leads or not raft.leader:
@@ -112,7 +112,7 @@
         cluster.settle(1)
         if raft.leads:
             raft.leave(cluster.now)
-    reporter.look(cluster.now, raft)
+    reporter.check(cluster.now, raft)
 
     messages = [line.message for line in caplog.records]
     assert messages == ["no quorum", "a leader is heard"]
