--- a/src/leadseam/control/peers.py
+++ b/src/leadseam/control/peers.py
@@ -63,13 +63,13 @@
         """Keep links to these boxes, besides members, from the next `follow` on."""
         self._endpoints = dict(endpoints)
 
-    def follow(self, members: set[str]) -> None:
+    def set_members(self, members: set[str]) -> None:
         """Keep links to the members of the group and to the boxes of the settings."""
         wanted = (members | set(self._endpoints)) - {self._name}
         for name in wanted - set(self._tasks):
             endpoint = self._endpoints.get(name) or self._address_of(name)
             if endpoint is not None:
-                self._tasks[name] = spawn(self._keep(name, endpoint))
+                self._tasks[name] = spawn(self._maintain_link(name, endpoint))
         for name in set(self._tasks) - wanted:
             self._tasks.pop(name).cancel()
             self._links.pop(name, None)
@@ -81,7 +81,7 @@
         self._tasks.clear()
         self._links.clear()
 
-    async def _keep(self, name: str, endpoint: Endpoint) -> None:
+    async def _maintain_link(self, name: str, endpoint: Endpoint) -> None:
         backoff = Backoff(last=MAX_REDIAL_PAUSE)
         while True:
             with contextlib.suppress(*LINK_ERRORS):
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -63,7 +63,7 @@
 MAX_BATCH = 512
 PROPOSE_TIMEOUT: Millis = 5_000
 RETRY_DELAY: Millis = 100
-LEAVE_LIMIT: Millis = 3_000
+LEAVE_TIMEOUT: Millis = 3_000
 """Longest wait for a leader that takes note of a stop. Where there is none, this box
 may be needed to elect one: 1.3 s, and as much again for a second attempt."""
 
@@ -150,7 +150,7 @@
         self._peers = Peers(name, endpoints, address_of, self._on_peer_message, traffic)
         self._inbox: asyncio.Queue[_Event] = asyncio.Queue()
         self._submissions = Submissions()
-        self._followed: set[str] | None = None
+        self._linked_members: set[str] | None = None
         self._membership = Membership(())
         self._role = Role.FOLLOWER
         self._applied_event: asyncio.Future[None] = asyncio.Future()
@@ -232,18 +232,18 @@
     def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
         """Reach these boxes besides the members of the group, and no earlier ones."""
         self._peers.set_endpoints(endpoints)
-        self._followed = None
+        self._linked_members = None
 
     async def run(self) -> None:
         """Serve until cancelled; a failed disk ends it with `failure` set."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._tick())
-            self._follow_members()
+            self._update_links()
             await self._loop()
 
     async def leave(self) -> None:
         """Tell the group that this box is about to stop, as far as it can be told."""
-        deadline = self._clock.now() + LEAVE_LIMIT
+        deadline = self._clock.now() + LEAVE_TIMEOUT
         self._inbox.put_nowait(_Leaving())
         while not self.failure and self._clock.now() < deadline:
             await sleep(TICK)
@@ -313,7 +313,7 @@
             if self._inbox.qsize() < MAX_BATCH:
                 self._inbox.put_nowait(_Tick())
 
-    def _follow_members(self) -> None:
+    def _update_links(self) -> None:
         """Keep links to the group as it is now, and note when it has changed."""
         membership = self._raft.membership
         if membership is not self._membership:
@@ -324,21 +324,21 @@
         if self._raft.leader:
             # A newcomer is not told the members before it has answered the leader.
             wanted = wanted | {box_name(self._raft.leader)}
-        if self._followed != wanted:
-            self._followed = wanted
-            self._peers.follow(wanted)
+        if self._linked_members != wanted:
+            self._linked_members = wanted
+            self._peers.set_members(wanted)
 
     async def _loop(self) -> None:
         while not self.failure:
             for event in await self._take_batch():
                 self._handle(event)
-            self._follow_members()
+            self._update_links()
             ready = self._raft.take_ready()
             _log_changes(ready)
             try:
                 await self._persist(ready)
             except StorageError as exc:
-                self._halt(exc)
+                self._stop_on_failure(exc)
                 return
             self._send(ready)
             self._apply(ready.commit)
@@ -346,7 +346,7 @@
             follow_up = self._raft.take_ready()
             self._send(follow_up)
             self._apply(follow_up.commit)
-            self._note_role()
+            self._report_role_change()
             self._health.check(self._clock.now(), self._raft)
             await self._compact_if_due()
 
@@ -379,7 +379,7 @@
             await self._store_snapshot(metadata, data, ready)
             self.state.restore(data)
             self.applied_index = metadata.index
-            self._announce()
+            self._notify_applied()
         elif ready.hard_state is not None or ready.append:
             write = self._storage.append
             await asyncio.to_thread(write, ready.hard_state, ready.append)
@@ -404,13 +404,13 @@
                 result = self.state.apply(command)
             self._submissions.applied(entry, result)
         if entries:
-            self._announce()
+            self._notify_applied()
 
-    def _announce(self) -> None:
+    def _notify_applied(self) -> None:
         done, self._applied_event = self._applied_event, asyncio.Future()
         done.set_result(None)
 
-    def _note_role(self) -> None:
+    def _report_role_change(self) -> None:
         if self._raft.role is self._role:
             return
         self._role = self._raft.role
@@ -437,9 +437,9 @@
                 self._storage.compact, metadata, data, state, entries
             )
         except StorageError as exc:
-            self._halt(exc)
+            self._stop_on_failure(exc)
 
-    def _halt(self, exc: StorageError) -> None:
+    def _stop_on_failure(self, exc: StorageError) -> None:
         self.failure = exc.message
         self._submissions.drop_proposed()
         extra = {"code": exc.code, "error": exc.message}
