--- a/src/leadseam/control/replica_identity.py
+++ b/src/leadseam/control/replica_identity.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FIRST_INCARNATION = "first"
+BOOTSTRAP_INCARNATION = "first"
 
 
-def first_identity(name: str) -> str:
+def bootstrap_identity(name: str) -> str:
     """Return the identity of a box in a newly founded group."""
-    return f"{name}#{FIRST_INCARNATION}"
+    return f"{name}#{BOOTSTRAP_INCARNATION}"
 
 
 def prepare_folder(folder: Path, name: str, *, bootstrap_boxes: tuple[str, ...]) -> str:
@@ -37,8 +37,8 @@
     if known is not None:
         return known
     if bootstrap_boxes:
-        identity = first_identity(name)
-        voters = tuple(first_identity(box) for box in sorted(bootstrap_boxes))
+        identity = bootstrap_identity(name)
+        voters = tuple(bootstrap_identity(box) for box in sorted(bootstrap_boxes))
     else:
         identity = f"{name}#{secrets.token_hex(6)}"
         voters = ()
