--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -102,9 +102,9 @@
     def resume(self, name: str) -> None:
         """Let a box go on: first with what it was doing."""
         for target, message in self.suspended.pop(name, []):
-            self._carry(target, message)
+            self._enqueue(target, message)
 
-    def work(self, name: str) -> None:
+    def process_ready(self, name: str) -> None:
         """Do what a replica's core asks for, as its owner does."""
         box = self.boxes[name]
         while box.raft is not None:
@@ -136,9 +136,9 @@
             if sender in self.suspended:
                 self.suspended[sender].append((target, message))
             else:
-                self._carry(target, message)
+                self._enqueue(target, message)
 
-    def _carry(self, target: str, message: RaftMessage) -> None:
+    def _enqueue(self, target: str, message: RaftMessage) -> None:
         if len(self.network) < MAX_MESSAGES:
             self.network.append((target, message))
 
@@ -166,7 +166,7 @@
         raft = self.boxes[to].raft if to in self.boxes else None
         if raft is not None:
             raft.receive(self.now, message)
-            self.work(to)
+            self.process_ready(to)
 
     def tick(self, millis: int) -> None:
         """Let time pass for all."""
@@ -174,7 +174,7 @@
         for name, box in self.boxes.items():
             if box.raft is not None and name not in self.suspended:
                 box.raft.tick(self.now)
-                self.work(name)
+                self.process_ready(name)
 
     def settle(self, rounds: int) -> None:
         """Run without faults."""
@@ -204,7 +204,7 @@
         rafts = [box.raft for box in self.boxes.values() if box.raft is not None]
         return [raft for raft in rafts if raft.role is Role.FOLLOWER]
 
-    def holding_leases(self) -> list[Raft]:
+    def lease_holders(self) -> list[Raft]:
         """Return the leaders that may answer for the group at this moment."""
         rafts = [box.raft for box in self.boxes.values() if box.raft is not None]
         return [
@@ -219,7 +219,7 @@
         if leader is None or box_name(leader.identity) in self.suspended:
             return False
         index = leader.propose(self.now, EntryKind.COMMAND, data)
-        self.work(box_name(leader.identity))
+        self.process_ready(box_name(leader.identity))
         return index is not None
 
     def suspend_between_quorum_and_answer(self, data: bytes) -> bool:
--- a/tests/control/replacements.py
+++ b/tests/control/replacements.py
@@ -17,7 +17,7 @@
 """Time after which a box that has come counts, and the one it replaces does not."""
 
 
-def founded(names: tuple[str, ...] = FIVE, *, seed: int = 0) -> Cluster:
+def bootstrapped(names: tuple[str, ...] = FIVE, *, seed: int = 0) -> Cluster:
     """Return a group with a leader."""
     cluster = Cluster(names, seed=1_000 * seed)
     cluster.settle(3 * SECOND)
@@ -57,12 +57,12 @@
     cluster.settle(1)
     before = dict(cluster.committed)
     assert b"acknowledged" in before.values()
-    power_lost(cluster, disks_lost=lost)
+    restart_all(cluster, disks_lost=lost)
     cluster.settle(CATCH_UP)
-    return cluster.propose(b"after") and everywhere(cluster, before)
+    return cluster.propose(b"after") and applied_by_all(cluster, before)
 
 
-def power_lost(cluster: Cluster, *, disks_lost: Iterable[str]) -> None:
+def restart_all(cluster: Cluster, *, disks_lost: Iterable[str]) -> None:
     """Stop all boxes for a second; some come back with empty disks."""
     cluster.network.clear()
     for name in cluster.boxes:
@@ -75,7 +75,7 @@
             cluster.start(name)
 
 
-def everywhere(cluster: Cluster, committed: dict[int, bytes]) -> bool:
+def applied_by_all(cluster: Cluster, committed: dict[int, bytes]) -> bool:
     """Tell whether all boxes apply what was committed, and more."""
     cluster.settle(SECOND)
     applied = [dict(box.applied) for box in cluster.boxes.values()]
--- a/tests/control/test_losses_borne.py
+++ b/tests/control/test_losses_borne.py
@@ -27,10 +27,10 @@
     SECOND,
     SEVEN,
     THREE,
-    everywhere,
-    founded,
+    applied_by_all,
+    bootstrapped,
     leader_name,
-    power_lost,
+    restart_all,
     voters,
 )
 
@@ -47,7 +47,7 @@
 
     @initialize(seed=st.integers(0, 1_000))
     def set_up(self, seed: int) -> None:
-        self.cluster = founded(self.names, seed=seed)
+        self.cluster = bootstrapped(self.names, seed=seed)
         self.tolerated_losses = self.cluster.tolerated_losses
         self.clock = 0
         self.proposed = 0
@@ -112,7 +112,7 @@
     def restart_in_order(self, pick: int, rounds: int) -> None:
         name = self._pick(pick)
         self.away.add(name)
-        self._stop_in_order(name)
+        self._stop_gracefully(name)
         self.cluster.stop(name)
         self._away_for(name, rounds, lambda: self.cluster.start(name))
 
@@ -132,7 +132,7 @@
             if len(self._counting()) + len(lost) < self.tolerated_losses:
                 lost.append(sound[pick % len(sound)])
         before = dict(self.cluster.committed)
-        power_lost(self.cluster, disks_lost=lost)
+        restart_all(self.cluster, disks_lost=lost)
         self.away |= set(lost)
         for name in lost:
             self._returned(name)
@@ -141,7 +141,7 @@
     @invariant()
     def one_leader_at_most_holds_a_lease(self) -> None:
         if hasattr(self, "cluster"):
-            assert len(self.cluster.holding_leases()) <= 1
+            assert len(self.cluster.lease_holders()) <= 1
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
@@ -199,11 +199,11 @@
         self._returned(gone)
 
     def _go(self, gone: str) -> None:
-        self._stop_in_order(gone)
+        self._stop_gracefully(gone)
         self.cluster.remove(gone)
         self.leaving.discard(gone)
 
-    def _stop_in_order(self, name: str) -> None:
+    def _stop_gracefully(self, name: str) -> None:
         raft = self.cluster.boxes[name].raft
         assert raft is not None
         raft.leave(self.cluster.now)
@@ -221,7 +221,7 @@
         assert voters(self.cluster) == set(self.cluster.boxes)
         self.proposed += 1
         assert self.cluster.propose(b"c%d" % self.proposed)
-        assert everywhere(self.cluster, before)
+        assert applied_by_all(self.cluster, before)
 
 
 class LossesOfThree(LossesMachine):
--- a/tests/control/test_replaced_box.py
+++ b/tests/control/test_replaced_box.py
@@ -25,9 +25,9 @@
     CATCH_UP,
     FIVE,
     SECOND,
+    bootstrapped,
     follower,
     follower_pair,
-    founded,
     leader_name,
     survive,
     voters,
@@ -42,7 +42,7 @@
 
 def test_a_replaced_box_costs_no_later_loss() -> None:
     for gone in ("follower", "leader"):
-        cluster = founded()
+        cluster = bootstrapped()
         name = leader_name(cluster) if gone == "leader" else follower(cluster)
         cluster.remove(name)
         cluster.settle(SECOND)
@@ -60,7 +60,7 @@
     the second 4 s after its successor had come; one disk lost then stopped the group.
     """
     for seed in range(20):
-        cluster = founded(seed=seed)
+        cluster = bootstrapped(seed=seed)
         first = leader_name(cluster)
         cluster.remove(first)
         cluster.lose_disk("f")
@@ -72,7 +72,7 @@
 
 
 def test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(CATCH_UP)
     cluster.remove(follower(cluster))
@@ -84,20 +84,20 @@
 
 def test_a_box_that_says_that_it_stops_leaves_at_once_where_another_has_come() -> None:
     for stops in ("follower", "leader"):
-        cluster = founded()
+        cluster = bootstrapped()
         cluster.lose_disk("f")
         cluster.settle(CATCH_UP)
         name = leader_name(cluster) if stops == "leader" else follower(cluster)
-        stop_in_order(cluster, name)
+        stop_gracefully(cluster, name)
         cluster.remove(name)
         # No time to be found silent.
         assert survive(cluster, lost=follower_pair(cluster)), stops
 
 
 def test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     gone = follower(cluster)
-    stop_in_order(cluster, gone)
+    stop_gracefully(cluster, gone)
     cluster.remove(gone)
     cluster.lose_disk("f")
     cluster.settle(SECOND)
@@ -105,7 +105,7 @@
 
 
 def test_a_box_that_stops_is_not_elected_by_votes_it_had_asked_for() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     cluster.remove(leader_name(cluster))
     cluster.network.clear()
     while not cluster.network:
@@ -121,9 +121,9 @@
 
 
 def test_a_box_that_restarts_keeps_its_vote() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     for name in FIVE:
-        stop_in_order(cluster, name)
+        stop_gracefully(cluster, name)
         cluster.stop(name)
         cluster.settle(4 * SECOND)
         assert voters(cluster) == set(FIVE)
@@ -135,7 +135,7 @@
 
 
 def test_a_box_that_was_cut_off_votes_again_with_its_disk() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     cut = follower(cluster)
     cluster.cut_off.add(cut)
     cluster.lose_disk("f")
@@ -149,7 +149,7 @@
 
 
 def test_a_learner_that_was_dropped_while_it_was_away_joins_again() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(2)
     cluster.cut_off.add("f")
@@ -163,7 +163,7 @@
     assert "f" in voters(cluster)
 
 
-def stop_in_order(cluster: Cluster, name: str) -> None:
+def stop_gracefully(cluster: Cluster, name: str) -> None:
     """Let a box tell the group that it stops, as its process does."""
     raft = cluster.boxes[name].raft
     assert raft is not None
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -75,7 +75,7 @@
     @rule(name=st.sampled_from(BOXES))
     def restart(self, name: str) -> None:
         self.cluster.start(name)
-        self.cluster.work(name)
+        self.cluster.process_ready(name)
 
     @rule(name=st.sampled_from(BOXES))
     def suspend(self, name: str) -> None:
@@ -90,7 +90,7 @@
             return
         box.raft.tick(self.cluster.now)
         self.cluster.suspend(name)
-        self.cluster.work(name)
+        self.cluster.process_ready(name)
 
     @rule()
     def suspend_between_quorum_and_answer(self) -> None:
@@ -126,7 +126,7 @@
     @invariant()
     def one_leader_at_most_holds_a_lease(self) -> None:
         if hasattr(self, "cluster"):
-            assert len(self.cluster.holding_leases()) <= 1
+            assert len(self.cluster.lease_holders()) <= 1
 
     @invariant()
     def logs_agree(self) -> None:
@@ -190,7 +190,7 @@
     after = cluster.leader()
     assert after is not None and after.identity != before.identity
     cluster.resume(box_name(before.identity))
-    assert cluster.holding_leases() == [after]
+    assert cluster.lease_holders() == [after]
     # By a clock that leaves the time away out, both would answer for the group.
     assert before.role is Role.LEADER and before.holds_lease(suspended_at)
 
@@ -227,7 +227,7 @@
     name = next(name for name in BOXES if name != box_name(leader.identity))
     cluster.now += 100
     leader.tick(cluster.now + 200)
-    cluster.work(box_name(leader.identity))
+    cluster.process_ready(box_name(leader.identity))
     held = [item for item in cluster.network if item[0] == name]
     cluster.now += 10 * ELECTION_TIMEOUT
     raft = cluster.boxes[name].raft
