--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -1,7 +1,7 @@
-"""Raft without I/O: the caller persists, sends and applies what `take_ready` gives.
+"""Raft without I/O: the caller persists, sends and applies what `take_ready` returns.
 
 Follows Ongaro, "Consensus: Bridging Theory and Practice" (2014): pre-vote and
-check-quorum (9.6, 6.2), leases (6.4.1), learners and one-at-a-time membership
+check-quorum (9.6, 6.2), leases (6.4.1), learners and single-server membership
 changes (4.1 to 4.2.1), log compaction (5).
 """
 
@@ -48,16 +48,20 @@
 
 HEARTBEAT_INTERVAL: Millis = 120
 LEASE_DURATION: Millis = 440
-"""How long no other leader can exist after a quorum has answered: below the least
-election timeout by more than clocks drift apart in that time."""
+"""Time after a request that a quorum has answered in which no other leader can be
+elected. It is below the minimum election timeout by more than clocks drift apart in
+that time."""
 MAX_STALENESS: Millis = 900
-"""Age of a leader's word up to which a follower is current: seven heartbeats."""
+"""Maximum age of a leader's confirmation for a follower to count as current: seven
+heartbeats."""
 MAX_APPEND_ENTRIES = 256
 CATCH_UP_DISTANCE = 32
+"""Entries by which a learner may lag behind the leader's log and still be promoted."""
 JOIN_INTERVAL: Millis = 300
-"""Pause between requests to be taken in; a new box should count within seconds."""
+"""Pause between requests to join; a new box should become a voter within seconds."""
 LEAVE_GRACE_PERIOD: Millis = 2 * HEARTBEAT_INTERVAL
-"""Time for which a replica that stops goes on answering once a leader has been told."""
+"""Time for which a stopping replica keeps replying after it has begun to announce its
+stop to a leader."""
 
 
 class Raft:
@@ -66,11 +70,12 @@
     Args:
         identity: Name and disk incarnation of the replica.
         hard_state: Persisted term and vote.
-        mark: Persisted snapshot position and membership at it.
-        log: Persisted entries after the mark.
-        now: Time from which on the replica has certainly answered no leader.
+        metadata: Position of the persisted snapshot and the membership at it.
+        log: Persisted entries after the snapshot.
+        now: Time since which the replica has certainly not answered any leader.
         seed: Seed of the election jitter.
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
     """
 
     def __init__(
@@ -125,11 +130,11 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica takes itself for the leader."""
+        """Whether this replica considers itself the leader."""
         return self.role is Role.LEADER
 
     def health(self, now: Millis) -> GroupHealth | None:
-        """Return who of the group answers, or None while another replica leads."""
+        """Return which voters answer, or None while another replica leads."""
         if not self.leads and self._has_recent_leader(now):
             return None
         voters = self.membership.voters if self.is_voter else ()
@@ -145,7 +150,7 @@
         return GroupHealth(self.leads, len(voters), missing)
 
     def holds_lease(self, now: Millis) -> bool:
-        """Tell whether no other leader can exist at this moment."""
+        """Return whether no other leader can exist at this moment."""
         if self.role is not Role.LEADER:
             return False
         if self.log.term_at(self.commit_index) != self.term:
@@ -153,7 +158,7 @@
         return now < self._quorum_ack(now) + LEASE_DURATION
 
     def is_current(self, now: Millis) -> bool:
-        """Tell whether the applied state was the fleet's within `CURRENT_LIMIT`."""
+        """Return whether the applied state was current within `MAX_STALENESS`."""
         if self.role is Role.LEADER:
             return self.holds_lease(now)
         return self._current_at >= 0 and now - self._current_at < MAX_STALENESS
@@ -161,13 +166,14 @@
     # Events
 
     def tick(self, now: Millis) -> None:
-        """Let time pass: elections, heartbeats, loss of quorum."""
+        """Run what is due: elections, heartbeats, the check for a quorum."""
         if self.role is Role.LEADER:
             self._tick_leader(now)
         elif self._is_stopping:
             return
         elif not self.is_voter:
-            # A learner that was dropped while it was away has not been told.
+            # A learner that was removed while it was unreachable does not know that,
+            # so it asks to join again if it has no leader.
             member = self.identity in self.membership.everyone
             if not member or not self._has_recent_leader(now):
                 self._request_join(now)
@@ -176,11 +182,11 @@
             self._start_pre_vote(now)
 
     def leave(self, now: Millis) -> None:
-        """Tell the group from now on that this replica is about to stop.
+        """Announce in all further replies that this replica is about to stop.
 
-        A voter that says so need not be found silent first: where it is not needed, or
-        a newcomer waits, it leaves the group within two heartbeats instead of 1.5 s. A
-        leader steps down, so that another one can do that.
+        The leader then does not have to wait until the voter times out: a voter that is
+        not needed, or that a learner can replace, is removed within two heartbeats
+        instead of 1.5 s. A leader steps down, so that the next one can remove it.
         """
         self._is_stopping = True
         self._election.cancel_pre_vote()
@@ -188,7 +194,7 @@
             self._step_down(now)
 
     def can_stop(self, now: Millis) -> bool:
-        """Tell whether a leader knows that this replica stops, or need not know."""
+        """Return whether the stop was announced to a leader, or need not be."""
         if not self.is_voter:
             return True
         return (
@@ -210,7 +216,7 @@
         return index
 
     def receive(self, now: Millis, message: RaftMessage) -> None:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         match message:
             case Join():
                 self._on_join(now, message)
@@ -227,13 +233,13 @@
                 self._receive_in_term(now, message)
 
     def persisted(self, now: Millis, index: int) -> None:
-        """Tell a leader that its own log is synced up to `index`."""
+        """Record that the replica's own log is synced up to `index`."""
         if self.role is Role.LEADER and self.identity in self._followers:
             self._followers[self.identity].matched(min(index, self.log.last_index))
             self._advance_commit(now)
 
     def take_ready(self) -> Ready:
-        """Return the work since the last call."""
+        """Return the work that has accumulated since the last call."""
         pending, self._pending = self._pending, Pending()
         append: tuple[LogEntry, ...] = ()
         if pending.append_from is not None:
@@ -253,20 +259,22 @@
         """Drop the log up to an applied index.
 
         Args:
-            index: Applied index that `data` holds the state of.
+            index: Applied index at which `data` was taken.
             data: Snapshot of the state machine.
 
         Returns:
-            The new mark.
+            The metadata of the new snapshot.
         """
         if index > self._applied:
-            raise InvariantError(f"compact to {index}, applied {self._applied}")
+            raise InvariantError(
+                f"cannot compact to {index}: only applied up to {self._applied}"
+            )
         metadata = self.log.compact(index)
         self._snapshot_data = data
         return metadata
 
     def set_snapshot_data(self, data: bytes) -> None:
-        """Provide the data of the mark after a restart."""
+        """Provide the data of the persisted snapshot after a restart."""
         self._snapshot_data = data
 
     # Log
@@ -279,7 +287,7 @@
 
     def _truncate(self, index: int) -> None:
         if index <= self.commit_index:
-            raise InvariantError(f"conflict at committed index {index}")
+            raise InvariantError(f"cannot truncate at committed index {index}")
         self.log.truncate(index)
         self._recompute_membership()
 
@@ -289,7 +297,7 @@
 
     def _recompute_membership(self) -> None:
         membership = self.log.membership_at(self.log.last_index)
-        # An equal one stays the same object, by which a replica sees a change cheaply.
+        # Keep the same object if nothing changed: `Replica` compares by identity.
         if membership != self.membership:
             self.membership = membership
             self._liveness.retain(membership.everyone)
@@ -333,7 +341,7 @@
 
     def _on_pre_vote(self, now: Millis, message: PreVote) -> None:
         if message.sender not in self.membership.everyone:
-            # A voter that was replaced while it was away; it has to join again.
+            # The sender was removed while it was unreachable; it has to join again.
             self._on_join(now, Join(message.sender))
         granted = (
             message.term > self.term
@@ -367,7 +375,7 @@
             self._send(peer, request)
 
     def _adopt_term(self, now: Millis, message: TermMessage) -> bool:
-        """Enter a newer term, unless it is a vote against a leader that is heard."""
+        """Enter a newer term, unless it is a vote request against a live leader."""
         if isinstance(message, Vote) and self._has_recent_leader(now):
             return False
         self._step_down(now)
@@ -444,7 +452,7 @@
             self._change_members(now)
 
     def _quorum_ack(self, now: Millis) -> Millis:
-        """Return the send time of the newest request that a quorum answered."""
+        """Return the send time of the newest request that a quorum has answered."""
         voters = self.membership.voters
         return self._followers.quorum_ack(voters, self.identity, now)
 
@@ -545,13 +553,13 @@
     def _on_join(self, now: Millis, message: Join) -> None:
         if self.role is not Role.LEADER:
             if self.leader and not message.passed:
-                # Passed on once: followers may take each other for the leader. Who
-                # wants to join asks again.
+                # Forward it once only, as two followers may take each other for the
+                # leader. A replica that wants to join repeats its request.
                 self._send(self.leader, Join(message.sender, passed=True))
             return
         change = add_learner(self.membership, message.sender)
         if change is not None and self._membership_settled():
-            # Its silence as a learner counts from here on.
+            # Start the timeout of the new learner.
             self._liveness.answered(message.sender, now)
             self._propose_change(now, change)
 
@@ -562,7 +570,7 @@
         return in_term and not changing
 
     def _change_members(self, now: Millis) -> None:
-        """Propose one step towards a group of all boxes that answer, and no others."""
+        """Propose one change towards a group of just the boxes that answer."""
         if not self._membership_settled():
             return
         change = next_change(
@@ -601,7 +609,7 @@
         self.role = Role.FOLLOWER
         self.leader = leader
         if self._is_stopping and self._stop_reported_at is None:
-            # What is answered from here on says so.
+            # Replies from here on carry the `stops` flag to this leader.
             self._stop_reported_at = now
         self._election.record_leader_contact(now)
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,6 +1,6 @@
-"""The consensus core under a network that loses, delays, repeats and reorders.
+"""Raft on a network that loses, delays, duplicates and reorders messages.
 
-Crashes lose what was not synced; a lost disk comes back under a new identity.
+A crash loses what was not synced; a box with a new disk gets a new identity.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class RaftMachine(RuleBasedStateMachine):
-    """Random faults; safety is checked after every step."""
+    """Injects random faults and checks the safety properties after every step."""
 
     @initialize()
     def set_up(self) -> None:
@@ -79,12 +79,12 @@
 
     @rule(name=st.sampled_from(BOXES))
     def suspend(self, name: str) -> None:
-        """Let a box stand still from now on, also before it sends what it decided."""
+        """Suspend a box; messages that it has yet to send wait until it resumes."""
         self.cluster.suspend(name)
 
     @rule(name=st.sampled_from(BOXES))
     def suspend_before_it_sends(self, name: str) -> None:
-        """Let it stand still between its decision, as synced, and the message on it."""
+        """Suspend a box between syncing a decision and sending the message about it."""
         box = self.cluster.boxes[name]
         if box.raft is None or name in self.cluster.suspended:
             return
@@ -115,7 +115,7 @@
 
     @rule(name=st.sampled_from(BOXES))
     def lose_disk(self, name: str) -> None:
-        """Lose a disk while all others are up and the group is whole."""
+        """Lose a disk while all other boxes run and are voters."""
         self._repair()
         self.cluster.lose_disk(name)
         self.cluster.settle(80)
@@ -191,7 +191,7 @@
     assert after is not None and after.identity != before.identity
     cluster.resume(box_name(before.identity))
     assert cluster.lease_holders() == [after]
-    # By a clock that leaves the time away out, both would answer for the group.
+    # With a clock that stops during the suspension, both would hold a lease.
     assert before.role is Role.LEADER and before.holds_lease(suspended_at)
 
 
@@ -206,7 +206,7 @@
     assert after is not None and after.identity != before.identity
     assert cluster.propose(b"later")
     cluster.settle(5)
-    # Only now does the first leader answer; what it says is true.
+    # The first leader answers only now, and its answer is still true.
     cluster.resume(box_name(before.identity))
     cluster.settle(5)
     for box in cluster.boxes.values():
@@ -267,7 +267,12 @@
 
 
 def time_to_lead_after_restarts(cluster: Cluster, starts: dict[str, int]) -> int:
-    """Kill all boxes, start some again, and return when one leads, in milliseconds."""
+    """Kill all boxes, restart some, and return the time to a leader in milliseconds.
+
+    Args:
+        cluster: The group.
+        starts: Delay of the restart by box; other boxes stay down.
+    """
     killed_at = cluster.now
     for box in cluster.boxes.values():
         box.raft = None
@@ -288,10 +293,11 @@
         cluster = elected()
         cluster.seed = 1_000 * seed
         times.append(time_to_lead_after_restarts(cluster, {"a": 0, "b": 390}))
-    # The later one may vote 500 ms after its start; the other asks again soon.
+    # The later box grants votes from 500 ms after its start on; the other one retries
+    # its pre-vote soon after that.
     first_chance = 390 + ELECTION_TIMEOUT
     assert mean(times) <= first_chance + PRE_VOTE_RETRY_DELAY
-    # Two that ask in the same 10 ms share the votes once.
+    # Two candidates within the same 10 ms can split the vote once.
     assert max(times) <= first_chance + 4 * PRE_VOTE_RETRY_DELAY + 20
 
 
@@ -318,7 +324,7 @@
 
 
 def test_a_request_to_join_is_passed_on_once() -> None:
-    """Followers that take each other for the leader passed it in a ring for ever."""
+    """Followers that took each other for the leader forwarded a request endlessly."""
     cluster = elected()
     first, second = cluster.followers()
     for follower in (first, second):
