--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -1,4 +1,4 @@
-"""The replicated log of one replica in memory: entries after a snapshot mark."""
+"""The replicated log of one replica, in memory: the entries after its snapshot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """Content of a log entry."""
 
     NOOP = 0
     COMMAND = 1
@@ -19,7 +19,7 @@
 
 
 class Membership(Record, frozen=True, array_like=True):
-    """Replica identities; a learner receives the log and does not vote."""
+    """Identities of the group's replicas; learners receive the log but do not vote."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
@@ -30,19 +30,19 @@
         return self.voters + self.learners
 
     def quorum(self, agreed: set[str]) -> bool:
-        """Tell whether a majority of the voters is in `agreed`."""
+        """Return whether a majority of the voters is in `agreed`."""
         return 2 * len(agreed & set(self.voters)) > len(self.voters)
 
 
 class HardState(Record, frozen=True, array_like=True):
-    """What must be synced before a vote or an acknowledgement is sent."""
+    """State that must be synced before a vote or an acknowledgement is sent."""
 
     term: int = 0
     vote: str = ""
 
 
 class SnapshotMetadata(Record, frozen=True, array_like=True):
-    """Where the compacted part of the log ends."""
+    """Last entry that a snapshot covers, and the membership at it."""
 
     index: int = 0
     term: int = 0
@@ -53,8 +53,8 @@
     """Entries that follow a snapshot, by index.
 
     Args:
-        mark: Where the compacted part ends.
-        entries: Entries after it, without a gap.
+        metadata: Metadata of the snapshot that replaces the compacted part.
+        entries: Entries after the snapshot, without gaps.
     """
 
     def __init__(self, metadata: SnapshotMetadata, entries: list[LogEntry]) -> None:
@@ -66,23 +66,23 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the mark."""
+        """Index of the last entry, or of the snapshot if there is none."""
         return self.snapshot_metadata.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or of the mark."""
+        """Term of the last entry, or of the snapshot if there is none."""
         return self.entries[-1].term if self.entries else self.snapshot_metadata.term
 
     def term_at(self, index: int) -> int:
-        """Return the term of an index, or -1 where it is not held."""
+        """Return the term at an index, or -1 if the log does not contain it."""
         if index == self.snapshot_metadata.index:
             return self.snapshot_metadata.term
         offset = index - self.snapshot_metadata.index - 1
         return self.entries[offset].term if 0 <= offset < len(self.entries) else -1
 
     def between(self, first: int, last: int | None = None) -> list[LogEntry]:
-        """Return the entries from `first` to `last`, or to the end."""
+        """Return the entries from `first` to `last` inclusive, or to the end."""
         start = max(first - self.snapshot_metadata.index - 1, 0)
         stop = (
             len(self.entries)
@@ -92,24 +92,24 @@
         return self.entries[start:stop]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership that the log gives at an index."""
+        """Return the membership that is in effect at an index."""
         for entry in reversed(self.between(self.snapshot_metadata.index + 1, index)):
             if entry.kind == EntryKind.MEMBERSHIP:
                 return decode(entry.data, Membership)
         return self.snapshot_metadata.membership
 
     def truncate(self, index: int) -> None:
-        """Remove an index and all after it."""
+        """Remove the entry at an index and all later ones."""
         del self.entries[index - self.snapshot_metadata.index - 1 :]
 
     def compact(self, index: int) -> SnapshotMetadata:
-        """Drop the entries up to an index that is held.
+        """Drop the entries up to an index that the log contains.
 
         Returns:
-            The new mark.
+            The metadata of the new snapshot.
         """
         if not self.snapshot_metadata.index < index <= self.last_index:
-            raise InvariantError(f"compact to {index} outside {self!r}")
+            raise InvariantError(f"cannot compact to {index}, outside {self!r}")
         metadata = SnapshotMetadata(
             index, self.term_at(index), self.membership_at(index)
         )
@@ -118,17 +118,17 @@
         return metadata
 
     def restore(self, metadata: SnapshotMetadata) -> None:
-        """Take over a snapshot's mark; entries after it stay if they fit."""
+        """Start from a received snapshot; keep later entries if they continue it."""
         fits = self.term_at(metadata.index) == metadata.term
         self.entries = self.between(metadata.index + 1) if fits else []
         self.snapshot_metadata = metadata
 
 
 def box_name(identity: str) -> str:
-    """Return the box's name in a replica identity `name#incarnation`."""
+    """Return the box name in a replica identity of the form `name#incarnation`."""
     return identity.partition("#")[0]
 
 
 def same_box(identity: str, other: str) -> bool:
-    """Tell whether two identities belong to one box."""
+    """Return whether two replica identities belong to the same box."""
     return box_name(identity) == box_name(other)
