--- a/src/leadseam/control/raft_types.py
+++ b/src/leadseam/control/raft_types.py
@@ -1,4 +1,4 @@
-"""What the consensus core is in its term, hears, and asks its owner to do."""
+"""Types of the Raft core: roles, messages, and the work that its owner has to do."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from leadseam.wire.consensus import LogEntry
 
 TermMessage: TypeAlias = Vote | VoteReply | Append | AppendReply | Install
-"""A message that belongs to a term: a higher one makes its receiver enter it."""
+"""A message that belongs to a term; its receiver enters that term if it is newer."""
 RaftMessage: TypeAlias = PreVote | PreVoteReply | Join | TermMessage
 
 
 class Role(StrEnum):
-    """What a replica is in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """Work that the owner must do, in this order.
+    """Work for the owner of the core, to be done in the order of the fields.
 
     Args:
-        snapshot: A snapshot to store and restore from, with its data, or None.
+        snapshot: Metadata and data of a snapshot to store and restore, or None.
         hard_state: State to persist, or None if unchanged.
-        append: Entries to persist; the first may overwrite existing indexes.
-        send: Messages to send once all of the above is synced.
-        commit: Entries to apply, in order.
-        steps: Changes of the group that were proposed, for the logs.
+        append: Entries to persist; they replace stored ones from the first index on.
+        send: Receivers and messages, to be sent once all of the above is synced.
+        commit: Committed entries to apply, in order.
+        changes: Membership changes that were proposed, to be logged.
     """
 
     snapshot: tuple[SnapshotMetadata, bytes] | None
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class Pending:
-    """Work that has gathered since the owner last took it; see `Ready`."""
+    """Work that has accumulated since the owner last took it; see `Ready`."""
 
     snapshot: tuple[SnapshotMetadata, bytes] | None = None
     hard_state: bool = False
