--- a/src/leadseam/control/liveness.py
+++ b/src/leadseam/control/liveness.py
@@ -1,8 +1,9 @@
-"""Since when the members of the control group have been silent. No I/O.
+"""How long the members of the control group have been silent. No I/O.
 
-Only the leader asks all members, many times a second, so it is the one that finds a
-member gone. What it knows outlives it: it tells its followers who is silent and for how
-long, and the next leader goes on counting from there.
+Only the leader contacts all members, many times a second, so only the leader detects
+that a member is gone: silent beyond its timeout, or about to stop. The leader reports
+to its followers which members are silent and for how long, so that the next leader
+continues the count instead of starting from zero.
 """
 
 from __future__ import annotations
@@ -17,22 +18,24 @@
     from leadseam.control.raft_log import Membership
 
 VOTER_TIMEOUT: Millis = 1_500
-"""Silence after which a voter is taken for gone: twelve heartbeats. A box that is gone
-has to be out of the group 4 s after its successor's start, through an election or two
-of up to 1.3 s each; one that was only away joins again within a second."""
+"""Silence after which a voter is considered gone: twelve heartbeats. A box that is gone
+has to be out of the group 4 s after its replacement has started, including one or two
+elections of up to 1.3 s each. A box that was only unreachable joins again within a
+second."""
 LEARNER_TIMEOUT: Millis = 10_000
-"""Silence after which a learner is dropped. It costs no quorum, and it may be storing a
-snapshot meanwhile; it asks again if it runs."""
+"""Silence after which a learner is removed. It does not count for quorums, and it may
+be storing a snapshot in the meantime; if it is running, it asks to join again."""
 MIN_REPORTED_SILENCE: Millis = 500
-"""Silence that a leader tells its followers of: four heartbeats. With two leaders
-replaced within 4 s and nothing told, the first one stayed a voter for 7.3 s."""
+"""Minimum silence that a leader reports to its followers: four heartbeats. Without such
+reports, when two leaders were replaced within 4 s, the first one stayed a voter for
+7.3 s."""
 NEW_LEADER_GRACE_PERIOD: Millis = 240
-"""Time that all members have to answer a new leader before it takes any for gone: two
-heartbeats."""
+"""Time that members have to answer a new leader before it considers any of them gone
+for its silence: two heartbeats."""
 
 
 class Liveness:
-    """When members last answered this replica, or the leader before it."""
+    """Times at which members last answered this replica or the previous leader."""
 
     def __init__(self) -> None:
         self._answered: dict[str, Millis] = {}
@@ -44,12 +47,12 @@
         return f"Liveness(answered={self._answered!r}, stopping={self._stopping!r})"
 
     def answered(self, name: str, now: Millis, *, stops: bool = False) -> None:
-        """Note that a replica has answered this one.
+        """Record an answer of another replica to this one.
 
         Args:
-            name: Its identity.
+            name: Identity of the other replica.
             now: Current time.
-            stops: Whether it said that it is about to stop.
+            stops: Whether the answer announces that the other replica is about to stop.
         """
         self._answered[name] = now
         if stops:
@@ -60,42 +63,42 @@
     def leader_reported(
         self, leader: str, silent: Iterable[tuple[str, Millis]], now: Millis
     ) -> None:
-        """Take the word of the leader; its own silence begins with it.
+        """Record a leader's report, which also counts as a sign of life of the leader.
 
         Args:
-            leader: Its identity.
-            silent: Members that it does not hear, and for how long.
+            leader: Identity of the leader.
+            silent: Members that do not answer it, and for how long.
             now: Current time.
         """
         self._reported = {name: now - millis for name, millis in silent}
         self._reported[leader] = now
 
     def became_leader(self, now: Millis) -> None:
-        """Begin to ask all members, as their leader."""
+        """Start the grace period of a new leader."""
         self._elected_at = now
         self._stopping.clear()
 
     def retain(self, members: Collection[str]) -> None:
-        """Drop what is known of replicas that are not in the group."""
+        """Discard the records of all replicas but these members."""
         for known in (self._answered, self._reported):
             for name in set(known).difference(members):
                 del known[name]
         self._stopping.intersection_update(members)
 
     def last_answer(self, name: str, now: Millis) -> Millis | None:
-        """Return how long ago a replica answered this one; None if it never did."""
+        """Return the time since a replica last answered this one, or None if never."""
         at = self._answered.get(name)
         return None if at is None else now - at
 
     def silences(
         self, names: Iterable[str], now: Millis
     ) -> tuple[tuple[str, Millis], ...]:
-        """Return the members that a leader's followers have to know to be silent."""
+        """Return the silent members and their silences, for the report to followers."""
         silences = [(name, self._silence(name, now)) for name in names]
         return tuple(one for one in silences if one[1] > MIN_REPORTED_SILENCE)
 
     def gone(self, membership: Membership, now: Millis) -> list[str]:
-        """Return the members taken for gone, the one silent for longest first."""
+        """Return the members that are considered gone, the longest silent first."""
         gone = [
             name
             for name in membership.everyone
@@ -112,6 +115,6 @@
         return self._silence(name, now) > limit
 
     def _silence(self, name: str, now: Millis) -> Millis:
-        """Return for how long a member has answered neither leader."""
+        """Return the time since a member answered this leader or the previous one."""
         before = self._reported.get(name, self._elected_at)
         return now - max(before, self._answered.get(name, before))
