--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -17,7 +17,7 @@
 TWO_LOSSES = VoterBounds(2)
 
 
-def step(
+def change(
     voters: tuple[str, ...],
     learners: tuple[str, ...] = (),
     *,
@@ -33,52 +33,52 @@
 
 
 def test_a_whole_group_stays_as_it_is() -> None:
-    assert step(FIVE) is None
+    assert change(FIVE) is None
 
 
 def test_silence_alone_shrinks_no_group_below_what_it_has_to_bear() -> None:
-    assert step(FIVE, gone=("a#1", "b#1")) is None
-    assert step(FIVE[1:], gone=("b#1",)) is None
+    assert change(FIVE, gone=("a#1", "b#1")) is None
+    assert change(FIVE[1:], gone=("b#1",)) is None
 
 
 def test_a_voter_that_is_gone_and_not_needed_leaves() -> None:
-    assert step((*FIVE, "f#1"), gone=("a#1",)) == MembershipChange(
+    assert change((*FIVE, "f#1"), gone=("a#1",)) == MembershipChange(
         Membership(("b#1", "c#1", "d#1", "e#1", "f#1")), "a#1", Reason.SURPLUS
     )
 
 
 def test_the_one_silent_for_longest_leaves_first() -> None:
     seven = (*FIVE, "f#1", "g#1")
-    first = step(seven, gone=("c#1", "a#1"))
+    first = change(seven, gone=("c#1", "a#1"))
     assert first is not None
     assert first.member == "c#1"
-    second = step(first.membership.voters, gone=("a#1",))
+    second = change(first.membership.voters, gone=("a#1",))
     assert second is not None
     assert second.member == "a#1"
-    assert step(second.membership.voters, gone=("b#1",)) is None
+    assert change(second.membership.voters, gone=("b#1",)) is None
 
 
 def test_a_newcomer_is_added_while_nobody_is_found_gone() -> None:
-    assert step(FIVE, ("f#1",), caught_up=("f#1",)) == MembershipChange(
+    assert change(FIVE, ("f#1",), caught_up=("f#1",)) == MembershipChange(
         Membership((*FIVE, "f#1")), "f#1", Reason.CAUGHT_UP
     )
-    assert step(FIVE, ("f#1",)) is None
+    assert change(FIVE, ("f#1",)) is None
 
 
 def test_a_newcomer_takes_the_place_of_one_that_is_gone_room_first() -> None:
-    first = step(FIVE, ("f#1",), gone=("b#1",), caught_up=("f#1",))
+    first = change(FIVE, ("f#1",), gone=("b#1",), caught_up=("f#1",))
     assert first == MembershipChange(
         Membership(("a#1", "c#1", "d#1", "e#1"), ("f#1",)), "b#1", Reason.MAKES_ROOM
     )
     assert first is not None
-    second = step(first.membership.voters, ("f#1",), caught_up=("f#1",))
+    second = change(first.membership.voters, ("f#1",), caught_up=("f#1",))
     assert second is not None
     assert second.membership == Membership(("a#1", "c#1", "d#1", "e#1", "f#1"))
 
 
 def test_a_group_that_lacks_voters_gains_one_before_another_leaves() -> None:
     four = FIVE[:4]
-    added = step(four, ("f#1",), gone=("d#1",), caught_up=("f#1",))
+    added = change(four, ("f#1",), gone=("d#1",), caught_up=("f#1",))
     assert added is not None
     assert added.reason is Reason.CAUGHT_UP
 
@@ -86,7 +86,7 @@
 def test_a_new_disk_takes_the_place_of_the_old_one_not_of_a_box_that_is_cut_off() -> (
     None
 ):
-    assert step(FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)) == MembershipChange(
+    assert change(FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)) == MembershipChange(
         Membership(FIVE[:4], ("e#2",)), "e#1", Reason.DISK_REPLACED
     )
 
@@ -94,8 +94,8 @@
 def test_a_full_group_lets_a_newcomer_wait_until_somebody_is_gone() -> None:
     seven = tuple(f"{name}#1" for name in "abcdefg")
     assert len(seven) == MAX_VOTERS
-    assert step(seven, ("h#1",), caught_up=("h#1",)) is None
-    leaves = step(seven, ("h#1",), gone=("a#1",), caught_up=("h#1",))
+    assert change(seven, ("h#1",), caught_up=("h#1",)) is None
+    leaves = change(seven, ("h#1",), gone=("a#1",), caught_up=("h#1",))
     assert leaves is not None
     assert (leaves.member, leaves.reason) == ("a#1", Reason.MAKES_ROOM)
 
@@ -113,7 +113,7 @@
 
 
 def test_a_learner_that_is_gone_is_dropped() -> None:
-    assert step(FIVE, ("f#1", "g#1"), gone=("f#1",)) == MembershipChange(
+    assert change(FIVE, ("f#1", "g#1"), gone=("f#1",)) == MembershipChange(
         Membership(FIVE, ("g#1",)), "f#1", Reason.GONE
     )
 
