--- a/src/leadseam/control/membership.py
+++ b/src/leadseam/control/membership.py
@@ -1,11 +1,12 @@
-"""The next change of the control group's members, one at a time. No I/O.
-
-Every box that runs should vote, and none that is gone: a voter that is gone counts for
-the quorum and never answers, so that the group bears one loss less. Silence does not
-tell a box that is gone from one that is cut off. A silent voter therefore leaves only
-where that costs no loss that the group has to bear: for a newcomer that has caught up,
-or while there are more voters than `Bounds.floor`. One that was only cut off asks to
-join again, with its disk, and votes again within a second.
+"""The next membership change of the control group, one at a time. No I/O.
+
+Every running box should be a voter, and no box that is gone: such a voter still counts
+for the quorum but never answers, so the group tolerates one loss less. Silence alone
+cannot distinguish a box that is gone from one that is partitioned. A silent voter is
+therefore removed only where the group still tolerates the required losses: in exchange
+for a learner that has caught up, or while there are more voters than
+`VoterBounds.min_voters`. A box that was only partitioned asks to join again, with its
+disk, and is a voter again within a second.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
     from collections.abc import Collection, Sequence
 
 MAX_VOTERS = 7
-"""Voters at the most; further boxes hold the log and do not vote."""
+"""Maximum number of voters; further boxes stay learners."""
 MIN_VOTERS = 3
-"""Voters below which no group shrinks, whatever losses it is meant to bear: with two,
-either one stops it."""
+"""Number of voters below which no group shrinks, however few losses it has to tolerate:
+in a group of two, the loss of either one stops it."""
 
 
 class Reason(StrEnum):
-    """Why a member comes or goes."""
+    """Reason for a membership change."""
 
     ASKED = "asked to join"
     CAUGHT_UP = "caught up"
@@ -39,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """One change of the group.
+    """One change of the group's membership.
 
     Args:
-        membership: The group after it.
-        member: The identity that comes or goes.
-        reason: Why.
+        membership: Membership after the change.
+        member: Identity that is added, promoted or removed.
+        reason: Reason for the change.
     """
 
     membership: Membership
@@ -54,22 +55,23 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterBounds:
-    """How far the group may shrink and grow by itself.
+    """Limits within which the group may shrink on its own.
 
     Args:
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
     """
 
     tolerated_losses: int
 
     @property
     def min_voters(self) -> int:
-        """Voters below which a silent one stays unless a newcomer takes its place."""
+        """Number of voters below which a silent one is removed only for a learner."""
         return max(2 * self.tolerated_losses + 1, MIN_VOTERS)
 
 
 def add_learner(membership: Membership, newcomer: str) -> MembershipChange | None:
-    """Return the step that takes in a box that asks, or None if it is a member."""
+    """Return the change that adds a box as a learner, or None if it is a member."""
     if newcomer in membership.everyone:
         return None
     kept = tuple(name for name in membership.learners if not same_box(name, newcomer))
@@ -84,13 +86,13 @@
     caught_up: Collection[str],
     bounds: VoterBounds,
 ) -> MembershipChange | None:
-    """Return the next step towards the group that is wanted, or None if it is there.
+    """Return the next change towards the desired group, or None if none is needed.
 
     Args:
-        membership: The group as it is.
-        gone: Members taken for gone, the one that has been so for longest first.
-        caught_up: Learners that have the log and answer.
-        bounds: How far the group may shrink and grow.
+        membership: Current membership.
+        gone: Members that are considered gone, the longest silent first.
+        caught_up: Learners whose log is close to the leader's.
+        bounds: Limits within which the group may shrink.
     """
     voters = membership.voters
     gone_voters = [name for name in gone if name in voters]
@@ -113,10 +115,11 @@
     gone_voters: Sequence[str],
     bounds: VoterBounds,
 ) -> MembershipChange | None:
-    """Return the step that lets a learner vote, or first makes room for it.
+    """Return the change that promotes a learner, or first removes a voter for it.
 
-    Room comes first, so that a voter that is gone counts no longer than it has to; but
-    a group that lacks voters takes the learner in before anyone else leaves.
+    The removal comes first, so that a voter that is gone counts no longer than
+    necessary; but a group that lacks voters promotes the learner before it removes
+    anyone.
     """
     voters = membership.voters
     for name in voters:
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -1,4 +1,4 @@
-"""Steps of the group, one at a time, as values."""
+"""Membership changes, computed one at a time."""
 
 from __future__ import annotations
 
