--- a/src/leadseam/control/progress.py
+++ b/src/leadseam/control/progress.py
@@ -1,4 +1,4 @@
-"""How far each member of the group has followed its leader. No I/O."""
+"""Replication progress of the group's members, as tracked by the leader. No I/O."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     from leadseam.wire.consensus import AppendReply
 
 RESEND_AFTER: Millis = 240
-"""Time after which what was sent and not answered is sent again: two heartbeats."""
+"""Time after which unanswered entries or snapshots are sent again: two heartbeats."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What one member holds, and what is on its way to it.
+    """Replication progress of one member.
 
     Args:
-        next_index: Index that it is sent next.
+        next_index: Index of the next entry to send to the member.
         match: Last index known to match the leader's log.
-        acked_sent: Leader's clock at the newest request that it has answered.
-        echo: Its own clock in its newest answer.
-        in_flight: Whether entries or a snapshot are on their way.
-        sent_at: When they were sent.
+        acked_sent: Leader's clock when it sent the newest request that was answered.
+        echo: Member's clock in its newest answer.
+        in_flight: Whether entries or a snapshot are in flight.
+        sent_at: Time at which they were sent.
     """
 
     next_index: int
@@ -37,41 +37,41 @@
     sent_at: Millis = -1
 
     def awaits_answer(self, now: Millis) -> bool:
-        """Tell whether an answer to what was sent may still come."""
+        """Return whether an answer is still expected before a resend."""
         return self.in_flight and now - self.sent_at < RESEND_AFTER
 
     def sent(self, now: Millis) -> None:
-        """Note that entries or a snapshot were sent."""
+        """Record that entries or a snapshot were sent."""
         self.in_flight = True
         self.sent_at = now
 
     def answered(self, message: AppendReply) -> None:
-        """Note any answer."""
+        """Record an answer, whether or not the entries were accepted."""
         self.acked_sent = max(self.acked_sent, message.sent)
         self.echo = max(self.echo, message.clock)
 
     def matched(self, match: int) -> None:
-        """Note that the log matches up to an index."""
+        """Record that the member's log matches the leader's up to an index."""
         if match > self.match:
             self.match = match
             self.in_flight = False
         self.next_index = max(self.next_index, self.match + 1)
 
     def refused(self, hint: int) -> None:
-        """Note that what was sent did not fit, and where it may fit."""
+        """Record that entries were rejected, with a hint where the logs may match."""
         self.in_flight = False
         self.next_index = max(self.match + 1, min(hint + 1, self.next_index - 1))
 
 
 class Followers(dict[str, Progress]):
-    """Progress of all members by identity, the leader's own included."""
+    """Progress of all members by identity, including the leader itself."""
 
     def sync(self, members: Collection[str], next_index: int) -> None:
-        """Follow these members and no others.
+        """Add the progress of new members and remove that of former ones.
 
         Args:
-            members: Identities of the whole group.
-            next_index: Index that a new one is sent first.
+            members: Identities of all current members.
+            next_index: Index of the first entry to send to a new member.
         """
         for name in members:
             if name not in self:
@@ -80,17 +80,17 @@
             del self[name]
 
     def quorum_match(self, voters: Iterable[str]) -> int:
-        """Return the highest index that a quorum of the voters holds."""
+        """Return the highest index that is replicated on a quorum of the voters."""
         return _quorum_value(self[name].match for name in voters)
 
     def quorum_ack(self, voters: Iterable[str], leader: str, now: Millis) -> Millis:
-        """Return the send time of the newest request that a quorum answered."""
+        """Return the send time of the newest request that a quorum has answered."""
         return _quorum_value(
             now if name == leader else self[name].acked_sent for name in voters
         )
 
 
 def _quorum_value(values: Iterable[int]) -> int:
-    """Return the greatest value that more than half of all reach."""
+    """Return the greatest value that more than half of the values reach."""
     ordered = sorted(values, reverse=True)
     return ordered[len(ordered) // 2]
--- a/tests/control/test_progress.py
+++ b/tests/control/test_progress.py
@@ -1,4 +1,4 @@
-"""What members hold, and what a quorum of them does."""
+"""Replication progress of the members, and of a quorum of them."""
 
 from __future__ import annotations
 
