--- a/src/leadseam/control/group_health.py
+++ b/src/leadseam/control/group_health.py
@@ -1,7 +1,8 @@
-"""What one replica can tell of the control group: who answers, and what it bears.
+"""Health of the control group as seen by one replica: missing and spare voters.
 
-The leader hears of every voter. A replica without a leader knows who answered its
-attempts to be elected. A follower that hears a leader knows nothing of the others.
+The leader gets answers from every voter. A replica without a leader knows which voters
+answered its election attempts. A follower with a leader has no information about the
+other voters.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
     from leadseam.runtime.metrics import ControlMetrics
 
 ANSWER_TIMEOUT: Millis = 1_000
-"""Silence from which on a voter counts as missing: eight heartbeats, or three attempts
-to be elected."""
+"""Silence after which a voter counts as missing: eight heartbeats, or three election
+attempts."""
 CHECK_INTERVAL: Millis = 500
-"""Pause between two looks, which bounds the lines written."""
+"""Interval between two checks, which limits the number of log lines."""
 REPEAT_INTERVAL: Millis = 5_000
-"""Pause after which the same lack of a quorum is told again."""
+"""Interval at which an unchanged lack of a quorum is logged again."""
 
 UNKNOWN = float("nan")
 NOTHING_REPORTED: tuple[bool, int, frozenset[str]] = (False, -1, frozenset())
@@ -35,8 +36,8 @@
     """A voter that does not answer.
 
     Args:
-        name: Its identity.
-        silent_ms: Since when, or -1 if it has never answered this replica.
+        name: Identity of the voter.
+        silent_ms: Time since its last answer, or -1 if it never answered this replica.
     """
 
     name: str
@@ -45,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupHealth:
-    """Who of the group answers.
+    """Which voters of the group answer.
 
     Args:
-        leads: Whether the replica that tells this leads the group.
-        voters: Number of voters; 0 on a box that nobody has taken in yet.
+        leads: Whether the reporting replica is the leader.
+        voters: Number of voters; 0 on a replica that is not a voter.
         missing: Voters that do not answer.
     """
 
@@ -59,25 +60,25 @@
 
     @property
     def needed(self) -> int:
-        """Voters that have to answer for anything to be decided."""
+        """Number of voters that form a quorum."""
         return self.voters // 2 + 1
 
     @property
     def answering(self) -> int:
-        """Voters that answer, this replica included if it votes."""
+        """Number of voters that answer, including this replica if it is a voter."""
         return self.voters - len(self.missing)
 
     @property
     def spare(self) -> int:
-        """Further voters that may be lost; below 0, as many have to come back."""
+        """Number of voters that may still be lost; negative without a quorum."""
         return self.answering - self.needed
 
 
 class HealthReporter:
-    """Writes a line and sets gauges when the health of the group changes.
+    """Sets gauges for the health of the group and logs its changes.
 
     Args:
-        metrics: Where the gauges are.
+        metrics: Metrics that contain the gauges.
     """
 
     def __init__(self, metrics: ControlMetrics) -> None:
@@ -87,7 +88,7 @@
         self._reported_at: Millis = 0
 
     def check(self, now: Millis, raft: Raft) -> None:
-        """Tell what has changed since the last look."""
+        """Update the gauges, and log the health if it has changed."""
         if now < self._next_check:
             return
         self._next_check = now + CHECK_INTERVAL
@@ -103,7 +104,7 @@
             self._report(now, health, raft)
 
     def _defer_to_leader(self, leader: str) -> None:
-        """Say nothing of the others while another replica leads, which knows more."""
+        """Report no health while another replica leads, which has more information."""
         self._metrics.voters_missing.set({}, UNKNOWN)
         self._metrics.spare_voters.set({}, UNKNOWN)
         if self._reported != NOTHING_REPORTED:
--- a/tests/control/test_group_health.py
+++ b/tests/control/test_group_health.py
@@ -1,4 +1,4 @@
-"""What a replica tells of its group, from its core's state alone."""
+"""Health of the group as reported by a replica, from the state of its Raft core."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
     for name in others:
         cluster.start(name)
     while cluster.leader() is None or raft.leads or not raft.leader:
-        # Whoever is elected, this replica is to hear of a leader in the end.
+        # If this replica is elected, it steps down, so that it follows a leader.
         cluster.settle(1)
         if raft.leads:
             raft.leave(cluster.now)
