--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -1,4 +1,4 @@
-"""A control replica: drives the Raft core, owns the disk and the state machine."""
+"""A control replica: drives the Raft core and owns the storage and state machine."""
 
 from __future__ import annotations
 
@@ -64,8 +64,9 @@
 PROPOSE_TIMEOUT: Millis = 5_000
 RETRY_DELAY: Millis = 100
 LEAVE_TIMEOUT: Millis = 3_000
-"""Longest wait for a leader that takes note of a stop. Where there is none, this box
-may be needed to elect one: 1.3 s, and as much again for a second attempt."""
+"""Maximum wait until a leader has received the announcement of a stop. If there is no
+leader, this box may be needed to elect one: 1.3 s, and as much again for a second
+attempt."""
 
 log = logging.getLogger(__name__)
 
@@ -99,18 +100,19 @@
 
     Args:
         name: Box name.
-        identity: Name and disk incarnation.
-        endpoints: Inner addresses of the replicas known at the start, by box name.
-        address_of: Returns the inner address of a box that joined later, or None.
+        identity: Replica identity: the box name and the incarnation of its disk.
+        endpoints: Internal addresses of the initially known replicas, by box name.
+        address_of: Returns the internal address of a box that joined later, or None.
         storage: The opened data folder.
-        recovered: What it held.
+        recovered: State that was recovered from the data folder.
         clock: Source of time.
-        metrics: Counters.
-        traffic: Bytes on inner links.
+        metrics: Metrics of the control service.
+        traffic: Byte counters of the internal links.
         seed: Seed of the election jitter.
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
-        silent_since: Time from which on this box has certainly answered no leader, if
-            that is before now: the start of its process.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
+        silent_since: Time since which this box has certainly not answered any leader,
+            such as the start of its process. Defaults to the current time.
     """
 
     def __init__(
@@ -160,7 +162,7 @@
 
     @property
     def raft(self) -> Raft:
-        """The consensus core, for reading."""
+        """The Raft core; callers must not modify it."""
         return self._raft
 
     @property
@@ -170,15 +172,15 @@
 
     @property
     def voters(self) -> int:
-        """Number of voters as far as this replica knows."""
+        """Number of voters in the membership that this replica has."""
         return len(self._raft.membership.voters)
 
     def is_current(self) -> bool:
-        """Tell whether this replica may speak for the fleet right now."""
+        """Return whether the state of this replica is current enough to be served."""
         return not self.failure and self._raft.is_current(self._clock.now())
 
     def readiness(self) -> str:
-        """Return why this replica may not speak for the fleet, or an empty text."""
+        """Return why this replica must not serve its state, or an empty string."""
         if self.failure:
             return f"storage: {self.failure}"
         if not self.is_current():
@@ -186,13 +188,13 @@
         return ""
 
     async def submit(self, command: Command) -> CommandResult | None:
-        """Have a command committed, through the leader wherever it is.
+        """Commit a command, directly or through the leader.
 
-        Every command is safe to resend, so lost attempts are repeated here.
+        Every command is safe to resend, so failed attempts are retried here.
 
         Returns:
-            Its outcome, or None if no quorum confirmed it in time. It may still be
-            committed later.
+            Result of the command, or None if no quorum confirmed it in time. It may
+            still be committed later.
         """
         deadline = self._clock.now() + PROPOSE_TIMEOUT
         while (left := deadline - self._clock.now()) > 0:
@@ -206,7 +208,7 @@
         """Wait until every change acknowledged before this call is applied here.
 
         Returns:
-            False if no quorum confirmed what the newest is.
+            False if no quorum confirmed the newest version.
         """
         result = await self.submit(Barrier())
         if not isinstance(result, BarrierResult):
@@ -216,11 +218,11 @@
         return True
 
     async def wait_for_apply(self) -> None:
-        """Wait until the state machine moves on."""
+        """Wait until further entries or a snapshot have been applied."""
         await asyncio.shield(self._applied_event)
 
     def receive(self, link: Link, message: AnyMessage) -> None:
-        """Take a message that another replica sent on its own link."""
+        """Handle a message from a replica that opened the link."""
         match message:
             case Forward():
                 spawn(self._run_forwarded(link, message))
@@ -230,19 +232,22 @@
                 self._on_peer_message(message)
 
     def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
-        """Reach these boxes besides the members of the group, and no earlier ones."""
+        """Replace the boxes that are linked in addition to the group's members."""
         self._peers.set_endpoints(endpoints)
         self._linked_members = None
 
     async def run(self) -> None:
-        """Serve until cancelled; a failed disk ends it with `failure` set."""
+        """Run until cancelled, or until the storage fails and `failure` is set."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._tick())
             self._update_links()
             await self._loop()
 
     async def leave(self) -> None:
-        """Tell the group that this box is about to stop, as far as it can be told."""
+        """Announce to the group that this box is about to stop, and wait for a leader.
+
+        The wait ends after `LEAVE_TIMEOUT` even if no leader received the announcement.
+        """
         deadline = self._clock.now() + LEAVE_TIMEOUT
         self._inbox.put_nowait(_Leaving())
         while not self.failure and self._clock.now() < deadline:
@@ -251,7 +256,7 @@
                 return
 
     def close(self) -> None:
-        """Drop the links to the other replicas; for use after `run` has ended."""
+        """Close the links to the other replicas, after `run` has ended."""
         self._submissions.drop_proposed()
         self._peers.close()
 
@@ -305,7 +310,7 @@
             case _:
                 self._metrics.unexpected.inc({})
 
-    # The loop that owns the core and the disk
+    # The loop that owns the Raft core and the storage
 
     async def _tick(self) -> None:
         while True:
@@ -314,7 +319,7 @@
                 self._inbox.put_nowait(_Tick())
 
     def _update_links(self) -> None:
-        """Keep links to the group as it is now, and note when it has changed."""
+        """Update the links to the current members, and log a changed membership."""
         membership = self._raft.membership
         if membership is not self._membership:
             self._membership = membership
@@ -322,7 +327,7 @@
             log.info("membership changed", extra=extra)
         wanted = self.members
         if self._raft.leader:
-            # A newcomer is not told the members before it has answered the leader.
+            # A new box receives the membership only after it has answered the leader.
             wanted = wanted | {box_name(self._raft.leader)}
         if self._linked_members != wanted:
             self._linked_members = wanted
@@ -443,7 +448,7 @@
         self.failure = exc.message
         self._submissions.drop_proposed()
         extra = {"code": exc.code, "error": exc.message}
-        log.error("storage failed; replica steps back", extra=extra)
+        log.error("storage failed; replica stopped", extra=extra)
 
 
 def _log_changes(ready: Ready) -> None:
