--- a/src/leadseam/control/submissions.py
+++ b/src/leadseam/control/submissions.py
@@ -1,4 +1,4 @@
-"""Commands of this replica that wait for their outcome."""
+"""Pending commands that were submitted to this replica."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     from leadseam.wire.consensus import LogEntry
 
 Outcome: TypeAlias = "asyncio.Future[CommandResult | None]"
-"""Result of a command, or None if it is not known what became of it."""
+"""Result of a command, or None if it is unknown whether it was committed."""
 
 
 class Submissions:
-    """Commands proposed here as the leader, or forwarded to the one that is."""
+    """Commands that this replica proposed as the leader or forwarded to the leader."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, tuple[int, Outcome]] = {}
@@ -28,17 +28,21 @@
         )
 
     def proposed(self, index: int, term: int, fut: Outcome) -> None:
-        """Wait for the entry that was proposed at an index in a term."""
+        """Track a command that was proposed as the entry at an index and term."""
         self._proposed[index] = (term, fut)
 
     def applied(self, entry: LogEntry, result: CommandResult | None) -> None:
-        """Resolve the command of an entry; another one may have taken its place."""
+        """Resolve the command proposed at an applied entry's index.
+
+        Its result is None if the entry has another term, that is, if another leader's
+        entry replaced the proposed one.
+        """
         term, fut = self._proposed.pop(entry.index, (0, None))
         if fut is not None and not fut.done():
             fut.set_result(result if term == entry.term else None)
 
     def forwarded(self, fut: Outcome) -> int:
-        """Wait for the reply to a command that is forwarded; return its ticket."""
+        """Track a forwarded command and return the ticket that its reply carries."""
         self._next_ticket += 1
         ticket = self._next_ticket
         self._forwarded[ticket] = fut
@@ -46,13 +50,16 @@
         return ticket
 
     def replied(self, ticket: int, result: CommandResult | None) -> None:
-        """Resolve a forwarded command, unless nobody waits any more."""
+        """Resolve a forwarded command, unless its caller has given up."""
         fut = self._forwarded.get(ticket)
         if fut is not None and not fut.done():
             fut.set_result(result)
 
     def drop_proposed(self) -> None:
-        """Give up on all that was proposed: this replica leads no more."""
+        """Resolve all proposed commands as unknown, as this replica cannot commit them.
+
+        It is no longer the leader, or has stopped.
+        """
         proposed, self._proposed = self._proposed, {}
         for _, fut in proposed.values():
             if not fut.done():
--- a/tests/control/test_submissions.py
+++ b/tests/control/test_submissions.py
@@ -1,4 +1,4 @@
-"""Outcomes of commands that were proposed or forwarded."""
+"""Results of commands that were proposed or forwarded."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     submissions.proposed(4, 2, kept)
     submissions.proposed(5, 2, replaced)
     submissions.applied(LogEntry(2, 4, 1, b""), DONE)
-    # Another leader's entry took the place of the second one.
+    # Another leader's entry replaced the second one.
     submissions.applied(LogEntry(3, 5, 1, b""), DONE)
     assert (kept.result(), replaced.result()) == (DONE, None)
 
 
-async def test_with_the_lead_lost_nobody_knows_what_becomes_of_a_command() -> None:
+async def test_a_proposed_command_is_unresolved_once_leadership_is_lost() -> None:
     submissions = Submissions()
     fut: Outcome = asyncio.Future()
     submissions.proposed(4, 2, fut)
