--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -1,16 +1,16 @@
 """A replica's data folder: identity, journal and snapshot.
 
-Layout of the folder, `N` being a generation number:
+Layout of the folder, where `N` is a generation number:
 
-- `identity`: the replica's name and disk incarnation.
+- `identity`: the replica's box name and disk incarnation.
 - `snapshot-N`: one record with the compacted state.
 - `journal-N`: records appended since; an entry replaces all with its index or above.
 
-Each block is a header (magic, length, CRC-32) and a CBOR payload. A block of the
-journal holds the records that were synced together: a power loss may leave any part of
-the last block unwritten, so only whole blocks tell damage from an unfinished write. A
-generation is complete once `journal-N` has its final name; the highest complete one
-counts.
+Each block consists of a header (magic, length, CRC-32) and a CBOR payload. A block of
+the journal contains the records that were synced together. A power loss may leave any
+part of the last block unwritten, so damage can be told from an unfinished write only by
+whole blocks. A generation is complete once `journal-N` has its final name; the highest
+complete generation is used.
 """
 
 from __future__ import annotations
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """What a data folder held when it was opened.
+    """Content of a data folder when it was opened.
 
     Args:
         hard_state: Last synced term and vote.
-        mark: Position of the snapshot.
-        data: State machine at the mark.
-        log: Entries after the mark.
-        cut: Bytes of an unfinished write that were dropped.
+        metadata: Metadata of the snapshot.
+        data: State machine at the snapshot.
+        log: Entries after the snapshot.
+        cut: Number of bytes of an unfinished write that were truncated.
     """
 
     hard_state: HardState
@@ -80,18 +80,19 @@
 
 
 def pack(payload: bytes) -> bytes:
-    """Frame a payload as one record."""
+    """Frame a payload as one block."""
     return _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 def _unpack(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the record at an offset, or None if it is not whole."""
+    """Return the payload of the block at an offset, or None if it is not intact."""
     if offset + _HEADER.size > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
     start = offset + _HEADER.size
     payload = data[start : start + length]
-    # The checksum of nothing is 0, as in a header of which only the start was written.
+    # An empty payload has checksum 0, like a header of which only the start was
+    # written.
     if magic != _MAGIC or not payload or len(payload) != length:
         return None
     return payload if zlib.crc32(payload) == checksum else None
@@ -111,13 +112,13 @@
 
     Args:
         data: Content of the file.
-        name: Its name, for the error.
+        name: File name for the error message.
 
     Returns:
         The payloads, and the offset at which an unfinished write begins.
 
     Raises:
-        StorageDamagedError: If a broken record is followed by a whole one.
+        StorageDamagedError: If an intact block follows a broken one.
     """
     payloads: list[bytes] = []
     offset = 0
@@ -125,7 +126,7 @@
         payload = _unpack(data, offset)
         if payload is None:
             if _valid_record_after(data, offset):
-                raise StorageDamagedError(f"{name}: broken record at byte {offset}")
+                raise StorageDamagedError(f"{name}: broken block at byte {offset}")
             return payloads, offset
         payloads.append(payload)
         offset += _HEADER.size + len(payload)
@@ -133,7 +134,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder durable."""
+    """Sync a folder, which makes the names of its files durable."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
@@ -142,7 +143,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Write a file so that it exists whole or not at all."""
+    """Write a file atomically and sync it."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with open(temporary, "wb") as file:
         file.write(data)
@@ -158,10 +159,10 @@
     Args:
         folder: The data folder; must exist.
         identity: The replica's identity.
-        membership: First membership; empty for a replica that has to join.
+        membership: Initial membership; empty for a replica that has to join.
 
     Raises:
-        StorageError: If the folder is in use already or cannot be written.
+        StorageError: If the folder is already formatted or cannot be written.
     """
     if (folder / IDENTITY_FILE).exists():
         raise StorageError(f"{folder}: already formatted")
@@ -174,7 +175,7 @@
 
 
 def read_identity(folder: Path) -> str | None:
-    """Return the identity on a disk, or None for an empty one."""
+    """Return the identity stored in a data folder, or None if it is not formatted."""
     try:
         return (folder / IDENTITY_FILE).read_text()
     except FileNotFoundError:
@@ -218,10 +219,11 @@
         return f"Storage({self._folder}, generation={self._generation})"
 
     def open(self) -> RecoveredState:
-        """Recover the folder's content and make it writable.
+        """Recover the folder's content and open the journal for appending.
 
         Raises:
-            StorageDamagedError: If anything but an unfinished last write is broken.
+            StorageDamagedError: If anything other than an unfinished last write is
+                broken.
             StorageError: If the folder cannot be read or written.
         """
         try:
@@ -230,13 +232,14 @@
             raise StorageError(f"{self._folder}: {exc}") from exc
 
     def rewrite(self, recovered: RecoveredState) -> None:
-        """Write all that the folder holds once more.
+        """Write the recovered state again as a new generation.
 
-        After a failed write or sync a file may read back what the disk does not hold,
-        and a later sync of it may succeed all the same. A new generation is durable.
+        After a failed write or sync, reads of a file may return data that is not on the
+        disk, and a later sync of that file may still succeed. A new generation is
+        durable.
 
         Args:
-            recovered: What `open` returned.
+            recovered: The state returned by `open`.
 
         Raises:
             StorageError: If the disk still fails.
@@ -245,10 +248,10 @@
         self.compact(recovered.metadata, recovered.data, recovered.hard_state, log)
 
     def append(self, state: HardState | None, entries: tuple[LogEntry, ...]) -> None:
-        """Add records and sync them.
+        """Append records to the journal and sync it.
 
         Raises:
-            StorageError: If they may not be durable; no later call succeeds.
+            StorageError: If the records may not be durable; all later calls fail too.
         """
         records: list[JournalRecord] = [EntryRecord(entry) for entry in entries]
         if state is not None:
@@ -266,12 +269,12 @@
         """Start a new generation from a snapshot and the entries after it.
 
         Raises:
-            StorageError: If it may not be durable; no later call succeeds.
+            StorageError: If it may not be durable; all later calls fail too.
         """
         self._guard(lambda: self._compact(metadata, data, state, log))
 
     def close(self) -> None:
-        """Release the journal."""
+        """Close the journal."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
@@ -282,7 +285,7 @@
         try:
             work()
         except OSError as exc:
-            # After a failed write or sync nobody knows what the disk holds.
+            # After a failed write or sync the content of the disk is unknown.
             self.failed = True
             raise StorageError(f"{self._folder}: {exc}") from exc
 
@@ -320,7 +323,7 @@
         self._open_journal()
         if end < len(content):
             os.ftruncate(self._fd, end)
-        # A process that was killed may have written this without a sync.
+        # A killed process may have written this content without syncing it.
         os.fsync(self._fd)
         self._remove_old()
         cut = len(content) - end
@@ -362,14 +365,16 @@
                 case EntryRecord(entry=entry):
                     position = entry.index - metadata.index - 1
                     if not 0 <= position <= len(log):
-                        raise StorageDamagedError(f"entry {entry.index} leaves a gap")
+                        raise StorageDamagedError(
+                            f"entry {entry.index} does not continue the log"
+                        )
                     del log[position:]
                     log.append(entry)
     return hard_state, log
 
 
 def _records(payload: bytes) -> tuple[JournalRecord, ...]:
-    """Return the records of a block; the first release wrote one in each."""
+    """Return the records of a block; the first release wrote one record per block."""
     try:
         return decode(payload, tuple[JournalRecord, ...])
     except WireError:
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -86,9 +86,9 @@
 def test_a_new_disk_takes_the_place_of_the_old_one_not_of_a_box_that_is_cut_off() -> (
     None
 ):
-    assert change(FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)) == MembershipChange(
-        Membership(FIVE[:4], ("e#2",)), "e#1", Reason.DISK_REPLACED
-    )
+    assert change(
+        FIVE, ("e#2",), gone=("b#1",), caught_up=("e#2",)
+    ) == MembershipChange(Membership(FIVE[:4], ("e#2",)), "e#1", Reason.DISK_REPLACED)
 
 
 def test_a_full_group_lets_a_newcomer_wait_until_somebody_is_gone() -> None:
--- a/tests/failures/test_storage_killed.py
+++ b/tests/failures/test_storage_killed.py
@@ -1,4 +1,4 @@
-"""A process killed at random points of its writes loses nothing it acknowledged."""
+"""A process that is killed at random points of its writes loses no acknowledged data."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def write_until_killed(folder: Path, rng: random.Random) -> int:
-    """Run a writer, kill it after some acknowledgements and return the last one."""
+    """Run a writer, kill it after some acknowledgements, and return the last index."""
     writer = subprocess.Popen(
         [sys.executable, "-S", "-c", WRITER, str(folder)],
         stdout=subprocess.PIPE,
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: what is acknowledged survives, damage is refused by name."""
+"""The data folder: acknowledged data survives, and damage is detected."""
 
 from __future__ import annotations
 
@@ -114,7 +114,7 @@
 
     monkeypatch.setattr(os, "fsync", note)
     Storage(tmp_path).open()
-    # A killed process may have written these without a sync.
+    # A killed process may have written this content without syncing it.
     assert str(tmp_path / "journal-1") in synced
 
 
