--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -79,12 +79,12 @@
     cut: int
 
 
-def pack(payload: bytes) -> bytes:
+def pack_block(payload: bytes) -> bytes:
     """Frame a payload as one block."""
     return _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
-def _unpack(data: bytes, offset: int) -> bytes | None:
+def _unpack_block(data: bytes, offset: int) -> bytes | None:
     """Return the payload of the block at an offset, or None if it is not intact."""
     if offset + _HEADER.size > len(data):
         return None
@@ -98,16 +98,16 @@
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def _valid_record_after(data: bytes, offset: int) -> bool:
+def _intact_block_after(data: bytes, offset: int) -> bool:
     position = data.find(_MAGIC, offset + 1)
     while position >= 0:
-        if _unpack(data, position) is not None:
+        if _unpack_block(data, position) is not None:
             return True
         position = data.find(_MAGIC, position + 1)
     return False
 
 
-def unpack_all(data: bytes, name: str) -> tuple[list[bytes], int]:
+def unpack_blocks(data: bytes, name: str) -> tuple[list[bytes], int]:
     """Split a journal into payloads.
 
     Args:
@@ -123,9 +123,9 @@
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
-        payload = _unpack(data, offset)
+        payload = _unpack_block(data, offset)
         if payload is None:
-            if _valid_record_after(data, offset):
+            if _intact_block_after(data, offset):
                 raise StorageDamagedError(f"{name}: broken block at byte {offset}")
             return payloads, offset
         payloads.append(payload)
@@ -191,9 +191,9 @@
     data: bytes,
     records: tuple[JournalRecord, ...],
 ) -> None:
-    snapshot = pack(encode(SnapshotRecord(metadata, data)))
+    snapshot = pack_block(encode(SnapshotRecord(metadata, data)))
     write_synced(folder / f"snapshot-{generation}", snapshot)
-    write_synced(folder / f"journal-{generation}", pack(encode(records)))
+    write_synced(folder / f"journal-{generation}", pack_block(encode(records)))
 
 
 def _generations(folder: Path, prefix: str) -> list[int]:
@@ -256,7 +256,7 @@
         records: list[JournalRecord] = [EntryRecord(entry) for entry in entries]
         if state is not None:
             records.append(StateRecord(state))
-        block = pack(encode(tuple(records)))
+        block = pack_block(encode(tuple(records)))
         self._guard(lambda: self._write(block))
 
     def compact(
@@ -318,7 +318,7 @@
         snapshot = self._read_snapshot()
         journal = self._folder / f"journal-{self._generation}"
         content = journal.read_bytes()
-        payloads, end = unpack_all(content, journal.name)
+        payloads, end = unpack_blocks(content, journal.name)
         hard_state, log = _replay(payloads, snapshot.metadata)
         self._open_journal()
         if end < len(content):
@@ -332,7 +332,7 @@
     def _read_snapshot(self) -> SnapshotRecord:
         path = self._folder / f"snapshot-{self._generation}"
         try:
-            payload = _unpack(path.read_bytes(), 0)
+            payload = _unpack_block(path.read_bytes(), 0)
         except FileNotFoundError:
             payload = None
         if payload is None:
