--- a/tests/failures/test_storage_killed.py
+++ b/tests/failures/test_storage_killed.py
@@ -1,4 +1,4 @@
-"""A process that is killed at random points of its writes loses no acknowledged data."""
+"""A process killed at random points of its writes loses no acknowledged data."""
 
 from __future__ import annotations
 
