--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -65,7 +65,7 @@
             target=http.raw_path,
             headers=_end_to_end(http),
             key=read_key(headers.get(names.AUTHORIZATION)),
-            patience=_read_number(headers.get(names.DEADLINE)),
+            max_wait=_read_number(headers.get(names.DEADLINE)),
             parts=read_parts(headers.get(names.PROMPT_PARTS, "")),
             tokens_in=tokens_in,
             tokens_out=tokens_out,
@@ -85,7 +85,10 @@
         headers = [
             (name, value)
             for name, value in req.headers
-            if not (attempt.keyed and name.lower() == names.AUTHORIZATION.lower())
+            if not (
+                attempt.uses_account_keys
+                and name.lower() == names.AUTHORIZATION.lower()
+            )
         ]
         headers.append((names.DEADLINE, str(attempt.time_left)))
         headers.append((names.EXPECT_INSTANCE, attempt.instance))
@@ -98,16 +101,16 @@
     def read_answer(self, status: int, headers: MultiMapping[str]) -> AnswerHead:
         """Read the head of an upstream's answer."""
         content_type = headers.get("Content-Type", "")
-        pause, odd_pause = 0, ""
+        pause, invalid_pause = 0, ""
         if status == SERVICE_UNAVAILABLE:
-            pause, odd_pause = read_pause(headers.getall(names.RETRY_AFTER, []))
+            pause, invalid_pause = read_pause(headers.getall(names.RETRY_AFTER, []))
         return AnswerHead(
             request_id=headers.get(names.REQUEST_ID),
             not_run=names.NOT_RUN in headers,
             signed=names.SIGNATURE in headers,
             event_stream=content_type.startswith(EVENT_STREAM),
             pause=pause,
-            odd_pause=odd_pause,
+            invalid_pause=invalid_pause,
             leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),
         )
 
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -10,7 +10,7 @@
 
 from leadseam.control.routes import Repeat
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
-from leadseam.routing.admitted import Admitted
+from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import Whole, Withheld
 from leadseam.routing.exchange import Exchange
 from leadseam.routing.reply import CallerGoneError
@@ -46,7 +46,7 @@
         self.restarts = Restarts()
         self.request_log = SimpleNamespace(attempt=lambda *_, **__: None)
         self.prepare = None
-        self.keyed = False
+        self.uses_account_keys = False
 
     def now(self) -> int:
         return 1_000
@@ -73,7 +73,7 @@
 def make_exchange(shared: Shared, repeat: Repeat = Repeat.SAFE) -> Exchange:
     """Return an exchange of a request that may be repeated or not."""
     route = msgspec.structs.replace(make_route("r", "/chat/", "p"), repeat=repeat)
-    admitted = Admitted(
+    admitted = AdmittedRequest(
         req=make_request(),
         body=b"{}",
         route=route,
@@ -116,7 +116,7 @@
 
 async def test_what_has_no_upstream_has_not_run() -> None:
     shared = Shared(Reason.NO_UPSTREAM)
-    shared.spread = lambda pause: pause  # type: ignore[attr-defined]
+    shared.jitter = lambda pause: pause  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
     exchange = make_exchange(shared)
     await exchange.run()
@@ -126,7 +126,7 @@
 async def test_where_all_upstreams_pause_callers_are_told_when_one_is_back() -> None:
     shared = Shared(Reason.UPSTREAMS_PAUSED)
     shared.paused = 2_750
-    shared.spread = lambda pause: pause // 2  # type: ignore[attr-defined]
+    shared.jitter = lambda pause: pause // 2  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
     exchange = make_exchange(shared)
     await exchange.run()
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -163,7 +163,7 @@
     entry = Entry(metrics)
     for number in range(LINES_PER_SECOND + 7):
         entry.gateway._refuse(Sender(f"r-{number}", None), NotRun(Reason.NO_KEY), 0)
-    entry.gateway.request_log.show_dropped()
+    entry.gateway.request_log.update_dropped_lines()
     assert b"leadseam_log_lines_dropped 7" in metrics.render()
 
 
@@ -195,7 +195,7 @@
     with caplog.at_level("INFO"):
         for status, head in (
             (503, make_head(pause=3_000)),
-            (503, make_head(odd_pause="soon")),
+            (503, make_head(invalid_pause="soon")),
             (200, make_head(leaving=True)),
             (421, make_head(pause=3_000, leaving=True)),
         ):
