--- a/src/leadseam/control/replica_identity.py
+++ b/src/leadseam/control/replica_identity.py
@@ -1,4 +1,4 @@
-"""The identity of a replica: kept on its disk, drawn anew with a new disk."""
+"""The identity of a replica: stored on its disk, so a new disk gets a new one."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 
 def bootstrap_identity(name: str) -> str:
-    """Return the identity of a box in a newly founded group."""
+    """Return the identity of a box in a newly bootstrapped group."""
     return f"{name}#{BOOTSTRAP_INCARNATION}"
 
 
 def prepare_folder(folder: Path, name: str, *, bootstrap_boxes: tuple[str, ...]) -> str:
-    """Format a data folder if it is empty.
+    """Format a data folder unless that was done before, and return the identity in it.
 
     Args:
         folder: The data folder; must exist.
         name: Name of the box.
-        bootstrap_boxes: Boxes that found a group, this one included; empty to join one.
+        bootstrap_boxes: Boxes that bootstrap a group, including this one; empty to
+            join an existing group.
 
     Returns:
-        The replica's identity.
+        The identity of the replica.
 
     Raises:
         StorageError: If the folder cannot be used.
