--- a/src/leadseam/control/peers.py
+++ b/src/leadseam/control/peers.py
@@ -21,18 +21,18 @@
     from leadseam.wire.traffic import Traffic
 
 MAX_REDIAL_PAUSE: Millis = 400
-"""Longest pause before a peer is dialled again: below the least election timeout."""
+"""Maximum delay before a peer is redialed: below the minimum election timeout."""
 
 
 class Peers:
-    """Outgoing links to the other replicas; each redials until it is dropped.
+    """Outgoing links to the other replicas, which are redialed until they are removed.
 
     Args:
-        name: This replica's box name.
-        endpoints: Inner addresses of the replicas known at the start, by box name.
-        address_of: Returns the inner address of a box that joined later, or None.
-        on_reply: Called with messages that come back on these links.
-        traffic: Bytes on inner links.
+        name: Box name of this replica.
+        endpoints: Internal addresses of the initially known replicas, by box name.
+        address_of: Returns the internal address of a box that joined later, or None.
+        on_reply: Called with the messages received on these links.
+        traffic: Byte counters of the internal links.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def send(self, to: str, message: AnyMessage) -> None:
-        """Send to one box, or to all if `to` is empty; lost if not connected."""
+        """Send to one box, or to all if `to` is empty; dropped if not connected."""
         names = [to] if to else list(self._links)
         for name in names:
             link = self._links.get(name)
@@ -60,11 +60,11 @@
                 link.send(message)
 
     def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
-        """Keep links to these boxes, besides members, from the next `follow` on."""
+        """Set the boxes to link besides members, from the next `set_members` on."""
         self._endpoints = dict(endpoints)
 
     def set_members(self, members: set[str]) -> None:
-        """Keep links to the members of the group and to the boxes of the settings."""
+        """Link exactly the members of the group and the boxes of `set_endpoints`."""
         wanted = (members | set(self._endpoints)) - {self._name}
         for name in wanted - set(self._tasks):
             endpoint = self._endpoints.get(name) or self._address_of(name)
@@ -75,7 +75,7 @@
             self._links.pop(name, None)
 
     def close(self) -> None:
-        """Drop all links."""
+        """Close all links."""
         for task in self._tasks.values():
             task.cancel()
         self._tasks.clear()
