--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,4 +1,4 @@
-"""Replicas of the consensus core on a network and disks under a test's control."""
+"""Raft replicas on a simulated network and simulated disks."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 TICK = 50
 MAX_MESSAGES = 400
 MAX_DELIVERED = 100_000
-"""Messages handed over in one round, far above what a round brings about."""
+"""Limit of the messages delivered in one round, far above what a round produces."""
 
 
 @dataclass
 class Disk:
-    """What is synced on a box."""
+    """Synced content of a box's disk."""
 
     identity: str
     metadata: SnapshotMetadata
@@ -36,7 +36,7 @@
     log: list[LogEntry] = field(default_factory=list)
 
     def store(self, entries: tuple[LogEntry, ...]) -> None:
-        """Append entries as the journal does."""
+        """Append entries, which replace those with the same or higher indexes."""
         for entry in entries:
             position = entry.index - self.metadata.index - 1
             del self.log[position:]
@@ -45,7 +45,7 @@
 
 @dataclass
 class Box:
-    """A replica on its disk; `raft` is None while it is down."""
+    """A disk and the replica on it; `raft` is None while the replica is down."""
 
     disk: Disk
     raft: Raft | None = None
@@ -53,11 +53,11 @@
 
 
 class Cluster:
-    """Replicas and the messages between them, under a test's control.
+    """Replicas and the messages between them; time and faults are set by the test.
 
     Args:
-        names: The boxes that found the group.
-        seed: Seed of the first box's jitter; each start takes the next one.
+        names: The boxes that bootstrap the group.
+        seed: Each replica that starts takes the next higher number as its seed.
     """
 
     def __init__(self, names: tuple[str, ...] = BOXES, *, seed: int = 0) -> None:
@@ -96,16 +96,16 @@
         box.applied = decode_applied(disk.snapshot)
 
     def suspend(self, name: str) -> None:
-        """Let a box stand still; what it is about to send is sent later."""
+        """Suspend a box; the messages that it is about to send are sent later."""
         self.suspended.setdefault(name, [])
 
     def resume(self, name: str) -> None:
-        """Let a box go on: first with what it was doing."""
+        """Resume a box, which first sends its delayed messages."""
         for target, message in self.suspended.pop(name, []):
             self._enqueue(target, message)
 
     def process_ready(self, name: str) -> None:
-        """Do what a replica's core asks for, as its owner does."""
+        """Do the work that a replica's Raft core returns, as `Replica` does."""
         box = self.boxes[name]
         while box.raft is not None:
             ready = box.raft.take_ready()
@@ -145,7 +145,7 @@
     def _apply(self, box: Box, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
             known = self.committed.setdefault(entry.index, entry.data)
-            assert known == entry.data, f"index {entry.index} was committed otherwise"
+            assert known == entry.data, f"index {entry.index} was committed with other data"
             box.applied.append((entry.index, entry.data))
 
     def _note_leader(self, raft: Raft) -> None:
@@ -154,13 +154,13 @@
             assert leader == raft.identity, f"two leaders in term {raft.term}"
 
     def deliver(self, position: int, *, keep: bool = False) -> None:
-        """Hand over one message; `keep` leaves a copy in the network."""
+        """Deliver one message; with `keep` a copy stays in the network."""
         position %= len(self.network)
         to, message = self.network[position]
         if not keep:
             del self.network[position]
         if to in self.suspended:
-            # It waits in the box's socket, if there is room.
+            # The message waits in the socket of the suspended box.
             self.network.append((to, message))
             return
         raft = self.boxes[to].raft if to in self.boxes else None
@@ -169,7 +169,7 @@
             self.process_ready(to)
 
     def tick(self, millis: int) -> None:
-        """Let time pass for all."""
+        """Advance the clock and tick all replicas."""
         self.now += millis
         for name, box in self.boxes.items():
             if box.raft is not None and name not in self.suspended:
@@ -177,7 +177,7 @@
                 self.process_ready(name)
 
     def settle(self, rounds: int) -> None:
-        """Run without faults."""
+        """Run a number of rounds without further faults."""
         for _ in range(rounds):
             self.tick(TICK)
             for _ in range(MAX_DELIVERED):
@@ -187,7 +187,7 @@
                 self.deliver(position)
 
     def _deliverable(self) -> int | None:
-        """Return the position of the first message that its box can read, or None."""
+        """Return the position of the first message to a box that is not suspended."""
         for position, (to, _) in enumerate(self.network):
             if to not in self.suspended:
                 return position
@@ -200,12 +200,12 @@
         return max(leading, key=lambda raft: raft.term, default=None)
 
     def followers(self) -> list[Raft]:
-        """Return the replicas that follow, in the order of their boxes."""
+        """Return the followers, in the order of their boxes."""
         rafts = [box.raft for box in self.boxes.values() if box.raft is not None]
         return [raft for raft in rafts if raft.role is Role.FOLLOWER]
 
     def lease_holders(self) -> list[Raft]:
-        """Return the leaders that may answer for the group at this moment."""
+        """Return the leaders that hold a lease at this moment."""
         rafts = [box.raft for box in self.boxes.values() if box.raft is not None]
         return [
             raft
@@ -214,7 +214,7 @@
         ]
 
     def propose(self, data: bytes) -> bool:
-        """Propose through the leader."""
+        """Propose a command through the leader; return whether it was appended."""
         leader = self.leader()
         if leader is None or box_name(leader.identity) in self.suspended:
             return False
@@ -223,10 +223,11 @@
         return index is not None
 
     def suspend_between_quorum_and_answer(self, data: bytes) -> bool:
-        """Propose, and let the leader stand still once a quorum has it.
+        """Propose a command, and suspend the leader once a quorum has the command.
 
         Returns:
-            Whether a quorum had it; what stands still then has told nobody.
+            Whether a quorum has it. The suspended leader has then not yet told anyone
+            that the command is committed.
         """
         leader = self.leader()
         if leader is None or not self.propose(data):
@@ -243,15 +244,15 @@
         return True
 
     def stop(self, name: str) -> None:
-        """End a box's process; its disk stays."""
+        """Stop the replica of a box; its disk is kept."""
         self.boxes[name].raft = None
 
     def remove(self, name: str) -> None:
-        """Take a box away for good."""
+        """Remove a box permanently."""
         del self.boxes[name]
 
     def lose_disk(self, name: str) -> None:
-        """Start a box, new or known, with an empty disk; it has to join."""
+        """Start a new or existing box with an empty disk; it has to join."""
         self.lost_disks += 1
         identity = f"{name}#{self.lost_disks}"
         metadata = SnapshotMetadata(membership=Membership(()))
@@ -260,17 +261,17 @@
 
 
 def encode_applied(applied: list[tuple[int, bytes]]) -> bytes:
-    """Encode a test's state machine."""
+    """Encode the state machine of the simulated boxes."""
     return encode(applied)
 
 
 def decode_applied(data: bytes) -> list[tuple[int, bytes]]:
-    """Decode a test's state machine."""
+    """Decode the state machine of the simulated boxes."""
     return [(index, value) for index, value in cbor2.loads(data)] if data else []
 
 
 def elected() -> Cluster:
-    """Return a cluster with a leader."""
+    """Return a cluster that has elected a leader."""
     cluster = Cluster()
     cluster.settle(60)
     assert cluster.leader() is not None
--- a/tests/control/replacements.py
+++ b/tests/control/replacements.py
@@ -1,4 +1,4 @@
-"""Groups whose boxes are replaced, for the tests of the control group."""
+"""Helpers for tests that replace boxes of the control group."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 SEVEN = (*FIVE, "f", "g")
 SECOND = 1_000 // TICK
 CATCH_UP = 4 * SECOND
-"""Time after which a box that has come counts, and the one it replaces does not."""
+"""Rounds after which a new box has to be a voter, and the box it replaces none."""
 
 
 def bootstrapped(names: tuple[str, ...] = FIVE, *, seed: int = 0) -> Cluster:
-    """Return a group with a leader."""
+    """Return a newly bootstrapped group that has elected a leader."""
     cluster = Cluster(names, seed=1_000 * seed)
     cluster.settle(3 * SECOND)
     assert cluster.leader() is not None
@@ -26,33 +26,33 @@
 
 
 def leader_name(cluster: Cluster) -> str:
-    """Return the name of the box that leads."""
+    """Return the box name of the leader."""
     leader = cluster.leader()
     assert leader is not None
     return leader.identity.partition("#")[0]
 
 
 def follower(cluster: Cluster) -> str:
-    """Return a box that does not lead."""
+    """Return the name of a box that is not the leader."""
     return follower_pair(cluster)[0]
 
 
 def follower_pair(cluster: Cluster) -> tuple[str, str]:
-    """Return two boxes that do not lead."""
+    """Return the names of two boxes that are not the leader."""
     leading = leader_name(cluster)
     first, second, *_ = [name for name in cluster.boxes if name != leading]
     return first, second
 
 
 def voters(cluster: Cluster) -> set[str]:
-    """Return the names of the boxes that vote."""
+    """Return the box names of the voters."""
     leader = cluster.leader()
     assert leader is not None
     return {identity.partition("#")[0] for identity in leader.membership.voters}
 
 
 def survive(cluster: Cluster, *, lost: Iterable[str]) -> bool:
-    """Lose disks and stop all others; tell whether what was committed is all there."""
+    """Lose disks and restart all other boxes; return whether no commit was lost."""
     assert cluster.propose(b"acknowledged")
     cluster.settle(1)
     before = dict(cluster.committed)
@@ -63,7 +63,7 @@
 
 
 def restart_all(cluster: Cluster, *, disks_lost: Iterable[str]) -> None:
-    """Stop all boxes for a second; some come back with empty disks."""
+    """Stop all boxes for a second; some restart with empty disks."""
     cluster.network.clear()
     for name in cluster.boxes:
         cluster.stop(name)
@@ -76,7 +76,7 @@
 
 
 def applied_by_all(cluster: Cluster, committed: dict[int, bytes]) -> bool:
-    """Tell whether all boxes apply what was committed, and more."""
+    """Return whether all boxes have applied the given commits, and more."""
     cluster.settle(SECOND)
     applied = [dict(box.applied) for box in cluster.boxes.values()]
     return all(committed.items() < one.items() for one in applied)
