--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -145,7 +145,9 @@
     def _apply(self, box: Box, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
             known = self.committed.setdefault(entry.index, entry.data)
-            assert known == entry.data, f"index {entry.index} was committed with other data"
+            assert known == entry.data, (
+                f"index {entry.index} was committed with other data"
+            )
             box.applied.append((entry.index, entry.data))
 
     def _note_leader(self, raft: Raft) -> None:
