--- a/tests/control/test_tolerated_losses.py
+++ b/tests/control/test_tolerated_losses.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MOST_REPLACED = 8
+MAX_REPLACED = 8
 
 
 class LossesMachine(RuleBasedStateMachine):
@@ -52,10 +52,10 @@
         self.clock = 0
         self.proposed = 0
         self.arrived = 0
-        self.counts_until: dict[str, int] = {}
-        self.away: set[str] = set()
+        self.lost_until: dict[str, int] = {}
+        self.unavailable: set[str] = set()
         self.leaving: set[str] = set()
-        self.later: list[tuple[int, Callable[[], None]]] = []
+        self.scheduled: list[tuple[int, Callable[[], None]]] = []
 
     @rule(rounds=st.integers(1, 5 * SECOND))
     def run(self, rounds: int) -> None:
@@ -73,24 +73,24 @@
         """A box is gone for good; an empty one comes a while later."""
         gone = self._pick(pick)
         self.cluster.remove(gone)
-        self.away.add(gone)
-        self._after(later, lambda: self._succeed(gone))
+        self.unavailable.add(gone)
+        self._schedule(later, lambda: self._start_replacement(gone))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), later=st.integers(0, 6 * SECOND))
     def replace_as_planned(self, pick: int, later: int) -> None:
         """An empty box comes; the one that it replaces says that it stops, and goes."""
         gone = self._pick(pick)
-        self._succeed(gone)
+        self._start_replacement(gone)
         self.leaving.add(gone)
-        self._after(later, lambda: self._go(gone))
+        self._schedule(later, lambda: self._stop_and_remove(gone))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 7 * SECOND))
     def cut_off(self, pick: int, rounds: int) -> None:
         name = self._pick(pick)
         self.cluster.cut_off.add(name)
-        self._away_for(name, rounds, lambda: self.cluster.cut_off.discard(name))
+        self._unavailable_for(name, rounds, lambda: self.cluster.cut_off.discard(name))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 7 * SECOND))
@@ -98,45 +98,45 @@
         """A box stands still, and sends what it was about to send when it goes on."""
         name = self._pick(pick)
         self.cluster.suspend(name)
-        self._away_for(name, rounds, lambda: self.cluster.resume(name))
+        self._unavailable_for(name, rounds, lambda: self.cluster.resume(name))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 4 * SECOND))
     def lose_power(self, pick: int, rounds: int) -> None:
         name = self._pick(pick)
         self.cluster.stop(name)
-        self._away_for(name, rounds, lambda: self.cluster.start(name))
+        self._unavailable_for(name, rounds, lambda: self.cluster.start(name))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 2 * SECOND))
     def restart_in_order(self, pick: int, rounds: int) -> None:
         name = self._pick(pick)
-        self.away.add(name)
+        self.unavailable.add(name)
         self._stop_gracefully(name)
         self.cluster.stop(name)
-        self._away_for(name, rounds, lambda: self.cluster.start(name))
+        self._unavailable_for(name, rounds, lambda: self.cluster.start(name))
 
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 2 * SECOND))
     def lose_disk(self, pick: int, rounds: int) -> None:
         name = self._pick(pick)
         self.cluster.stop(name)
-        self._away_for(name, rounds, lambda: self.cluster.lose_disk(name))
+        self._unavailable_for(name, rounds, lambda: self.cluster.lose_disk(name))
 
     @rule(picks=st.lists(st.integers(0), min_size=3, max_size=3))
     def lose_all_that_may_be_lost(self, picks: list[int]) -> None:
         """Disks are lost up to the bound while all other boxes lose power."""
         lost: list[str] = []
         for pick in picks:
-            sound = [one for one in self._sound() if one not in lost]
-            if len(self._counting()) + len(lost) < self.tolerated_losses:
-                lost.append(sound[pick % len(sound)])
+            healthy = [one for one in self._healthy_boxes() if one not in lost]
+            if len(self._lost_boxes()) + len(lost) < self.tolerated_losses:
+                lost.append(healthy[pick % len(healthy)])
         before = dict(self.cluster.committed)
         restart_all(self.cluster, disks_lost=lost)
-        self.away |= set(lost)
+        self.unavailable |= set(lost)
         for name in lost:
             self._returned(name)
-        self._assert_whole(before)
+        self._assert_intact(before)
 
     @invariant()
     def one_leader_at_most_holds_a_lease(self) -> None:
@@ -145,60 +145,64 @@
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
-            self._assert_whole(dict(self.cluster.committed))
+            self._assert_intact(dict(self.cluster.committed))
 
     # The count of losses
 
-    def _counting(self) -> set[str]:
-        late = {name for name, end in self.counts_until.items() if end > self.clock}
-        return self.away | late
+    def _lost_boxes(self) -> set[str]:
+        late = {name for name, end in self.lost_until.items() if end > self.clock}
+        return self.unavailable | late
 
     def _may_lose(self) -> bool:
-        known = hasattr(self, "cluster") and self.arrived < MOST_REPLACED
-        return known and len(self._counting()) < self.tolerated_losses
+        known = hasattr(self, "cluster") and self.arrived < MAX_REPLACED
+        return known and len(self._lost_boxes()) < self.tolerated_losses
 
-    def _sound(self) -> list[str]:
-        return sorted(set(self.cluster.boxes) - self._counting() - self.leaving)
+    def _healthy_boxes(self) -> list[str]:
+        return sorted(set(self.cluster.boxes) - self._lost_boxes() - self.leaving)
 
     def _pick(self, pick: int) -> str:
         """Return a sound box; every third time the one that leads."""
-        sound = self._sound()
+        healthy = self._healthy_boxes()
         leader = self.cluster.leader()
-        if pick % 3 == 0 and leader is not None and leader_name(self.cluster) in sound:
+        if (
+            pick % 3 == 0
+            and leader is not None
+            and leader_name(self.cluster) in healthy
+        ):
             return leader_name(self.cluster)
-        return sound[pick % len(sound)]
+        return healthy[pick % len(healthy)]
 
     def _settle(self, rounds: int) -> None:
         for _ in range(rounds):
             self.cluster.settle(1)
             self.clock += 1
-            due = [one for one in self.later if one[0] <= self.clock]
-            self.later = [one for one in self.later if one[0] > self.clock]
+            due = [one for one in self.scheduled if one[0] <= self.clock]
+            self.scheduled = [one for one in self.scheduled if one[0] > self.clock]
             for _, act in due:
                 act()
 
-    def _after(self, rounds: int, act: Callable[[], None]) -> None:
-        self.later.append((self.clock + max(rounds, 1), act))
+    def _schedule(self, rounds: int, act: Callable[[], None]) -> None:
+        self.scheduled.append((self.clock + max(rounds, 1), act))
 
-    def _away_for(self, name: str, rounds: int, end: Callable[[], None]) -> None:
-        def come_back() -> None:
+    def _unavailable_for(self, name: str, rounds: int, end: Callable[[], None]) -> None:
+        def return_to_service() -> None:
             end()
             self._returned(name)
 
-        self.away.add(name)
-        self._after(rounds, come_back)
+        self.unavailable.add(name)
+        self._schedule(rounds, return_to_service)
 
     def _returned(self, name: str) -> None:
-        self.away.discard(name)
-        self.counts_until[name] = self.clock + CATCH_UP
+        self.unavailable.discard(name)
+        self.lost_until[name] = self.clock + CATCH_UP
 
-    def _succeed(self, gone: str) -> None:
+    def _start_replacement(self, gone: str) -> None:
         """Let the successor of a box come; it counts as that one until it is in."""
         self.arrived += 1
         self.cluster.lose_disk(f"n{self.arrived}")
         self._returned(gone)
 
-    def _go(self, gone: str) -> None:
+    def _stop_and_remove(self, gone: str) -> None:
         self._stop_gracefully(gone)
         self.cluster.remove(gone)
         self.leaving.discard(gone)
@@ -212,9 +216,9 @@
                 return
             self._settle(1)
 
-    def _assert_whole(self, before: dict[int, bytes]) -> None:
+    def _assert_intact(self, before: dict[int, bytes]) -> None:
         """Demand a leader, every box that is there as a voter, and all committed."""
-        while self.later:
+        while self.scheduled:
             self._settle(1)
         self._settle(CATCH_UP)
         assert len(self.cluster.boxes) == len(self.names)
