--- a/tests/control/test_replaced_box.py
+++ b/tests/control/test_replaced_box.py
@@ -1,19 +1,13 @@
-"""A control box that is gone for good must not cost the group a loss it should bear.
-
-What users saw: after two control boxes had lost their disks while all lost power,
-nothing was served any more, for good; elsewhere the newest configuration could not be
-read back.
-
-What had happened: one of five boxes had been taken away, and an empty one had come a
-second later. It had caught up within half a second, sooner than the old one was found
-silent, and so became a sixth voter beside it. Nothing ever took the old one out.
-
-The cause: a voter left only for a newcomer that asked while that voter was already
-silent. Six voters need four; without the one that is gone and two lost disks, three
-are left.
-
-The evidence: the boxes' lines named six voters at their last restart, three of them
-alive with all that was acknowledged, and no election was won from then on.
+"""Guards against a voter that is gone for good and never removed from the group.
+
+One of five boxes was removed, and an empty one started a second later. It caught up
+within half a second, before the old one had timed out, and became a sixth voter. The
+old one was never removed, since a voter left only for a newcomer that asked to join
+while the voter was already silent. Six voters need a quorum of four: when two boxes
+then lost their disks while all lost power, three were left. Nothing was served any
+more; elsewhere the newest configuration could not be read back. The boxes' logs named
+six voters at the last restart, three of them alive with all acknowledged data, and no
+election was won afterwards.
 """
 
 from __future__ import annotations
@@ -37,7 +31,7 @@
     from tests.control.cluster import Cluster
 
 LONGEST_ELECTION = 28
-"""Rounds, 1.4 s: a timeout of at most 1 s, and another attempt."""
+"""In rounds, 1.4 s: an election timeout of at most 1 s and one further attempt."""
 
 
 def test_a_replaced_box_costs_no_later_loss() -> None:
@@ -54,10 +48,12 @@
 
 
 def test_the_next_leader_goes_on_counting_a_silence() -> None:
-    """Found by the random sequences: a leader replaced, and 3.5 s later the next one.
+    """The silence of a member is counted across elections.
 
-    The count began anew with each election, so that the first one still voted beside
-    the second 4 s after its successor had come; one disk lost then stopped the group.
+    The random sequences replaced a leader and, 3.5 s later, the next one. The count
+    restarted with each election, so the first leader was still a voter beside the
+    second one 4 s after its replacement had started; one lost disk then stopped the
+    group.
     """
     for seed in range(20):
         cluster = bootstrapped(seed=seed)
@@ -90,7 +86,7 @@
         name = leader_name(cluster) if stops == "leader" else follower(cluster)
         stop_gracefully(cluster, name)
         cluster.remove(name)
-        # No time to be found silent.
+        # The box has no time to be detected as silent.
         assert survive(cluster, lost=follower_pair(cluster)), stops
 
 
@@ -164,7 +160,7 @@
 
 
 def stop_gracefully(cluster: Cluster, name: str) -> None:
-    """Let a box tell the group that it stops, as its process does."""
+    """Announce the stop of a box to the group, as its process does."""
     raft = cluster.boxes[name].raft
     assert raft is not None
     raft.leave(cluster.now)
@@ -172,4 +168,4 @@
         if raft.can_stop(cluster.now):
             return
         cluster.settle(1)
-    raise AssertionError("nobody took note")
+    raise AssertionError("no leader received the announcement")
--- a/tests/control/test_tolerated_losses.py
+++ b/tests/control/test_tolerated_losses.py
@@ -1,10 +1,11 @@
-"""How many losses a group bears, through replacements, cuts, stops and lost disks.
-
-A group of 2f + 1 boxes has to bear f losses at once. A box counts as lost while it is
-down or cut off, and until it has had `CATCH_UP` after its return; one that is gone for
-good counts until its successor has had that time. Whatever happens within that bound, f
-disks in all may be lost at the next moment while every other box loses power: the group
-then has to elect a leader again and to hold all that was committed.
+"""Tolerated losses of a group under replacements, partitions, stops and lost disks.
+
+A group of 2f + 1 boxes has to tolerate f simultaneous losses. A box counts as lost
+while it is down or partitioned, and for `CATCH_UP` after its return; a box that is gone
+for good counts until its replacement has been running for that time. Whatever happens
+within that limit, disks may be lost up to f losses in total at any moment while all
+other boxes lose power: the group then has to elect a leader again and to have all
+committed entries.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 class LossesMachine(RuleBasedStateMachine):
-    """Faults within what the group has to bear, at any moment, overlapping."""
+    """Injects overlapping faults that the group has to tolerate."""
 
     names: tuple[str, ...] = FIVE
 
@@ -70,7 +71,7 @@
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), later=st.integers(0, 3 * SECOND))
     def replace(self, pick: int, later: int) -> None:
-        """A box is gone for good; an empty one comes a while later."""
+        """A box is gone for good; an empty box replaces it later."""
         gone = self._pick(pick)
         self.cluster.remove(gone)
         self.unavailable.add(gone)
@@ -79,7 +80,7 @@
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), later=st.integers(0, 6 * SECOND))
     def replace_as_planned(self, pick: int, later: int) -> None:
-        """An empty box comes; the one that it replaces says that it stops, and goes."""
+        """An empty box starts; the box that it replaces stops gracefully later."""
         gone = self._pick(pick)
         self._start_replacement(gone)
         self.leaving.add(gone)
@@ -95,7 +96,7 @@
     @precondition(lambda self: self._may_lose())
     @rule(pick=st.integers(0), rounds=st.integers(1, 7 * SECOND))
     def suspend(self, pick: int, rounds: int) -> None:
-        """A box stands still, and sends what it was about to send when it goes on."""
+        """A box is suspended; it sends its delayed messages when it resumes."""
         name = self._pick(pick)
         self.cluster.suspend(name)
         self._unavailable_for(name, rounds, lambda: self.cluster.resume(name))
@@ -125,7 +126,7 @@
 
     @rule(picks=st.lists(st.integers(0), min_size=3, max_size=3))
     def lose_all_that_may_be_lost(self, picks: list[int]) -> None:
-        """Disks are lost up to the bound while all other boxes lose power."""
+        """Disks are lost up to the limit while all other boxes lose power."""
         lost: list[str] = []
         for pick in picks:
             healthy = [one for one in self._healthy_boxes() if one not in lost]
@@ -147,7 +148,7 @@
         if hasattr(self, "cluster"):
             self._assert_intact(dict(self.cluster.committed))
 
-    # The count of losses
+    # Counting of losses
 
     def _lost_boxes(self) -> set[str]:
         late = {name for name, end in self.lost_until.items() if end > self.clock}
@@ -161,7 +162,7 @@
         return sorted(set(self.cluster.boxes) - self._lost_boxes() - self.leaving)
 
     def _pick(self, pick: int) -> str:
-        """Return a sound box; every third time the one that leads."""
+        """Return a healthy box; the leader for every third value, if it is healthy."""
         healthy = self._healthy_boxes()
         leader = self.cluster.leader()
         if (
@@ -197,7 +198,7 @@
         self.lost_until[name] = self.clock + CATCH_UP
 
     def _start_replacement(self, gone: str) -> None:
-        """Let the successor of a box come; it counts as that one until it is in."""
+        """Start the replacement of a box, which counts as lost for `CATCH_UP`."""
         self.arrived += 1
         self.cluster.lose_disk(f"n{self.arrived}")
         self._returned(gone)
@@ -217,7 +218,7 @@
             self._settle(1)
 
     def _assert_intact(self, before: dict[int, bytes]) -> None:
-        """Demand a leader, every box that is there as a voter, and all committed."""
+        """Assert that there is a leader, all boxes are voters and no commit is lost."""
         while self.scheduled:
             self._settle(1)
         self._settle(CATCH_UP)
@@ -229,13 +230,13 @@
 
 
 class LossesOfThree(LossesMachine):
-    """The same with three boxes, which bear one loss."""
+    """The same with three boxes, which tolerate one loss."""
 
     names = THREE
 
 
 class LossesOfSeven(LossesMachine):
-    """The same with seven, as many as vote: a newcomer waits until there is room."""
+    """The same with seven, the maximum of voters: a new box waits for a removal."""
 
     names = SEVEN
 
