--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -62,7 +62,7 @@
         return self.state.apply(command)
 
 
-async def test_a_word_of_leaving_without_a_start_is_of_the_one_that_is_heard() -> None:
+async def test_a_leave_without_a_start_applies_to_the_registered_one() -> None:
     box = Box()
     box.feed.register(make_upstream(1, start=2_000))
     assert await box.service.leave_unstated("i-1") == Accepted()
@@ -72,7 +72,7 @@
     assert len(box.state.departed) == 1
 
 
-async def test_where_no_starts_are_stated_an_id_leaves_for_good() -> None:
+async def test_without_any_starts_an_id_leaves_permanently() -> None:
     box = Box()
     box.feed.register(make_upstream(1))
     assert await box.service.leave_unstated("i-9") == Accepted()
@@ -81,16 +81,16 @@
 
 def test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is() -> None:
     box = Box()
-    told: list[object] = []
-    box.feed._tell_all = told.append  # type: ignore[assignment]
+    sent: list[object] = []
+    box.feed._tell_all = sent.append  # type: ignore[assignment]
     row = make_upstream(1)
     assert box.feed.takes(row)
     box.feed.register(row)
-    assert told == []
+    assert sent == []
     pools = {"p": cast("Any", SimpleNamespace())}
     box.state.configuration = cast("Any", SimpleNamespace(version=1, pools=pools))
     box.feed._push_newly_named()
-    (message,) = told
+    (message,) = sent
     assert cast("Any", message).rows == (row,)
     assert not box.feed.takes(make_upstream(2, pool="q"))
     # One that is heard stays an upstream when its pool goes.
