--- a/tests/control/test_departed.py
+++ b/tests/control/test_departed.py
@@ -1,4 +1,4 @@
-"""Upstreams that have left, in the log and in snapshots of this version and before."""
+"""Departed upstreams in the log and in snapshots of this and the previous version."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def test_logs_and_snapshots_without_starts_are_read() -> None:
-    # As the version before wrote them: tag, id, time; and ids in the fifth field.
+    # Formats of the previous version: tag, id and time; and ids in the fifth field.
     leave = decode(cbor2.dumps([5, "i-1", 7]), cast("type[Command]", Leave))
     assert leave == Leave("i-1", at=7)
     configuration = cbor2.loads(encode(Configuration()))
@@ -43,7 +43,7 @@
 
 
 class Box:
-    """A control box whose commands are applied at once."""
+    """A control box that applies commands immediately."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -67,7 +67,7 @@
     box.feed.register(make_upstream(1, start=2_000))
     assert await box.service.leave_unstated("i-1") == Accepted()
     assert tuple(box.state.departed) == (LATER,)
-    # Starts are stated here, and this one is heard elsewhere.
+    # Upstreams state their starts here, and this one is registered elsewhere.
     assert isinstance(await box.service.leave_unstated("i-2"), Unavailable)
     assert len(box.state.departed) == 1
 
@@ -93,6 +93,6 @@
     (message,) = sent
     assert cast("Any", message).rows == (row,)
     assert not box.feed.takes(make_upstream(2, pool="q"))
-    # One that is heard stays an upstream when its pool goes.
+    # A registered upstream is kept when its pool is removed.
     pools.clear()
     assert box.feed.takes(row)
