--- a/tests/control/test_group_health.py
+++ b/tests/control/test_group_health.py
@@ -20,7 +20,7 @@
     import pytest
 
 
-def test_a_leader_names_the_voter_that_does_not_answer_and_since_when() -> None:
+def test_a_leader_reports_a_missing_voter_and_its_silence() -> None:
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None
@@ -36,7 +36,7 @@
     assert (health.needed, health.answering, health.spare) == (2, 2, 0)
 
 
-def test_a_voter_without_a_leader_names_those_whose_answers_it_lacks() -> None:
+def test_a_voter_without_a_leader_reports_the_voters_that_did_not_answer() -> None:
     cluster = elected()
     first, *others = BOXES
     for name in others:
@@ -52,7 +52,7 @@
     assert health.spare == -1
 
 
-def test_a_follower_that_hears_its_leader_says_nothing_of_the_others() -> None:
+def test_a_follower_with_a_leader_reports_no_health() -> None:
     cluster = elected()
     followers = [
         box.raft for box in cluster.boxes.values() if box.raft and not box.raft.leads
@@ -60,7 +60,7 @@
     assert [raft.health(cluster.now) for raft in followers] == [None, None]
 
 
-def test_a_box_that_nobody_took_in_says_so() -> None:
+def test_a_box_without_a_group_reports_no_voters() -> None:
     cluster = elected()
     cluster.lose_disk("a")
     raft = cluster.boxes["a"].raft
@@ -91,7 +91,7 @@
     assert b"leadseam_control_voters_missing 2" in metrics.render()
 
 
-def test_a_replica_that_hears_a_leader_again_says_so_and_shows_no_old_figure(
+def test_a_replica_that_finds_a_leader_logs_it_and_clears_its_gauges(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -119,6 +119,6 @@
     assert b"leadseam_control_spare_voters nan" in metrics.render().lower()
 
 
-def test_what_is_needed_of_an_even_number_is_more_than_half() -> None:
+def test_a_quorum_of_an_even_number_of_voters_is_more_than_half() -> None:
     health = GroupHealth(True, 6, (MissingVoter("x", 9_000),))
     assert (health.needed, health.answering, health.spare) == (4, 5, 1)
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -32,11 +32,11 @@
     )
 
 
-def test_a_whole_group_stays_as_it_is() -> None:
+def test_a_complete_group_is_not_changed() -> None:
     assert change(FIVE) is None
 
 
-def test_silence_alone_shrinks_no_group_below_what_it_has_to_bear() -> None:
+def test_silence_alone_does_not_shrink_a_group_below_its_minimum() -> None:
     assert change(FIVE, gone=("a#1", "b#1")) is None
     assert change(FIVE[1:], gone=("b#1",)) is None
 
@@ -47,7 +47,7 @@
     )
 
 
-def test_the_one_silent_for_longest_leaves_first() -> None:
+def test_the_longest_silent_voter_is_removed_first() -> None:
     seven = (*FIVE, "f#1", "g#1")
     first = change(seven, gone=("c#1", "a#1"))
     assert first is not None
@@ -58,14 +58,14 @@
     assert change(second.membership.voters, gone=("b#1",)) is None
 
 
-def test_a_newcomer_is_added_while_nobody_is_found_gone() -> None:
+def test_a_learner_is_promoted_while_no_voter_is_gone() -> None:
     assert change(FIVE, ("f#1",), caught_up=("f#1",)) == MembershipChange(
         Membership((*FIVE, "f#1")), "f#1", Reason.CAUGHT_UP
     )
     assert change(FIVE, ("f#1",)) is None
 
 
-def test_a_newcomer_takes_the_place_of_one_that_is_gone_room_first() -> None:
+def test_a_voter_that_is_gone_is_removed_before_a_learner_is_promoted() -> None:
     first = change(FIVE, ("f#1",), gone=("b#1",), caught_up=("f#1",))
     assert first == MembershipChange(
         Membership(("a#1", "c#1", "d#1", "e#1"), ("f#1",)), "b#1", Reason.MAKES_ROOM
@@ -91,7 +91,7 @@
     ) == MembershipChange(Membership(FIVE[:4], ("e#2",)), "e#1", Reason.DISK_REPLACED)
 
 
-def test_a_full_group_lets_a_newcomer_wait_until_somebody_is_gone() -> None:
+def test_a_learner_of_a_full_group_waits_until_a_voter_is_gone() -> None:
     seven = tuple(f"{name}#1" for name in "abcdefg")
     assert len(seven) == MAX_VOTERS
     assert change(seven, ("h#1",), caught_up=("h#1",)) is None
@@ -100,7 +100,9 @@
     assert (leaves.member, leaves.reason) == ("a#1", Reason.MAKES_ROOM)
 
 
-def test_an_even_group_shrinks_to_the_odd_number_that_bears_as_much() -> None:
+def test_an_even_group_shrinks_to_the_odd_number_that_tolerates_as_many_losses() -> (
+    None
+):
     one_loss = VoterBounds(1)
     four = Membership(("a#1", "b#1", "c#1", "d#1"))
     shrunk = next_change(four, gone=("d#1",), caught_up=(), bounds=one_loss)
@@ -118,7 +120,7 @@
     )
 
 
-def test_a_box_that_asks_replaces_its_earlier_request() -> None:
+def test_a_request_to_join_with_a_new_disk_replaces_the_earlier_learner() -> None:
     group = Membership(FIVE, ("f#1",))
     assert add_learner(group, "f#1") is None
     assert add_learner(group, "a#1") is None
--- a/tests/control/test_progress.py
+++ b/tests/control/test_progress.py
@@ -6,7 +6,7 @@
 from leadseam.wire.consensus import AppendReply
 
 
-def test_more_than_half_hold_what_a_quorum_holds() -> None:
+def test_the_quorum_index_is_replicated_on_more_than_half() -> None:
     followers = Followers()
     followers.sync(("a", "b", "c", "d"), 1)
     for name, match in zip("abcd", (9, 7, 5, 3), strict=True):
@@ -15,7 +15,7 @@
     assert followers.quorum_match(("a", "b", "c", "d")) == 5
 
 
-def test_a_leader_answers_itself_now() -> None:
+def test_a_leader_counts_as_answering_at_the_current_time() -> None:
     followers = Followers()
     followers.sync(("a", "b", "c"), 1)
     followers["b"].answered(AppendReply("b", 1, True, 0, 40, 7))
@@ -23,7 +23,7 @@
     assert followers["b"].echo == 7
 
 
-def test_members_that_left_are_forgotten_and_new_ones_begin_at_the_end() -> None:
+def test_former_members_are_removed_and_new_ones_start_at_the_end() -> None:
     followers = Followers()
     followers.sync(("a", "b"), 4)
     followers["a"].matched(3)
@@ -31,7 +31,7 @@
     assert {name: one.next_index for name, one in followers.items()} == {"a": 4, "c": 8}
 
 
-def test_what_does_not_fit_is_tried_further_back_but_not_behind_a_match() -> None:
+def test_a_rejected_append_is_retried_earlier_but_not_before_a_match() -> None:
     progress = Progress(next_index=20)
     progress.refused(12)
     assert progress.next_index == 13
@@ -40,7 +40,7 @@
     assert progress.next_index == 13
 
 
-def test_an_answer_is_awaited_for_a_while() -> None:
+def test_an_answer_is_awaited_until_the_resend() -> None:
     progress = Progress(next_index=1)
     assert not progress.awaits_answer(0)
     progress.sent(100)
--- a/tests/control/test_replaced_box.py
+++ b/tests/control/test_replaced_box.py
@@ -47,7 +47,7 @@
         assert survive(cluster, lost=follower_pair(cluster)), gone
 
 
-def test_the_next_leader_goes_on_counting_a_silence() -> None:
+def test_the_next_leader_continues_to_count_a_silence() -> None:
     """The silence of a member is counted across elections.
 
     The random sequences replaced a leader and, 3.5 s later, the next one. The count
@@ -67,7 +67,7 @@
         assert first not in voters(cluster), seed
 
 
-def test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss() -> None:
+def test_a_box_removed_after_its_replacement_joined_costs_no_later_loss() -> None:
     cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(CATCH_UP)
@@ -78,7 +78,7 @@
     assert survive(cluster, lost=follower_pair(cluster))
 
 
-def test_a_box_that_says_that_it_stops_leaves_at_once_where_another_has_come() -> None:
+def test_a_stopping_box_leaves_at_once_if_its_replacement_has_joined() -> None:
     for stops in ("follower", "leader"):
         cluster = bootstrapped()
         cluster.lose_disk("f")
@@ -90,7 +90,7 @@
         assert survive(cluster, lost=follower_pair(cluster)), stops
 
 
-def test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent() -> None:
+def test_a_stopping_box_is_replaced_before_it_times_out() -> None:
     cluster = bootstrapped()
     gone = follower(cluster)
     stop_gracefully(cluster, gone)
@@ -100,7 +100,7 @@
     assert voters(cluster) == set(cluster.boxes)
 
 
-def test_a_box_that_stops_is_not_elected_by_votes_it_had_asked_for() -> None:
+def test_a_stopping_box_is_not_elected_by_earlier_pre_votes() -> None:
     cluster = bootstrapped()
     cluster.remove(leader_name(cluster))
     cluster.network.clear()
@@ -144,7 +144,7 @@
     assert cluster.boxes[cut].disk.identity == f"{cut}#first"
 
 
-def test_a_learner_that_was_dropped_while_it_was_away_joins_again() -> None:
+def test_a_learner_removed_while_it_was_unreachable_joins_again() -> None:
     cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(2)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -195,7 +195,7 @@
     assert before.role is Role.LEADER and before.holds_lease(suspended_at)
 
 
-def test_what_a_quorum_has_is_kept_though_its_answer_comes_later() -> None:
+def test_an_entry_on_a_quorum_is_kept_when_its_leader_answers_late() -> None:
     cluster = elected()
     before = cluster.leader()
     assert before is not None
@@ -287,7 +287,7 @@
     return cluster.now - killed_at
 
 
-def test_boxes_that_start_apart_elect_soon_after_the_last_that_is_needed() -> None:
+def test_staggered_restarts_elect_a_leader_soon_after_a_quorum_runs() -> None:
     times = []
     for seed in range(60):
         cluster = elected()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -56,7 +56,7 @@
     assert recovered.metadata.membership == VOTERS
 
 
-def test_compaction_keeps_state_and_rest(tmp_path: Path) -> None:
+def test_compaction_keeps_the_state_and_later_entries(tmp_path: Path) -> None:
     storage = opened(tmp_path)
     storage.append(HardState(1, ""), entries(1, 9))
     metadata = SnapshotMetadata(6, 1, VOTERS)
@@ -149,7 +149,7 @@
     assert not (tmp_path / "snapshot-2").exists()
 
 
-def test_after_a_failed_write_nothing_is_promised(tmp_path: Path) -> None:
+def test_all_writes_fail_after_a_failed_write(tmp_path: Path) -> None:
     storage = opened(tmp_path)
     storage.append(None, entries(1, 2))
     storage.close()
