--- a/src/leadseam/control/group_health.py
+++ b/src/leadseam/control/group_health.py
@@ -125,7 +125,7 @@
             "voters": health.voters,
             "needed": health.needed,
             "spare": health.spare,
-            "missing": {one.name: one.silent_ms for one in health.missing},
+            "missing": {voter.name: voter.silent_ms for voter in health.missing},
             "last_index": raft.log.last_index,
         }
         if not health.voters:
@@ -137,5 +137,5 @@
 
 
 def _summary(health: GroupHealth) -> tuple[bool, int, frozenset[str]]:
-    names = frozenset(one.name for one in health.missing)
+    names = frozenset(voter.name for voter in health.missing)
     return health.leads, health.voters, names
--- a/src/leadseam/control/liveness.py
+++ b/src/leadseam/control/liveness.py
@@ -95,7 +95,7 @@
     ) -> tuple[tuple[str, Millis], ...]:
         """Return the silent members and their silences, for the report to followers."""
         silences = [(name, self._silence(name, now)) for name in names]
-        return tuple(one for one in silences if one[1] > MIN_REPORTED_SILENCE)
+        return tuple(entry for entry in silences if entry[1] > MIN_REPORTED_SILENCE)
 
     def gone(self, membership: Membership, now: Millis) -> list[str]:
         """Return the members that are considered gone, the longest silent first."""
--- a/src/leadseam/control/peers.py
+++ b/src/leadseam/control/peers.py
@@ -65,12 +65,12 @@
 
     def set_members(self, members: set[str]) -> None:
         """Link exactly the members of the group and the boxes of `set_endpoints`."""
-        wanted = (members | set(self._endpoints)) - {self._name}
-        for name in wanted - set(self._tasks):
+        linked = (members | set(self._endpoints)) - {self._name}
+        for name in linked - set(self._tasks):
             endpoint = self._endpoints.get(name) or self._address_of(name)
             if endpoint is not None:
                 self._tasks[name] = spawn(self._maintain_link(name, endpoint))
-        for name in set(self._tasks) - wanted:
+        for name in set(self._tasks) - linked:
             self._tasks.pop(name).cancel()
             self._links.pop(name, None)
 
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -106,10 +106,10 @@
         self._pending = Pending()
         self._applied = metadata.index
         self._snapshot_data: bytes = b""
-        self._current_at: Millis = -1
-        self._heartbeat_at: Millis = 0
+        self._confirmed_at: Millis = -1
+        self._next_heartbeat_at: Millis = 0
         self._elected_at: Millis = 0
-        self._join_at: Millis = 0
+        self._next_join_at: Millis = 0
         self._recompute_membership()
         self._election.put_off(now)
         if self.term == 0 and not log:
@@ -161,7 +161,7 @@
         """Return whether the applied state was current within `MAX_STALENESS`."""
         if self.role is Role.LEADER:
             return self.holds_lease(now)
-        return self._current_at >= 0 and now - self._current_at < MAX_STALENESS
+        return self._confirmed_at >= 0 and now - self._confirmed_at < MAX_STALENESS
 
     # Events
 
@@ -443,11 +443,11 @@
         return [name for name in self.membership.voters if name != self.identity]
 
     def _tick_leader(self, now: Millis) -> None:
-        lost = now - max(self._quorum_ack(now), self._elected_at)
-        if lost >= 2 * ELECTION_TIMEOUT:
+        since_quorum = now - max(self._quorum_ack(now), self._elected_at)
+        if since_quorum >= 2 * ELECTION_TIMEOUT:
             self._step_down(now)
             return
-        if now >= self._heartbeat_at:
+        if now >= self._next_heartbeat_at:
             self._broadcast(now, heartbeat=True)
             self._change_members(now)
 
@@ -458,7 +458,7 @@
 
     def _broadcast(self, now: Millis, *, heartbeat: bool = False) -> None:
         if heartbeat:
-            self._heartbeat_at = now + HEARTBEAT_INTERVAL
+            self._next_heartbeat_at = now + HEARTBEAT_INTERVAL
         for name, progress in self._followers.items():
             if name == self.identity:
                 continue
@@ -546,8 +546,8 @@
     # Membership
 
     def _request_join(self, now: Millis) -> None:
-        if now >= self._join_at:
-            self._join_at = now + JOIN_INTERVAL
+        if now >= self._next_join_at:
+            self._next_join_at = now + JOIN_INTERVAL
             self._send("", Join(self.identity))
 
     def _on_join(self, now: Millis, message: Join) -> None:
@@ -576,7 +576,11 @@
         change = next_change(
             self.membership,
             gone=self._gone_members(now),
-            caught_up=[one for one in self.membership.learners if self._caught_up(one)],
+            caught_up=[
+                learner
+                for learner in self.membership.learners
+                if self._caught_up(learner)
+            ],
             bounds=self._bounds,
         )
         if change is not None:
@@ -620,15 +624,17 @@
             self._on_append_before_snapshot(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
-            hint = min(message.prev_index - 1, self.log.last_index)
-            hint = max(hint, self.commit_index)
-            self._send(message.sender, self._reply(False, hint, message.sent, now))
+            match_hint = min(message.prev_index - 1, self.log.last_index)
+            match_hint = max(match_hint, self.commit_index)
+            self._send(
+                message.sender, self._reply(False, match_hint, message.sent, now)
+            )
             return
         self._store_entries(message.entries)
         match = message.prev_index + len(message.entries)
         self.commit_index = max(self.commit_index, min(message.commit, match))
         if message.echo >= 0 and self.commit_index >= message.commit:
-            self._current_at = max(self._current_at, message.echo)
+            self._confirmed_at = max(self._confirmed_at, message.echo)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
     def _on_append_before_snapshot(self, now: Millis, message: Append) -> None:
--- a/src/leadseam/control/raft_log.py
+++ b/src/leadseam/control/raft_log.py
@@ -119,8 +119,8 @@
 
     def restore(self, metadata: SnapshotMetadata) -> None:
         """Start from a received snapshot; keep later entries if they continue it."""
-        fits = self.term_at(metadata.index) == metadata.term
-        self.entries = self.between(metadata.index + 1) if fits else []
+        continues = self.term_at(metadata.index) == metadata.term
+        self.entries = self.between(metadata.index + 1) if continues else []
         self.snapshot_metadata = metadata
 
 
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -197,8 +197,10 @@
             still be committed later.
         """
         deadline = self._clock.now() + PROPOSE_TIMEOUT
-        while (left := deadline - self._clock.now()) > 0:
-            result = await self._submit_once(command, min(left, PROPOSE_TIMEOUT // 2))
+        while (remaining := deadline - self._clock.now()) > 0:
+            result = await self._submit_once(
+                command, min(remaining, PROPOSE_TIMEOUT // 2)
+            )
             if result is not None:
                 return result
             await sleep(RETRY_DELAY)
--- a/src/leadseam/control/replica_identity.py
+++ b/src/leadseam/control/replica_identity.py
@@ -34,9 +34,9 @@
     Raises:
         StorageError: If the folder cannot be used.
     """
-    known = read_identity(folder)
-    if known is not None:
-        return known
+    stored = read_identity(folder)
+    if stored is not None:
+        return stored
     if bootstrap_boxes:
         identity = bootstrap_identity(name)
         voters = tuple(bootstrap_identity(box) for box in sorted(bootstrap_boxes))
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -257,7 +257,7 @@
         if state is not None:
             records.append(StateRecord(state))
         block = pack_block(encode(tuple(records)))
-        self._guard(lambda: self._write(block))
+        self._run_write(lambda: self._write(block))
 
     def compact(
         self,
@@ -271,7 +271,7 @@
         Raises:
             StorageError: If it may not be durable; all later calls fail too.
         """
-        self._guard(lambda: self._compact(metadata, data, state, log))
+        self._run_write(lambda: self._compact(metadata, data, state, log))
 
     def close(self) -> None:
         """Close the journal."""
@@ -279,7 +279,7 @@
             os.close(self._fd)
             self._fd = -1
 
-    def _guard(self, work: Callable[[], None]) -> None:
+    def _run_write(self, work: Callable[[], None]) -> None:
         if self.failed:
             raise StorageError(f"{self._folder}: an earlier write failed")
         try:
@@ -311,10 +311,10 @@
         self._remove_old()
 
     def _open(self) -> RecoveredState:
-        complete = _generations(self._folder, "journal")
-        if not complete:
+        generations = _generations(self._folder, "journal")
+        if not generations:
             raise StorageError(f"{self._folder}: no journal")
-        self._generation = complete[-1]
+        self._generation = generations[-1]
         snapshot = self._read_snapshot()
         journal = self._folder / f"journal-{self._generation}"
         content = journal.read_bytes()
