--- a/src/leadseam/control/group_health.py
+++ b/src/leadseam/control/group_health.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingVoter:
-    """A voter that does not answer.
+    """A voter that has not answered within `ANSWER_TIMEOUT`.
 
     Args:
         name: Identity of the voter.
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -48,12 +48,12 @@
 
 HEARTBEAT_INTERVAL: Millis = 120
 LEASE_DURATION: Millis = 440
-"""Time after a request that a quorum has answered in which no other leader can be
-elected. It is below the minimum election timeout by more than clocks drift apart in
-that time."""
+"""Time during which no other leader can be elected after a request was sent that a
+quorum has answered. Shorter than the minimum election timeout by more than clocks drift
+apart in that time."""
 MAX_STALENESS: Millis = 900
-"""Maximum age of a leader's confirmation for a follower to count as current: seven
-heartbeats."""
+"""Maximum age of a follower's newest reply that a leader with a lease has confirmed,
+for the follower to count as current: seven heartbeats."""
 MAX_APPEND_ENTRIES = 256
 CATCH_UP_DISTANCE = 32
 """Entries by which a learner may lag behind the leader's log and still be promoted."""
@@ -65,7 +65,7 @@
 
 
 class Raft:
-    """One replica's consensus state.
+    """Consensus state of one replica.
 
     Args:
         identity: Name and disk incarnation of the replica.
@@ -121,7 +121,7 @@
             f" last={self.log.last_index} commit={self.commit_index})"
         )
 
-    # Reading
+    # State
 
     @property
     def is_voter(self) -> bool:
@@ -166,7 +166,7 @@
     # Events
 
     def tick(self, now: Millis) -> None:
-        """Run what is due: elections, heartbeats, the check for a quorum."""
+        """Perform due work: elections, heartbeats, joining, the check for a quorum."""
         if self.role is Role.LEADER:
             self._tick_leader(now)
         elif self._is_stopping:
@@ -233,7 +233,7 @@
                 self._receive_in_term(now, message)
 
     def persisted(self, now: Millis, index: int) -> None:
-        """Record that the replica's own log is synced up to `index`."""
+        """Record, as leader, that the replica's own log is synced up to `index`."""
         if self.role is Role.LEADER and self.identity in self._followers:
             self._followers[self.identity].matched(min(index, self.log.last_index))
             self._advance_commit(now)
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -8,9 +8,9 @@
 
 Each block consists of a header (magic, length, CRC-32) and a CBOR payload. A block of
 the journal contains the records that were synced together. A power loss may leave any
-part of the last block unwritten, so damage can be told from an unfinished write only by
-whole blocks. A generation is complete once `journal-N` has its final name; the highest
-complete generation is used.
+part of the last block unwritten, so only a broken block that an intact one follows is
+damage and not an unfinished write. A generation is complete once `journal-N` has its
+final name; the highest complete generation is used.
 """
 
 from __future__ import annotations
