--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -51,7 +51,7 @@
 
     from leadseam.control.raft_types import RaftMessage, Ready
     from leadseam.control.storage import RecoveredState, Storage
-    from leadseam.control.submissions import Outcome
+    from leadseam.control.submissions import CommandFuture
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.settings.models import Endpoint
     from leadseam.wire.link import Link
@@ -79,7 +79,7 @@
 @dataclass(frozen=True, slots=True)
 class _Proposed:
     command: Command
-    fut: Outcome
+    fut: CommandFuture
 
 
 @dataclass(frozen=True, slots=True)
@@ -269,7 +269,7 @@
     ) -> CommandResult | None:
         if self.failure:
             return None
-        fut: Outcome = asyncio.Future()
+        fut: CommandFuture = asyncio.Future()
         if self._raft.role is Role.LEADER:
             self._inbox.put_nowait(_Proposed(command, fut))
         elif self._raft.leader:
@@ -281,7 +281,7 @@
         except TimeoutError:
             return None
 
-    def _forward(self, command: Command, fut: Outcome) -> None:
+    def _forward(self, command: Command, fut: CommandFuture) -> None:
         ticket = self._submissions.forwarded(fut)
         request = Forward(self._raft.identity, ticket, encode(command))
         self._peers.send(box_name(self._raft.leader), request)
--- a/src/leadseam/control/submissions.py
+++ b/src/leadseam/control/submissions.py
@@ -9,7 +9,7 @@
     from leadseam.control.state import CommandResult
     from leadseam.wire.consensus import LogEntry
 
-Outcome: TypeAlias = "asyncio.Future[CommandResult | None]"
+CommandFuture: TypeAlias = "asyncio.Future[CommandResult | None]"
 """Result of a command, or None if it is unknown whether it was committed."""
 
 
@@ -17,8 +17,8 @@
     """Commands that this replica proposed as the leader or forwarded to the leader."""
 
     def __init__(self) -> None:
-        self._proposed: dict[int, tuple[int, Outcome]] = {}
-        self._forwarded: dict[int, Outcome] = {}
+        self._proposed: dict[int, tuple[int, CommandFuture]] = {}
+        self._forwarded: dict[int, CommandFuture] = {}
         self._next_ticket = 0
 
     def __repr__(self) -> str:
@@ -27,7 +27,7 @@
             f" forwarded={len(self._forwarded)})"
         )
 
-    def proposed(self, index: int, term: int, fut: Outcome) -> None:
+    def proposed(self, index: int, term: int, fut: CommandFuture) -> None:
         """Track a command that was proposed as the entry at an index and term."""
         self._proposed[index] = (term, fut)
 
@@ -41,7 +41,7 @@
         if fut is not None and not fut.done():
             fut.set_result(result if term == entry.term else None)
 
-    def forwarded(self, fut: Outcome) -> int:
+    def forwarded(self, fut: CommandFuture) -> int:
         """Track a forwarded command and return the ticket that its reply carries."""
         self._next_ticket += 1
         ticket = self._next_ticket
--- a/tests/control/test_submissions.py
+++ b/tests/control/test_submissions.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from leadseam.control.state import BarrierResult
-from leadseam.control.submissions import Outcome, Submissions
+from leadseam.control.submissions import CommandFuture, Submissions
 from leadseam.wire.consensus import LogEntry
 
 DONE = BarrierResult(7)
@@ -13,8 +13,8 @@
 
 async def test_a_proposed_command_gets_the_result_of_its_own_entry() -> None:
     submissions = Submissions()
-    kept: Outcome = asyncio.Future()
-    replaced: Outcome = asyncio.Future()
+    kept: CommandFuture = asyncio.Future()
+    replaced: CommandFuture = asyncio.Future()
     submissions.proposed(4, 2, kept)
     submissions.proposed(5, 2, replaced)
     submissions.applied(LogEntry(2, 4, 1, b""), DONE)
@@ -25,7 +25,7 @@
 
 async def test_a_proposed_command_is_unresolved_once_leadership_is_lost() -> None:
     submissions = Submissions()
-    fut: Outcome = asyncio.Future()
+    fut: CommandFuture = asyncio.Future()
     submissions.proposed(4, 2, fut)
     submissions.drop_proposed()
     assert fut.result() is None
@@ -34,7 +34,7 @@
 
 async def test_a_late_reply_to_a_forwarded_command_is_dropped() -> None:
     submissions = Submissions()
-    fut: Outcome = asyncio.Future()
+    fut: CommandFuture = asyncio.Future()
     ticket = submissions.forwarded(fut)
     submissions.replied(ticket, DONE)
     await asyncio.sleep(0)
