--- a/src/leadseam/control/submissions.py
+++ b/src/leadseam/control/submissions.py
@@ -10,7 +10,7 @@
     from leadseam.wire.consensus import LogEntry
 
 CommandFuture: TypeAlias = "asyncio.Future[CommandResult | None]"
-"""Result of a command, or None if it is unknown whether it was committed."""
+"""Future of a command's result, or of None if its commit is unconfirmed."""
 
 
 class Submissions:
