--- a/src/leadseam/control/group_health.py
+++ b/src/leadseam/control/group_health.py
@@ -1,7 +1,8 @@
-"""What one replica can tell of the control group: who answers, and what it bears.
+"""Health of the control group as seen by one replica: missing and spare voters.
 
-The leader hears of every voter. A replica without a leader knows who answered its
-attempts to be elected. A follower that hears a leader knows nothing of the others.
+The leader gets answers from every voter. A replica without a leader knows which voters
+answered its election attempts. A follower with a leader has no information about the
+other voters.
 """
 
 from __future__ import annotations
@@ -16,27 +17,27 @@
     from leadseam.control.raft import Raft
     from leadseam.runtime.metrics import ControlMetrics
 
-ANSWER_LIMIT: Millis = 1_000
-"""Silence from which on a voter counts as missing: eight heartbeats, or three attempts
-to be elected."""
-LOOK_INTERVAL: Millis = 500
-"""Pause between two looks, which bounds the lines written."""
+ANSWER_TIMEOUT: Millis = 1_000
+"""Silence after which a voter counts as missing: eight heartbeats, or three election
+attempts."""
+CHECK_INTERVAL: Millis = 500
+"""Interval between two checks, which limits the number of log lines."""
 REPEAT_INTERVAL: Millis = 5_000
-"""Pause after which the same lack of a quorum is told again."""
+"""Interval at which an unchanged lack of a quorum is logged again."""
 
-NOT_KNOWN = float("nan")
-NOTHING_TOLD: tuple[bool, int, frozenset[str]] = (False, -1, frozenset())
+UNKNOWN = float("nan")
+NOTHING_REPORTED: tuple[bool, int, frozenset[str]] = (False, -1, frozenset())
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class MissingVoter:
-    """A voter that does not answer.
+    """A voter that has not answered within `ANSWER_TIMEOUT`.
 
     Args:
-        name: Its identity.
-        silent_ms: Since when, or -1 if it has never answered this replica.
+        name: Identity of the voter.
+        silent_ms: Time since its last answer, or -1 if it never answered this replica.
     """
 
     name: str
@@ -45,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupHealth:
-    """Who of the group answers.
+    """Which voters of the group answer.
 
     Args:
-        leads: Whether the replica that tells this leads the group.
-        voters: Number of voters; 0 on a box that nobody has taken in yet.
+        leads: Whether the reporting replica is the leader.
+        voters: Number of voters; 0 on a replica that is not a voter.
         missing: Voters that do not answer.
     """
 
@@ -59,72 +60,72 @@
 
     @property
     def needed(self) -> int:
-        """Voters that have to answer for anything to be decided."""
+        """Number of voters that form a quorum."""
         return self.voters // 2 + 1
 
     @property
     def answering(self) -> int:
-        """Voters that answer, this replica included if it votes."""
+        """Number of voters that answer, including this replica if it is a voter."""
         return self.voters - len(self.missing)
 
     @property
     def spare(self) -> int:
-        """Further voters that may be lost; below 0, as many have to come back."""
+        """Number of voters that may still be lost; negative without a quorum."""
         return self.answering - self.needed
 
 
 class HealthReporter:
-    """Writes a line and sets gauges when the health of the group changes.
+    """Sets gauges for the health of the group and logs its changes.
 
     Args:
-        metrics: Where the gauges are.
+        metrics: Metrics that contain the gauges.
     """
 
     def __init__(self, metrics: ControlMetrics) -> None:
         self._metrics = metrics
-        self._next_look: Millis = 0
-        self._told = NOTHING_TOLD
-        self._told_at: Millis = 0
+        self._next_check: Millis = 0
+        self._reported = NOTHING_REPORTED
+        self._reported_at: Millis = 0
 
-    def look(self, now: Millis, raft: Raft) -> None:
-        """Tell what has changed since the last look."""
-        if now < self._next_look:
+    def check(self, now: Millis, raft: Raft) -> None:
+        """Update the gauges, and log the health if it has changed."""
+        if now < self._next_check:
             return
-        self._next_look = now + LOOK_INTERVAL
+        self._next_check = now + CHECK_INTERVAL
         health = raft.health(now)
         self._metrics.leads.set({}, int(raft.leads))
         self._metrics.voters.set({}, len(raft.membership.voters))
         if health is None:
-            self._leave_to(raft.leader)
+            self._defer_to_leader(raft.leader)
             return
         self._metrics.voters_missing.set({}, len(health.missing))
         self._metrics.spare_voters.set({}, health.spare)
-        if self._is_news(now, health):
-            self._tell(now, health, raft)
-
-    def _leave_to(self, leader: str) -> None:
-        """Say nothing of the others while another replica leads, which knows more."""
-        self._metrics.voters_missing.set({}, NOT_KNOWN)
-        self._metrics.spare_voters.set({}, NOT_KNOWN)
-        if self._told != NOTHING_TOLD:
-            self._told = NOTHING_TOLD
+        if self._should_report(now, health):
+            self._report(now, health, raft)
+
+    def _defer_to_leader(self, leader: str) -> None:
+        """Report no health while another replica leads, which has more information."""
+        self._metrics.voters_missing.set({}, UNKNOWN)
+        self._metrics.spare_voters.set({}, UNKNOWN)
+        if self._reported != NOTHING_REPORTED:
+            self._reported = NOTHING_REPORTED
             log.info("a leader is heard", extra={"leader": leader})
 
-    def _is_news(self, now: Millis, health: GroupHealth) -> bool:
-        if _summary(health) != self._told:
+    def _should_report(self, now: Millis, health: GroupHealth) -> bool:
+        if _summary(health) != self._reported:
             return True
-        return health.spare < 0 and now - self._told_at >= REPEAT_INTERVAL
+        return health.spare < 0 and now - self._reported_at >= REPEAT_INTERVAL
 
-    def _tell(self, now: Millis, health: GroupHealth, raft: Raft) -> None:
-        self._told = _summary(health)
-        self._told_at = now
+    def _report(self, now: Millis, health: GroupHealth, raft: Raft) -> None:
+        self._reported = _summary(health)
+        self._reported_at = now
         extra = {
             "leads": health.leads,
             "term": raft.term,
             "voters": health.voters,
             "needed": health.needed,
             "spare": health.spare,
-            "missing": {one.name: one.silent_ms for one in health.missing},
+            "missing": {voter.name: voter.silent_ms for voter in health.missing},
             "last_index": raft.log.last_index,
         }
         if not health.voters:
@@ -136,5 +137,5 @@
 
 
 def _summary(health: GroupHealth) -> tuple[bool, int, frozenset[str]]:
-    names = frozenset(one.name for one in health.missing)
+    names = frozenset(voter.name for voter in health.missing)
     return health.leads, health.voters, names
--- a/src/leadseam/control/membership.py
+++ b/src/leadseam/control/membership.py
@@ -1,11 +1,12 @@
-"""The next change of the control group's members, one at a time. No I/O.
-
-Every box that runs should vote, and none that is gone: a voter that is gone counts for
-the quorum and never answers, so that the group bears one loss less. Silence does not
-tell a box that is gone from one that is cut off. A silent voter therefore leaves only
-where that costs no loss that the group has to bear: for a newcomer that has caught up,
-or while there are more voters than `Bounds.floor`. One that was only cut off asks to
-join again, with its disk, and votes again within a second.
+"""The next membership change of the control group, one at a time. No I/O.
+
+Every running box should be a voter, and no box that is gone: such a voter still counts
+for the quorum but never answers, so the group tolerates one loss less. Silence alone
+cannot distinguish a box that is gone from one that is partitioned. A silent voter is
+therefore removed only where the group still tolerates the required losses: in exchange
+for a learner that has caught up, or while there are more voters than
+`VoterBounds.min_voters`. A box that was only partitioned asks to join again, with its
+disk, and is a voter again within a second.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
     from collections.abc import Collection, Sequence
 
 MAX_VOTERS = 7
-"""Voters at the most; further boxes hold the log and do not vote."""
-LEAST_FLOOR = 3
-"""Voters below which no group shrinks, whatever losses it is meant to bear: with two,
-either one stops it."""
+"""Maximum number of voters; further boxes stay learners."""
+MIN_VOTERS = 3
+"""Number of voters below which no group shrinks, however few losses it has to tolerate:
+in a group of two, the loss of either one stops it."""
 
 
 class Reason(StrEnum):
-    """Why a member comes or goes."""
+    """Reason for a membership change."""
 
     ASKED = "asked to join"
     CAUGHT_UP = "caught up"
@@ -38,13 +39,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """One change of the group.
+class MembershipChange:
+    """One change of the group's membership.
 
     Args:
-        membership: The group after it.
-        member: The identity that comes or goes.
-        reason: Why.
+        membership: Membership after the change.
+        member: Identity that is added, promoted or removed.
+        reason: Reason for the change.
     """
 
     membership: Membership
@@ -53,83 +54,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """How far the group may shrink and grow by itself.
+class VoterBounds:
+    """Limits within which the group may shrink on its own.
 
     Args:
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
     """
 
     tolerated_losses: int
 
     @property
-    def floor(self) -> int:
-        """Voters below which a silent one stays unless a newcomer takes its place."""
-        return max(2 * self.tolerated_losses + 1, LEAST_FLOOR)
+    def min_voters(self) -> int:
+        """Number of voters below which a silent one is removed only for a learner."""
+        return max(2 * self.tolerated_losses + 1, MIN_VOTERS)
 
 
-def joined(membership: Membership, newcomer: str) -> Step | None:
-    """Return the step that takes in a box that asks, or None if it is a member."""
+def add_learner(membership: Membership, newcomer: str) -> MembershipChange | None:
+    """Return the change that adds a box as a learner, or None if it is a member."""
     if newcomer in membership.everyone:
         return None
     kept = tuple(name for name in membership.learners if not same_box(name, newcomer))
     changed = Membership(membership.voters, (*kept, newcomer))
-    return Step(changed, newcomer, Reason.ASKED)
+    return MembershipChange(changed, newcomer, Reason.ASKED)
 
 
-def next_step(
+def next_change(
     membership: Membership,
     *,
     gone: Sequence[str],
     caught_up: Collection[str],
-    bounds: Bounds,
-) -> Step | None:
-    """Return the next step towards the group that is wanted, or None if it is there.
+    bounds: VoterBounds,
+) -> MembershipChange | None:
+    """Return the next change towards the desired group, or None if none is needed.
 
     Args:
-        membership: The group as it is.
-        gone: Members taken for gone, the one that has been so for longest first.
-        caught_up: Learners that have the log and answer.
-        bounds: How far the group may shrink and grow.
+        membership: Current membership.
+        gone: Members that are considered gone, the longest silent first.
+        caught_up: Learners whose log is close to the leader's.
+        bounds: Limits within which the group may shrink.
     """
     voters = membership.voters
     gone_voters = [name for name in gone if name in voters]
     for learner in membership.learners:
         if learner in caught_up:
-            step = _towards_voting(membership, learner, gone_voters, bounds)
-            if step is not None:
-                return step
-    if gone_voters and len(voters) > bounds.floor:
-        return _without(membership, gone_voters[0], Reason.SURPLUS)
+            change = _promote(membership, learner, gone_voters, bounds)
+            if change is not None:
+                return change
+    if gone_voters and len(voters) > bounds.min_voters:
+        return _remove(membership, gone_voters[0], Reason.SURPLUS)
     for name in gone:
         if name in membership.learners:
-            return _without(membership, name, Reason.GONE)
+            return _remove(membership, name, Reason.GONE)
     return None
 
 
-def _towards_voting(
-    membership: Membership, learner: str, gone_voters: Sequence[str], bounds: Bounds
-) -> Step | None:
-    """Return the step that lets a learner vote, or first makes room for it.
-
-    Room comes first, so that a voter that is gone counts no longer than it has to; but
-    a group that lacks voters takes the learner in before anyone else leaves.
+def _promote(
+    membership: Membership,
+    learner: str,
+    gone_voters: Sequence[str],
+    bounds: VoterBounds,
+) -> MembershipChange | None:
+    """Return the change that promotes a learner, or first removes a voter for it.
+
+    The removal comes first, so that a voter that is gone counts no longer than
+    necessary; but a group that lacks voters promotes the learner before it removes
+    anyone.
     """
     voters = membership.voters
     for name in voters:
         if same_box(name, learner):
-            return _without(membership, name, Reason.DISK_REPLACED)
-    if gone_voters and len(voters) >= bounds.floor:
-        return _without(membership, gone_voters[0], Reason.MAKES_ROOM)
+            return _remove(membership, name, Reason.DISK_REPLACED)
+    if gone_voters and len(voters) >= bounds.min_voters:
+        return _remove(membership, gone_voters[0], Reason.MAKES_ROOM)
     if len(voters) >= MAX_VOTERS:
         return None
     others = tuple(name for name in membership.learners if name != learner)
-    return Step(Membership((*voters, learner), others), learner, Reason.CAUGHT_UP)
+    return MembershipChange(
+        Membership((*voters, learner), others), learner, Reason.CAUGHT_UP
+    )
 
 
-def _without(membership: Membership, gone: str, reason: Reason) -> Step:
+def _remove(membership: Membership, gone: str, reason: Reason) -> MembershipChange:
     changed = Membership(
         tuple(name for name in membership.voters if name != gone),
         tuple(name for name in membership.learners if name != gone),
     )
-    return Step(changed, gone, reason)
+    return MembershipChange(changed, gone, reason)
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -1,7 +1,7 @@
-"""Raft without I/O: the caller persists, sends and applies what `take_ready` gives.
+"""Raft without I/O: the caller persists, sends and applies what `take_ready` returns.
 
 Follows Ongaro, "Consensus: Bridging Theory and Practice" (2014): pre-vote and
-check-quorum (9.6, 6.2), leases (6.4.1), learners and one-at-a-time membership
+check-quorum (9.6, 6.2), leases (6.4.1), learners and single-server membership
 changes (4.1 to 4.2.1), log compaction (5).
 """
 
@@ -11,9 +11,14 @@
 
 from leadseam.clock import Millis
 from leadseam.control.election import ELECTION_TIMEOUT, Election
-from leadseam.control.group_health import ANSWER_LIMIT, GroupHealth, MissingVoter
+from leadseam.control.group_health import ANSWER_TIMEOUT, GroupHealth, MissingVoter
 from leadseam.control.liveness import Liveness
-from leadseam.control.membership import Bounds, Step, joined, next_step
+from leadseam.control.membership import (
+    MembershipChange,
+    VoterBounds,
+    add_learner,
+    next_change,
+)
 from leadseam.control.progress import Followers
 from leadseam.control.raft_log import (
     EntryKind,
@@ -42,30 +47,35 @@
     from leadseam.control.raft_types import RaftMessage, TermMessage
 
 HEARTBEAT_INTERVAL: Millis = 120
-LEASE: Millis = 440
-"""How long no other leader can exist after a quorum has answered: below the least
-election timeout by more than clocks drift apart in that time."""
-CURRENT_LIMIT: Millis = 900
-"""Age of a leader's word up to which a follower is current: seven heartbeats."""
+LEASE_DURATION: Millis = 440
+"""Time during which no other leader can be elected after a request was sent that a
+quorum has answered. Shorter than the minimum election timeout by more than clocks drift
+apart in that time."""
+MAX_STALENESS: Millis = 900
+"""Maximum age of a follower's newest reply that a leader with a lease has confirmed,
+for the follower to count as current: seven heartbeats."""
 MAX_APPEND_ENTRIES = 256
 CATCH_UP_DISTANCE = 32
+"""Entries by which a learner may lag behind the leader's log and still be promoted."""
 JOIN_INTERVAL: Millis = 300
-"""Pause between requests to be taken in; a new box should count within seconds."""
-LEAVE_PAUSE: Millis = 2 * HEARTBEAT_INTERVAL
-"""Time for which a replica that stops goes on answering once a leader has been told."""
+"""Pause between requests to join; a new box should become a voter within seconds."""
+LEAVE_GRACE_PERIOD: Millis = 2 * HEARTBEAT_INTERVAL
+"""Time for which a stopping replica keeps replying after it has begun to announce its
+stop to a leader."""
 
 
 class Raft:
-    """One replica's consensus state.
+    """Consensus state of one replica.
 
     Args:
         identity: Name and disk incarnation of the replica.
         hard_state: Persisted term and vote.
-        mark: Persisted snapshot position and membership at it.
-        log: Persisted entries after the mark.
-        now: Time from which on the replica has certainly answered no leader.
+        metadata: Position of the persisted snapshot and the membership at it.
+        log: Persisted entries after the snapshot.
+        now: Time since which the replica has certainly not answered any leader.
         seed: Seed of the election jitter.
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
     """
 
     def __init__(
@@ -88,22 +98,22 @@
         self.commit_index = metadata.index
         self.membership = metadata.membership
         self._election = Election(seed, now)
-        self._bounds = Bounds(tolerated_losses)
-        self._stops = False
-        self._told_at: Millis | None = None
+        self._bounds = VoterBounds(tolerated_losses)
+        self._is_stopping = False
+        self._stop_reported_at: Millis | None = None
         self._followers = Followers()
         self._liveness = Liveness()
         self._pending = Pending()
         self._applied = metadata.index
         self._snapshot_data: bytes = b""
-        self._current_at: Millis = -1
-        self._heartbeat_at: Millis = 0
+        self._confirmed_at: Millis = -1
+        self._next_heartbeat_at: Millis = 0
         self._elected_at: Millis = 0
-        self._join_at: Millis = 0
+        self._next_join_at: Millis = 0
         self._recompute_membership()
         self._election.put_off(now)
         if self.term == 0 and not log:
-            self._election.found(now)
+            self._election.bootstrap(now)
 
     def __repr__(self) -> str:
         return (
@@ -111,7 +121,7 @@
             f" last={self.log.last_index} commit={self.commit_index})"
         )
 
-    # Reading
+    # State
 
     @property
     def is_voter(self) -> bool:
@@ -120,12 +130,12 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica takes itself for the leader."""
+        """Whether this replica considers itself the leader."""
         return self.role is Role.LEADER
 
     def health(self, now: Millis) -> GroupHealth | None:
-        """Return who of the group answers, or None while another replica leads."""
-        if not self.leads and self._hears_leader(now):
+        """Return which voters answer, or None while another replica leads."""
+        if not self.leads and self._has_recent_leader(now):
             return None
         voters = self.membership.voters if self.is_voter else ()
         missing = tuple(
@@ -134,59 +144,63 @@
             if name != self.identity
             and (
                 (silent := self._liveness.last_answer(name, now)) is None
-                or silent > ANSWER_LIMIT
+                or silent > ANSWER_TIMEOUT
             )
         )
         return GroupHealth(self.leads, len(voters), missing)
 
     def holds_lease(self, now: Millis) -> bool:
-        """Tell whether no other leader can exist at this moment."""
+        """Return whether no other leader can exist at this moment."""
         if self.role is not Role.LEADER:
             return False
         if self.log.term_at(self.commit_index) != self.term:
             return False
-        return now < self._quorum_ack(now) + LEASE
+        return now < self._quorum_ack(now) + LEASE_DURATION
 
     def is_current(self, now: Millis) -> bool:
-        """Tell whether the applied state was the fleet's within `CURRENT_LIMIT`."""
+        """Return whether the applied state was current within `MAX_STALENESS`."""
         if self.role is Role.LEADER:
             return self.holds_lease(now)
-        return self._current_at >= 0 and now - self._current_at < CURRENT_LIMIT
+        return self._confirmed_at >= 0 and now - self._confirmed_at < MAX_STALENESS
 
     # Events
 
     def tick(self, now: Millis) -> None:
-        """Let time pass: elections, heartbeats, loss of quorum."""
+        """Perform due work: elections, heartbeats, joining, the check for a quorum."""
         if self.role is Role.LEADER:
             self._tick_leader(now)
-        elif self._stops:
+        elif self._is_stopping:
             return
         elif not self.is_voter:
-            # A learner that was dropped while it was away has not been told.
+            # A learner that was removed while it was unreachable does not know that,
+            # so it asks to join again if it has no leader.
             member = self.identity in self.membership.everyone
-            if not member or not self._hears_leader(now):
-                self._ask_to_join(now)
+            if not member or not self._has_recent_leader(now):
+                self._request_join(now)
         elif self._election.is_due(now):
-            self._election.try_again_soon(now)
+            self._election.schedule_retry(now)
             self._start_pre_vote(now)
 
     def leave(self, now: Millis) -> None:
-        """Tell the group from now on that this replica is about to stop.
+        """Announce in all further replies that this replica is about to stop.
 
-        A voter that says so need not be found silent first: where it is not needed, or
-        a newcomer waits, it leaves the group within two heartbeats instead of 1.5 s. A
-        leader steps down, so that another one can do that.
+        The leader then does not have to wait until the voter times out: a voter that is
+        not needed, or that a learner can replace, is removed within two heartbeats
+        instead of 1.5 s. A leader steps down, so that the next one can remove it.
         """
-        self._stops = True
-        self._election.stop_asking()
+        self._is_stopping = True
+        self._election.cancel_pre_vote()
         if self.role is not Role.FOLLOWER:
             self._step_down(now)
 
-    def may_stop(self, now: Millis) -> bool:
-        """Tell whether a leader knows that this replica stops, or need not know."""
+    def can_stop(self, now: Millis) -> bool:
+        """Return whether the stop was announced to a leader, or need not be."""
         if not self.is_voter:
             return True
-        return self._told_at is not None and now - self._told_at >= LEAVE_PAUSE
+        return (
+            self._stop_reported_at is not None
+            and now - self._stop_reported_at >= LEAVE_GRACE_PERIOD
+        )
 
     def propose(self, now: Millis, kind: EntryKind, data: bytes) -> int | None:
         """Append an entry as leader.
@@ -202,7 +216,7 @@
         return index
 
     def receive(self, now: Millis, message: RaftMessage) -> None:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         match message:
             case Join():
                 self._on_join(now, message)
@@ -219,13 +233,13 @@
                 self._receive_in_term(now, message)
 
     def persisted(self, now: Millis, index: int) -> None:
-        """Tell a leader that its own log is synced up to `index`."""
+        """Record, as leader, that the replica's own log is synced up to `index`."""
         if self.role is Role.LEADER and self.identity in self._followers:
             self._followers[self.identity].matched(min(index, self.log.last_index))
             self._advance_commit(now)
 
     def take_ready(self) -> Ready:
-        """Return the work since the last call."""
+        """Return the work that has accumulated since the last call."""
         pending, self._pending = self._pending, Pending()
         append: tuple[LogEntry, ...] = ()
         if pending.append_from is not None:
@@ -238,27 +252,29 @@
             append=append,
             send=tuple(pending.send),
             commit=commit,
-            steps=tuple(pending.steps),
+            changes=tuple(pending.changes),
         )
 
     def compact(self, index: int, data: bytes) -> SnapshotMetadata:
         """Drop the log up to an applied index.
 
         Args:
-            index: Applied index that `data` holds the state of.
+            index: Applied index at which `data` was taken.
             data: Snapshot of the state machine.
 
         Returns:
-            The new mark.
+            The metadata of the new snapshot.
         """
         if index > self._applied:
-            raise InvariantError(f"compact to {index}, applied {self._applied}")
+            raise InvariantError(
+                f"cannot compact to {index}: only applied up to {self._applied}"
+            )
         metadata = self.log.compact(index)
         self._snapshot_data = data
         return metadata
 
     def set_snapshot_data(self, data: bytes) -> None:
-        """Provide the data of the mark after a restart."""
+        """Provide the data of the persisted snapshot after a restart."""
         self._snapshot_data = data
 
     # Log
@@ -271,7 +287,7 @@
 
     def _truncate(self, index: int) -> None:
         if index <= self.commit_index:
-            raise InvariantError(f"conflict at committed index {index}")
+            raise InvariantError(f"cannot truncate at committed index {index}")
         self.log.truncate(index)
         self._recompute_membership()
 
@@ -281,10 +297,10 @@
 
     def _recompute_membership(self) -> None:
         membership = self.log.membership_at(self.log.last_index)
-        # An equal one stays the same object, by which a replica sees a change cheaply.
+        # Keep the same object if nothing changed: `Replica` compares by identity.
         if membership != self.membership:
             self.membership = membership
-            self._liveness.forget_others(membership.everyone)
+            self._liveness.retain(membership.everyone)
         if self.role is Role.LEADER:
             self._sync_followers()
 
@@ -301,20 +317,20 @@
             self.role = Role.FOLLOWER
             self._election.put_off(now)
         self.leader = ""
-        self._election.give_up()
+        self._election.clear_votes()
 
-    def _hears_leader(self, now: Millis) -> bool:
-        return self.leads or self._election.hears_leader(now)
+    def _has_recent_leader(self, now: Millis) -> bool:
+        return self.leads or self._election.has_recent_leader(now)
 
-    def _log_is_newer(self, last_term: int, last_index: int) -> bool:
+    def _log_is_up_to_date(self, last_term: int, last_index: int) -> bool:
         mine = (self.log.last_term, self.log.last_index)
         return (last_term, last_index) >= mine
 
     def _start_pre_vote(self, now: Millis) -> None:
         self.role = Role.FOLLOWER
         self.leader = ""
-        self._election.ask_first(self.identity)
-        if self._election.may_stand(self.membership):
+        self._election.start_pre_vote(self.identity)
+        if self._election.has_pre_vote_quorum(self.membership):
             self._start_election(now)
             return
         for peer in self._other_voters():
@@ -325,12 +341,12 @@
 
     def _on_pre_vote(self, now: Millis, message: PreVote) -> None:
         if message.sender not in self.membership.everyone:
-            # A voter that was replaced while it was away; it has to join again.
+            # The sender was removed while it was unreachable; it has to join again.
             self._on_join(now, Join(message.sender))
         granted = (
             message.term > self.term
-            and not self._hears_leader(now)
-            and self._log_is_newer(message.last_term, message.last_index)
+            and not self._has_recent_leader(now)
+            and self._log_is_up_to_date(message.last_term, message.last_index)
         )
         reply = PreVoteReply(self.identity, message.term, granted)
         self._send(message.sender, reply)
@@ -338,17 +354,17 @@
     def _on_pre_vote_reply(self, now: Millis, message: PreVoteReply) -> None:
         self._liveness.answered(message.sender, now)
         expected = self.role is Role.FOLLOWER and message.term == self.term + 1
-        if not (expected and message.granted and self._election.asks):
+        if not (expected and message.granted and self._election.in_pre_vote):
             return
-        self._election.granted_first(message.sender)
-        if self._election.may_stand(self.membership):
+        self._election.add_pre_vote(message.sender)
+        if self._election.has_pre_vote_quorum(self.membership):
             self._start_election(now)
 
     def _start_election(self, now: Millis) -> None:
         self.role = Role.CANDIDATE
         self._set_term(self.term + 1, self.identity)
-        self._election.stand(self.identity)
-        self._election.try_again_soon(now)
+        self._election.start_vote(self.identity)
+        self._election.schedule_retry(now)
         if self._election.is_won(self.membership):
             self._become_leader(now)
             return
@@ -359,8 +375,8 @@
             self._send(peer, request)
 
     def _adopt_term(self, now: Millis, message: TermMessage) -> bool:
-        """Enter a newer term, unless it is a vote against a leader that is heard."""
-        if isinstance(message, Vote) and self._hears_leader(now):
+        """Enter a newer term, unless it is a vote request against a live leader."""
+        if isinstance(message, Vote) and self._has_recent_leader(now):
             return False
         self._step_down(now)
         self._set_term(message.term, "")
@@ -390,7 +406,7 @@
                 self._on_install(now, message)
 
     def _on_vote(self, now: Millis, message: Vote) -> None:
-        granted = self.vote in ("", message.sender) and self._log_is_newer(
+        granted = self.vote in ("", message.sender) and self._log_is_up_to_date(
             message.last_term, message.last_index
         )
         if granted:
@@ -412,7 +428,7 @@
         self._elected_at = now
         self._followers = Followers()
         self._sync_followers()
-        self._liveness.elected(now)
+        self._liveness.became_leader(now)
         self.propose(now, EntryKind.NOOP, b"")
 
     # Leading
@@ -427,22 +443,22 @@
         return [name for name in self.membership.voters if name != self.identity]
 
     def _tick_leader(self, now: Millis) -> None:
-        lost = now - max(self._quorum_ack(now), self._elected_at)
-        if lost >= 2 * ELECTION_TIMEOUT:
+        since_quorum = now - max(self._quorum_ack(now), self._elected_at)
+        if since_quorum >= 2 * ELECTION_TIMEOUT:
             self._step_down(now)
             return
-        if now >= self._heartbeat_at:
+        if now >= self._next_heartbeat_at:
             self._broadcast(now, heartbeat=True)
             self._change_members(now)
 
     def _quorum_ack(self, now: Millis) -> Millis:
-        """Return the send time of the newest request that a quorum answered."""
+        """Return the send time of the newest request that a quorum has answered."""
         voters = self.membership.voters
         return self._followers.quorum_ack(voters, self.identity, now)
 
     def _broadcast(self, now: Millis, *, heartbeat: bool = False) -> None:
         if heartbeat:
-            self._heartbeat_at = now + HEARTBEAT_INTERVAL
+            self._next_heartbeat_at = now + HEARTBEAT_INTERVAL
         for name, progress in self._followers.items():
             if name == self.identity:
                 continue
@@ -529,23 +545,23 @@
 
     # Membership
 
-    def _ask_to_join(self, now: Millis) -> None:
-        if now >= self._join_at:
-            self._join_at = now + JOIN_INTERVAL
+    def _request_join(self, now: Millis) -> None:
+        if now >= self._next_join_at:
+            self._next_join_at = now + JOIN_INTERVAL
             self._send("", Join(self.identity))
 
     def _on_join(self, now: Millis, message: Join) -> None:
         if self.role is not Role.LEADER:
             if self.leader and not message.forwarded:
-                # Passed on once: followers may take each other for the leader. Who
-                # wants to join asks again.
+                # Forward it once only, as two followers may take each other for the
+                # leader. A replica that wants to join repeats its request.
                 self._send(self.leader, Join(message.sender, forwarded=True))
             return
-        step = joined(self.membership, message.sender)
-        if step is not None and self._membership_settled():
-            # Its silence as a learner counts from here on.
+        change = add_learner(self.membership, message.sender)
+        if change is not None and self._membership_settled():
+            # Start the timeout of the new learner.
             self._liveness.answered(message.sender, now)
-            self._take_step(now, step)
+            self._propose_change(now, change)
 
     def _membership_settled(self) -> bool:
         pending = self.log.between(self.commit_index + 1)
@@ -554,25 +570,29 @@
         return in_term and not changing
 
     def _change_members(self, now: Millis) -> None:
-        """Propose one step towards a group of all boxes that answer, and no others."""
+        """Propose one change towards a group of just the boxes that answer."""
         if not self._membership_settled():
             return
-        step = next_step(
+        change = next_change(
             self.membership,
-            gone=self._gone(now),
-            caught_up=[one for one in self.membership.learners if self._caught_up(one)],
+            gone=self._gone_members(now),
+            caught_up=[
+                learner
+                for learner in self.membership.learners
+                if self._caught_up(learner)
+            ],
             bounds=self._bounds,
         )
-        if step is not None:
-            self._take_step(now, step)
+        if change is not None:
+            self._propose_change(now, change)
 
-    def _gone(self, now: Millis) -> list[str]:
+    def _gone_members(self, now: Millis) -> list[str]:
         gone = self._liveness.gone(self.membership, now)
         return [name for name in gone if name != self.identity]
 
-    def _take_step(self, now: Millis, step: Step) -> None:
-        self._pending.steps.append(step)
-        self.propose(now, EntryKind.MEMBERSHIP, encode(step.membership))
+    def _propose_change(self, now: Millis, change: MembershipChange) -> None:
+        self._pending.changes.append(change)
+        self.propose(now, EntryKind.MEMBERSHIP, encode(change.membership))
 
     def _caught_up(self, name: str) -> bool:
         match = self._followers[name].match
@@ -584,38 +604,40 @@
         self, success: bool, match: int, sent: Millis, clock: Millis
     ) -> AppendReply:
         return AppendReply(
-            self.identity, self.term, success, match, sent, clock, self._stops
+            self.identity, self.term, success, match, sent, clock, self._is_stopping
         )
 
-    def _follow(self, now: Millis, leader: str) -> None:
+    def _accept_leader(self, now: Millis, leader: str) -> None:
         if self.role is Role.LEADER:
             raise InvariantError(f"two leaders in term {self.term}")
         self.role = Role.FOLLOWER
         self.leader = leader
-        if self._stops and self._told_at is None:
-            # What is answered from here on says so.
-            self._told_at = now
-        self._election.hear_leader(now)
+        if self._is_stopping and self._stop_reported_at is None:
+            # Replies from here on carry the `stops` flag to this leader.
+            self._stop_reported_at = now
+        self._election.record_leader_contact(now)
 
     def _on_append(self, now: Millis, message: Append) -> None:
-        self._follow(now, message.sender)
-        self._liveness.told(message.sender, message.silent, now)
+        self._accept_leader(now, message.sender)
+        self._liveness.leader_reported(message.sender, message.silent, now)
         if message.prev_index < self.log.snapshot_metadata.index:
-            self._on_append_before_mark(now, message)
+            self._on_append_before_snapshot(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
-            hint = min(message.prev_index - 1, self.log.last_index)
-            hint = max(hint, self.commit_index)
-            self._send(message.sender, self._reply(False, hint, message.sent, now))
+            match_hint = min(message.prev_index - 1, self.log.last_index)
+            match_hint = max(match_hint, self.commit_index)
+            self._send(
+                message.sender, self._reply(False, match_hint, message.sent, now)
+            )
             return
         self._store_entries(message.entries)
         match = message.prev_index + len(message.entries)
         self.commit_index = max(self.commit_index, min(message.commit, match))
         if message.echo >= 0 and self.commit_index >= message.commit:
-            self._current_at = max(self._current_at, message.echo)
+            self._confirmed_at = max(self._confirmed_at, message.echo)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
-    def _on_append_before_mark(self, now: Millis, message: Append) -> None:
+    def _on_append_before_snapshot(self, now: Millis, message: Append) -> None:
         reply = self._reply(True, self.log.snapshot_metadata.index, message.sent, now)
         self._send(message.sender, reply)
 
@@ -630,7 +652,7 @@
             return
 
     def _on_install(self, now: Millis, message: Install) -> None:
-        self._follow(now, message.sender)
+        self._accept_leader(now, message.sender)
         if message.index > self.commit_index:
             membership = Membership(message.voters, message.learners)
             metadata = SnapshotMetadata(message.index, message.index_term, membership)
--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -1,4 +1,4 @@
-"""A control replica: drives the Raft core, owns the disk and the state machine."""
+"""A control replica: drives the Raft core and owns the storage and state machine."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
     from leadseam.control.raft_types import RaftMessage, Ready
     from leadseam.control.storage import RecoveredState, Storage
-    from leadseam.control.submissions import Outcome
+    from leadseam.control.submissions import CommandFuture
     from leadseam.runtime.metrics import ControlMetrics
     from leadseam.settings.models import Endpoint
     from leadseam.wire.link import Link
@@ -63,9 +63,10 @@
 MAX_BATCH = 512
 PROPOSE_TIMEOUT: Millis = 5_000
 RETRY_DELAY: Millis = 100
-LEAVE_LIMIT: Millis = 3_000
-"""Longest wait for a leader that takes note of a stop. Where there is none, this box
-may be needed to elect one: 1.3 s, and as much again for a second attempt."""
+LEAVE_TIMEOUT: Millis = 3_000
+"""Maximum wait until a leader has received the announcement of a stop. If there is no
+leader, this box may be needed to elect one: 1.3 s, and as much again for a second
+attempt."""
 
 log = logging.getLogger(__name__)
 
@@ -78,7 +79,7 @@
 @dataclass(frozen=True, slots=True)
 class _Proposed:
     command: Command
-    fut: Outcome
+    fut: CommandFuture
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,18 +100,19 @@
 
     Args:
         name: Box name.
-        identity: Name and disk incarnation.
-        endpoints: Inner addresses of the replicas known at the start, by box name.
-        address_of: Returns the inner address of a box that joined later, or None.
+        identity: Replica identity: the box name and the incarnation of its disk.
+        endpoints: Internal addresses of the initially known replicas, by box name.
+        address_of: Returns the internal address of a box that joined later, or None.
         storage: The opened data folder.
-        recovered: What it held.
+        recovered: State that was recovered from the data folder.
         clock: Source of time.
-        metrics: Counters.
-        traffic: Bytes on inner links.
+        metrics: Metrics of the control service.
+        traffic: Byte counters of the internal links.
         seed: Seed of the election jitter.
-        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
-        silent_since: Time from which on this box has certainly answered no leader, if
-            that is before now: the start of its process.
+        tolerated_losses: Number of boxes, with their disks, that the group has to
+            survive losing at the same time.
+        silent_since: Time since which this box has certainly not answered any leader,
+            such as the start of its process. Defaults to the current time.
     """
 
     def __init__(
@@ -150,7 +152,7 @@
         self._peers = Peers(name, endpoints, address_of, self._on_peer_message, traffic)
         self._inbox: asyncio.Queue[_Event] = asyncio.Queue()
         self._submissions = Submissions()
-        self._followed: set[str] | None = None
+        self._linked_members: set[str] | None = None
         self._membership = Membership(())
         self._role = Role.FOLLOWER
         self._applied_event: asyncio.Future[None] = asyncio.Future()
@@ -160,7 +162,7 @@
 
     @property
     def raft(self) -> Raft:
-        """The consensus core, for reading."""
+        """The Raft core; callers must not modify it."""
         return self._raft
 
     @property
@@ -170,15 +172,15 @@
 
     @property
     def voters(self) -> int:
-        """Number of voters as far as this replica knows."""
+        """Number of voters in the membership that this replica has."""
         return len(self._raft.membership.voters)
 
     def is_current(self) -> bool:
-        """Tell whether this replica may speak for the fleet right now."""
+        """Return whether the state of this replica is current enough to be served."""
         return not self.failure and self._raft.is_current(self._clock.now())
 
     def readiness(self) -> str:
-        """Return why this replica may not speak for the fleet, or an empty text."""
+        """Return why this replica must not serve its state, or an empty string."""
         if self.failure:
             return f"storage: {self.failure}"
         if not self.is_current():
@@ -186,17 +188,19 @@
         return ""
 
     async def submit(self, command: Command) -> CommandResult | None:
-        """Have a command committed, through the leader wherever it is.
+        """Commit a command, directly or through the leader.
 
-        Every command is safe to resend, so lost attempts are repeated here.
+        Every command is safe to resend, so failed attempts are retried here.
 
         Returns:
-            Its outcome, or None if no quorum confirmed it in time. It may still be
-            committed later.
+            Result of the command, or None if no quorum confirmed it in time. It may
+            still be committed later.
         """
         deadline = self._clock.now() + PROPOSE_TIMEOUT
-        while (left := deadline - self._clock.now()) > 0:
-            result = await self._submit_once(command, min(left, PROPOSE_TIMEOUT // 2))
+        while (remaining := deadline - self._clock.now()) > 0:
+            result = await self._submit_once(
+                command, min(remaining, PROPOSE_TIMEOUT // 2)
+            )
             if result is not None:
                 return result
             await sleep(RETRY_DELAY)
@@ -206,7 +210,7 @@
         """Wait until every change acknowledged before this call is applied here.
 
         Returns:
-            False if no quorum confirmed what the newest is.
+            False if no quorum confirmed the newest version.
         """
         result = await self.submit(Barrier())
         if not isinstance(result, BarrierResult):
@@ -216,11 +220,11 @@
         return True
 
     async def wait_for_apply(self) -> None:
-        """Wait until the state machine moves on."""
+        """Wait until further entries or a snapshot have been applied."""
         await asyncio.shield(self._applied_event)
 
     def receive(self, link: Link, message: AnyMessage) -> None:
-        """Take a message that another replica sent on its own link."""
+        """Handle a message from a replica that opened the link."""
         match message:
             case Forward():
                 spawn(self._run_forwarded(link, message))
@@ -230,28 +234,31 @@
                 self._on_peer_message(message)
 
     def set_endpoints(self, endpoints: dict[str, Endpoint]) -> None:
-        """Reach these boxes besides the members of the group, and no earlier ones."""
+        """Replace the boxes that are linked in addition to the group's members."""
         self._peers.set_endpoints(endpoints)
-        self._followed = None
+        self._linked_members = None
 
     async def run(self) -> None:
-        """Serve until cancelled; a failed disk ends it with `failure` set."""
+        """Run until cancelled, or until the storage fails and `failure` is set."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._tick())
-            self._follow_members()
+            self._update_links()
             await self._loop()
 
     async def leave(self) -> None:
-        """Tell the group that this box is about to stop, as far as it can be told."""
-        deadline = self._clock.now() + LEAVE_LIMIT
+        """Announce to the group that this box is about to stop, and wait for a leader.
+
+        The wait ends after `LEAVE_TIMEOUT` even if no leader received the announcement.
+        """
+        deadline = self._clock.now() + LEAVE_TIMEOUT
         self._inbox.put_nowait(_Leaving())
         while not self.failure and self._clock.now() < deadline:
             await sleep(TICK)
-            if self._raft.may_stop(self._clock.now()):
+            if self._raft.can_stop(self._clock.now()):
                 return
 
     def close(self) -> None:
-        """Drop the links to the other replicas; for use after `run` has ended."""
+        """Close the links to the other replicas, after `run` has ended."""
         self._submissions.drop_proposed()
         self._peers.close()
 
@@ -262,7 +269,7 @@
     ) -> CommandResult | None:
         if self.failure:
             return None
-        fut: Outcome = asyncio.Future()
+        fut: CommandFuture = asyncio.Future()
         if self._raft.role is Role.LEADER:
             self._inbox.put_nowait(_Proposed(command, fut))
         elif self._raft.leader:
@@ -274,7 +281,7 @@
         except TimeoutError:
             return None
 
-    def _forward(self, command: Command, fut: Outcome) -> None:
+    def _forward(self, command: Command, fut: CommandFuture) -> None:
         ticket = self._submissions.forwarded(fut)
         request = Forward(self._raft.identity, ticket, encode(command))
         self._peers.send(box_name(self._raft.leader), request)
@@ -305,7 +312,7 @@
             case _:
                 self._metrics.unexpected.inc({})
 
-    # The loop that owns the core and the disk
+    # The loop that owns the Raft core and the storage
 
     async def _tick(self) -> None:
         while True:
@@ -313,8 +320,8 @@
             if self._inbox.qsize() < MAX_BATCH:
                 self._inbox.put_nowait(_Tick())
 
-    def _follow_members(self) -> None:
-        """Keep links to the group as it is now, and note when it has changed."""
+    def _update_links(self) -> None:
+        """Update the links to the current members, and log a changed membership."""
         membership = self._raft.membership
         if membership is not self._membership:
             self._membership = membership
@@ -322,23 +329,23 @@
             log.info("membership changed", extra=extra)
         wanted = self.members
         if self._raft.leader:
-            # A newcomer is not told the members before it has answered the leader.
+            # A new box receives the membership only after it has answered the leader.
             wanted = wanted | {box_name(self._raft.leader)}
-        if self._followed != wanted:
-            self._followed = wanted
-            self._peers.follow(wanted)
+        if self._linked_members != wanted:
+            self._linked_members = wanted
+            self._peers.set_members(wanted)
 
     async def _loop(self) -> None:
         while not self.failure:
             for event in await self._take_batch():
                 self._handle(event)
-            self._follow_members()
+            self._update_links()
             ready = self._raft.take_ready()
-            _log_steps(ready)
+            _log_changes(ready)
             try:
                 await self._persist(ready)
             except StorageError as exc:
-                self._halt(exc)
+                self._stop_on_failure(exc)
                 return
             self._send(ready)
             self._apply(ready.commit)
@@ -346,8 +353,8 @@
             follow_up = self._raft.take_ready()
             self._send(follow_up)
             self._apply(follow_up.commit)
-            self._note_role()
-            self._health.look(self._clock.now(), self._raft)
+            self._report_role_change()
+            self._health.check(self._clock.now(), self._raft)
             await self._compact_if_due()
 
     async def _take_batch(self) -> list[_Event]:
@@ -379,7 +386,7 @@
             await self._store_snapshot(metadata, data, ready)
             self.state.restore(data)
             self.applied_index = metadata.index
-            self._announce()
+            self._notify_applied()
         elif ready.hard_state is not None or ready.append:
             write = self._storage.append
             await asyncio.to_thread(write, ready.hard_state, ready.append)
@@ -404,13 +411,13 @@
                 result = self.state.apply(command)
             self._submissions.applied(entry, result)
         if entries:
-            self._announce()
+            self._notify_applied()
 
-    def _announce(self) -> None:
+    def _notify_applied(self) -> None:
         done, self._applied_event = self._applied_event, asyncio.Future()
         done.set_result(None)
 
-    def _note_role(self) -> None:
+    def _report_role_change(self) -> None:
         if self._raft.role is self._role:
             return
         self._role = self._raft.role
@@ -437,22 +444,22 @@
                 self._storage.compact, metadata, data, state, entries
             )
         except StorageError as exc:
-            self._halt(exc)
+            self._stop_on_failure(exc)
 
-    def _halt(self, exc: StorageError) -> None:
+    def _stop_on_failure(self, exc: StorageError) -> None:
         self.failure = exc.message
         self._submissions.drop_proposed()
         extra = {"code": exc.code, "error": exc.message}
-        log.error("storage failed; replica steps back", extra=extra)
+        log.error("storage failed; replica stopped", extra=extra)
 
 
-def _log_steps(ready: Ready) -> None:
-    for step in ready.steps:
+def _log_changes(ready: Ready) -> None:
+    for change in ready.changes:
         extra = {
-            "member": step.member,
-            "reason": step.reason,
-            "voters": step.membership.voters,
-            "learners": step.membership.learners,
+            "member": change.member,
+            "reason": change.reason,
+            "voters": change.membership.voters,
+            "learners": change.membership.learners,
         }
         log.info("membership change proposed", extra=extra)
 
--- a/src/leadseam/control/storage.py
+++ b/src/leadseam/control/storage.py
@@ -1,16 +1,16 @@
 """A replica's data folder: identity, journal and snapshot.
 
-Layout of the folder, `N` being a generation number:
+Layout of the folder, where `N` is a generation number:
 
-- `identity`: the replica's name and disk incarnation.
+- `identity`: the replica's box name and disk incarnation.
 - `snapshot-N`: one record with the compacted state.
 - `journal-N`: records appended since; an entry replaces all with its index or above.
 
-Each block is a header (magic, length, CRC-32) and a CBOR payload. A block of the
-journal holds the records that were synced together: a power loss may leave any part of
-the last block unwritten, so only whole blocks tell damage from an unfinished write. A
-generation is complete once `journal-N` has its final name; the highest complete one
-counts.
+Each block consists of a header (magic, length, CRC-32) and a CBOR payload. A block of
+the journal contains the records that were synced together. A power loss may leave any
+part of the last block unwritten, so only a broken block that an intact one follows is
+damage and not an unfinished write. A generation is complete once `journal-N` has its
+final name; the highest complete generation is used.
 """
 
 from __future__ import annotations
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """What a data folder held when it was opened.
+    """Content of a data folder when it was opened.
 
     Args:
         hard_state: Last synced term and vote.
-        mark: Position of the snapshot.
-        data: State machine at the mark.
-        log: Entries after the mark.
-        cut: Bytes of an unfinished write that were dropped.
+        metadata: Metadata of the snapshot.
+        data: State machine at the snapshot.
+        log: Entries after the snapshot.
+        cut: Number of bytes of an unfinished write that were truncated.
     """
 
     hard_state: HardState
@@ -79,53 +79,54 @@
     cut: int
 
 
-def pack(payload: bytes) -> bytes:
-    """Frame a payload as one record."""
+def pack_block(payload: bytes) -> bytes:
+    """Frame a payload as one block."""
     return _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
-def _unpack(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the record at an offset, or None if it is not whole."""
+def _unpack_block(data: bytes, offset: int) -> bytes | None:
+    """Return the payload of the block at an offset, or None if it is not intact."""
     if offset + _HEADER.size > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
     start = offset + _HEADER.size
     payload = data[start : start + length]
-    # The checksum of nothing is 0, as in a header of which only the start was written.
+    # An empty payload has checksum 0, like a header of which only the start was
+    # written.
     if magic != _MAGIC or not payload or len(payload) != length:
         return None
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def _valid_record_after(data: bytes, offset: int) -> bool:
+def _intact_block_after(data: bytes, offset: int) -> bool:
     position = data.find(_MAGIC, offset + 1)
     while position >= 0:
-        if _unpack(data, position) is not None:
+        if _unpack_block(data, position) is not None:
             return True
         position = data.find(_MAGIC, position + 1)
     return False
 
 
-def unpack_all(data: bytes, name: str) -> tuple[list[bytes], int]:
+def unpack_blocks(data: bytes, name: str) -> tuple[list[bytes], int]:
     """Split a journal into payloads.
 
     Args:
         data: Content of the file.
-        name: Its name, for the error.
+        name: File name for the error message.
 
     Returns:
         The payloads, and the offset at which an unfinished write begins.
 
     Raises:
-        StorageDamagedError: If a broken record is followed by a whole one.
+        StorageDamagedError: If an intact block follows a broken one.
     """
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
-        payload = _unpack(data, offset)
+        payload = _unpack_block(data, offset)
         if payload is None:
-            if _valid_record_after(data, offset):
-                raise StorageDamagedError(f"{name}: broken record at byte {offset}")
+            if _intact_block_after(data, offset):
+                raise StorageDamagedError(f"{name}: broken block at byte {offset}")
             return payloads, offset
         payloads.append(payload)
         offset += _HEADER.size + len(payload)
@@ -133,7 +134,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names in a folder durable."""
+    """Sync a folder, which makes the names of its files durable."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
@@ -142,7 +143,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Write a file so that it exists whole or not at all."""
+    """Write a file atomically and sync it."""
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     with open(temporary, "wb") as file:
         file.write(data)
@@ -158,10 +159,10 @@
     Args:
         folder: The data folder; must exist.
         identity: The replica's identity.
-        membership: First membership; empty for a replica that has to join.
+        membership: Initial membership; empty for a replica that has to join.
 
     Raises:
-        StorageError: If the folder is in use already or cannot be written.
+        StorageError: If the folder is already formatted or cannot be written.
     """
     if (folder / IDENTITY_FILE).exists():
         raise StorageError(f"{folder}: already formatted")
@@ -174,7 +175,7 @@
 
 
 def read_identity(folder: Path) -> str | None:
-    """Return the identity on a disk, or None for an empty one."""
+    """Return the identity stored in a data folder, or None if it is not formatted."""
     try:
         return (folder / IDENTITY_FILE).read_text()
     except FileNotFoundError:
@@ -190,9 +191,9 @@
     data: bytes,
     records: tuple[JournalRecord, ...],
 ) -> None:
-    snapshot = pack(encode(SnapshotRecord(metadata, data)))
+    snapshot = pack_block(encode(SnapshotRecord(metadata, data)))
     write_synced(folder / f"snapshot-{generation}", snapshot)
-    write_synced(folder / f"journal-{generation}", pack(encode(records)))
+    write_synced(folder / f"journal-{generation}", pack_block(encode(records)))
 
 
 def _generations(folder: Path, prefix: str) -> list[int]:
@@ -218,10 +219,11 @@
         return f"Storage({self._folder}, generation={self._generation})"
 
     def open(self) -> RecoveredState:
-        """Recover the folder's content and make it writable.
+        """Recover the folder's content and open the journal for appending.
 
         Raises:
-            StorageDamagedError: If anything but an unfinished last write is broken.
+            StorageDamagedError: If anything other than an unfinished last write is
+                broken.
             StorageError: If the folder cannot be read or written.
         """
         try:
@@ -230,13 +232,14 @@
             raise StorageError(f"{self._folder}: {exc}") from exc
 
     def rewrite(self, recovered: RecoveredState) -> None:
-        """Write all that the folder holds once more.
+        """Write the recovered state again as a new generation.
 
-        After a failed write or sync a file may read back what the disk does not hold,
-        and a later sync of it may succeed all the same. A new generation is durable.
+        After a failed write or sync, reads of a file may return data that is not on the
+        disk, and a later sync of that file may still succeed. A new generation is
+        durable.
 
         Args:
-            recovered: What `open` returned.
+            recovered: The state returned by `open`.
 
         Raises:
             StorageError: If the disk still fails.
@@ -245,16 +248,16 @@
         self.compact(recovered.metadata, recovered.data, recovered.hard_state, log)
 
     def append(self, state: HardState | None, entries: tuple[LogEntry, ...]) -> None:
-        """Add records and sync them.
+        """Append records to the journal and sync it.
 
         Raises:
-            StorageError: If they may not be durable; no later call succeeds.
+            StorageError: If the records may not be durable; all later calls fail too.
         """
         records: list[JournalRecord] = [EntryRecord(entry) for entry in entries]
         if state is not None:
             records.append(StateRecord(state))
-        block = pack(encode(tuple(records)))
-        self._guard(lambda: self._write(block))
+        block = pack_block(encode(tuple(records)))
+        self._run_write(lambda: self._write(block))
 
     def compact(
         self,
@@ -266,23 +269,23 @@
         """Start a new generation from a snapshot and the entries after it.
 
         Raises:
-            StorageError: If it may not be durable; no later call succeeds.
+            StorageError: If it may not be durable; all later calls fail too.
         """
-        self._guard(lambda: self._compact(metadata, data, state, log))
+        self._run_write(lambda: self._compact(metadata, data, state, log))
 
     def close(self) -> None:
-        """Release the journal."""
+        """Close the journal."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
 
-    def _guard(self, work: Callable[[], None]) -> None:
+    def _run_write(self, work: Callable[[], None]) -> None:
         if self.failed:
             raise StorageError(f"{self._folder}: an earlier write failed")
         try:
             work()
         except OSError as exc:
-            # After a failed write or sync nobody knows what the disk holds.
+            # After a failed write or sync the content of the disk is unknown.
             self.failed = True
             raise StorageError(f"{self._folder}: {exc}") from exc
 
@@ -308,19 +311,19 @@
         self._remove_old()
 
     def _open(self) -> RecoveredState:
-        complete = _generations(self._folder, "journal")
-        if not complete:
+        generations = _generations(self._folder, "journal")
+        if not generations:
             raise StorageError(f"{self._folder}: no journal")
-        self._generation = complete[-1]
+        self._generation = generations[-1]
         snapshot = self._read_snapshot()
         journal = self._folder / f"journal-{self._generation}"
         content = journal.read_bytes()
-        payloads, end = unpack_all(content, journal.name)
+        payloads, end = unpack_blocks(content, journal.name)
         hard_state, log = _replay(payloads, snapshot.metadata)
         self._open_journal()
         if end < len(content):
             os.ftruncate(self._fd, end)
-        # A process that was killed may have written this without a sync.
+        # A killed process may have written this content without syncing it.
         os.fsync(self._fd)
         self._remove_old()
         cut = len(content) - end
@@ -329,7 +332,7 @@
     def _read_snapshot(self) -> SnapshotRecord:
         path = self._folder / f"snapshot-{self._generation}"
         try:
-            payload = _unpack(path.read_bytes(), 0)
+            payload = _unpack_block(path.read_bytes(), 0)
         except FileNotFoundError:
             payload = None
         if payload is None:
@@ -362,14 +365,16 @@
                 case EntryRecord(entry=entry):
                     position = entry.index - metadata.index - 1
                     if not 0 <= position <= len(log):
-                        raise StorageDamagedError(f"entry {entry.index} leaves a gap")
+                        raise StorageDamagedError(
+                            f"entry {entry.index} does not continue the log"
+                        )
                     del log[position:]
                     log.append(entry)
     return hard_state, log
 
 
 def _records(payload: bytes) -> tuple[JournalRecord, ...]:
-    """Return the records of a block; the first release wrote one in each."""
+    """Return the records of a block; the first release wrote one record per block."""
     try:
         return decode(payload, tuple[JournalRecord, ...])
     except WireError:
--- a/tests/control/test_group_health.py
+++ b/tests/control/test_group_health.py
@@ -1,4 +1,4 @@
-"""What a replica tells of its group, from its core's state alone."""
+"""Health of the group as reported by a replica, from the state of its Raft core."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from leadseam.control.group_health import (
-    ANSWER_LIMIT,
-    LOOK_INTERVAL,
+    ANSWER_TIMEOUT,
+    CHECK_INTERVAL,
     REPEAT_INTERVAL,
     GroupHealth,
     HealthReporter,
@@ -20,23 +20,23 @@
     import pytest
 
 
-def test_a_leader_names_the_voter_that_does_not_answer_and_since_when() -> None:
+def test_a_leader_reports_a_missing_voter_and_its_silence() -> None:
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None
     assert leader.health(cluster.now) == GroupHealth(True, 3, ())
     lost = next(name for name in BOXES if f"{name}#first" != leader.identity)
     cluster.boxes[lost].raft = None
-    cluster.settle(2 * ANSWER_LIMIT // 50)
+    cluster.settle(2 * ANSWER_TIMEOUT // 50)
 
     health = leader.health(cluster.now)
     assert health is not None
     assert [one.name for one in health.missing] == [f"{lost}#first"]
-    assert ANSWER_LIMIT < health.missing[0].silent_ms <= 2 * ANSWER_LIMIT + 200
+    assert ANSWER_TIMEOUT < health.missing[0].silent_ms <= 2 * ANSWER_TIMEOUT + 200
     assert (health.needed, health.answering, health.spare) == (2, 2, 0)
 
 
-def test_a_voter_without_a_leader_names_those_whose_answers_it_lacks() -> None:
+def test_a_voter_without_a_leader_reports_the_voters_that_did_not_answer() -> None:
     cluster = elected()
     first, *others = BOXES
     for name in others:
@@ -52,7 +52,7 @@
     assert health.spare == -1
 
 
-def test_a_follower_that_hears_its_leader_says_nothing_of_the_others() -> None:
+def test_a_follower_with_a_leader_reports_no_health() -> None:
     cluster = elected()
     followers = [
         box.raft for box in cluster.boxes.values() if box.raft and not box.raft.leads
@@ -60,7 +60,7 @@
     assert [raft.health(cluster.now) for raft in followers] == [None, None]
 
 
-def test_a_box_that_nobody_took_in_says_so() -> None:
+def test_a_box_without_a_group_reports_no_voters() -> None:
     cluster = elected()
     cluster.lose_disk("a")
     raft = cluster.boxes["a"].raft
@@ -82,8 +82,8 @@
     metrics = Metrics()
     reporter = HealthReporter(ControlMetrics(metrics))
 
-    for later in range(0, REPEAT_INTERVAL + LOOK_INTERVAL, LOOK_INTERVAL // 5):
-        reporter.look(cluster.now + later, raft)
+    for later in range(0, REPEAT_INTERVAL + CHECK_INTERVAL, CHECK_INTERVAL // 5):
+        reporter.check(cluster.now + later, raft)
 
     lines = [line for line in caplog.records if line.message == "no quorum"]
     assert [line.spare for line in lines] == [-1, -1]  # type: ignore[attr-defined]
@@ -91,7 +91,7 @@
     assert b"leadseam_control_voters_missing 2" in metrics.render()
 
 
-def test_a_replica_that_hears_a_leader_again_says_so_and_shows_no_old_figure(
+def test_a_replica_that_finds_a_leader_logs_it_and_clears_its_gauges(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -104,21 +104,21 @@
     reporter = HealthReporter(ControlMetrics(metrics))
     raft = cluster.boxes[first].raft
     assert raft is not None
-    reporter.look(cluster.now, raft)
+    reporter.check(cluster.now, raft)
     for name in others:
         cluster.start(name)
     while cluster.leader() is None or raft.leads or not raft.leader:
-        # Whoever is elected, this replica is to hear of a leader in the end.
+        # If this replica is elected, it steps down, so that it follows a leader.
         cluster.settle(1)
         if raft.leads:
             raft.leave(cluster.now)
-    reporter.look(cluster.now, raft)
+    reporter.check(cluster.now, raft)
 
     messages = [line.message for line in caplog.records]
     assert messages == ["no quorum", "a leader is heard"]
     assert b"leadseam_control_spare_voters nan" in metrics.render().lower()
 
 
-def test_what_is_needed_of_an_even_number_is_more_than_half() -> None:
+def test_a_quorum_of_an_even_number_of_voters_is_more_than_half() -> None:
     health = GroupHealth(True, 6, (MissingVoter("x", 9_000),))
     assert (health.needed, health.answering, health.spare) == (4, 5, 1)
--- a/tests/control/test_replaced_box.py
+++ b/tests/control/test_replaced_box.py
@@ -1,19 +1,13 @@
-"""A control box that is gone for good must not cost the group a loss it should bear.
-
-What users saw: after two control boxes had lost their disks while all lost power,
-nothing was served any more, for good; elsewhere the newest configuration could not be
-read back.
-
-What had happened: one of five boxes had been taken away, and an empty one had come a
-second later. It had caught up within half a second, sooner than the old one was found
-silent, and so became a sixth voter beside it. Nothing ever took the old one out.
-
-The cause: a voter left only for a newcomer that asked while that voter was already
-silent. Six voters need four; without the one that is gone and two lost disks, three
-are left.
-
-The evidence: the boxes' lines named six voters at their last restart, three of them
-alive with all that was acknowledged, and no election was won from then on.
+"""Guards against a voter that is gone for good and never removed from the group.
+
+One of five boxes was removed, and an empty one started a second later. It caught up
+within half a second, before the old one had timed out, and became a sixth voter. The
+old one was never removed, since a voter left only for a newcomer that asked to join
+while the voter was already silent. Six voters need a quorum of four: when two boxes
+then lost their disks while all lost power, three were left. Nothing was served any
+more; elsewhere the newest configuration could not be read back. The boxes' logs named
+six voters at the last restart, three of them alive with all acknowledged data, and no
+election was won afterwards.
 """
 
 from __future__ import annotations
@@ -25,9 +19,9 @@
     CATCH_UP,
     FIVE,
     SECOND,
+    bootstrapped,
     follower,
     follower_pair,
-    founded,
     leader_name,
     survive,
     voters,
@@ -37,12 +31,12 @@
     from tests.control.cluster import Cluster
 
 LONGEST_ELECTION = 28
-"""Rounds, 1.4 s: a timeout of at most 1 s, and another attempt."""
+"""In rounds, 1.4 s: an election timeout of at most 1 s and one further attempt."""
 
 
 def test_a_replaced_box_costs_no_later_loss() -> None:
     for gone in ("follower", "leader"):
-        cluster = founded()
+        cluster = bootstrapped()
         name = leader_name(cluster) if gone == "leader" else follower(cluster)
         cluster.remove(name)
         cluster.settle(SECOND)
@@ -53,14 +47,16 @@
         assert survive(cluster, lost=follower_pair(cluster)), gone
 
 
-def test_the_next_leader_goes_on_counting_a_silence() -> None:
-    """Found by the random sequences: a leader replaced, and 3.5 s later the next one.
+def test_the_next_leader_continues_to_count_a_silence() -> None:
+    """The silence of a member is counted across elections.
 
-    The count began anew with each election, so that the first one still voted beside
-    the second 4 s after its successor had come; one disk lost then stopped the group.
+    The random sequences replaced a leader and, 3.5 s later, the next one. The count
+    restarted with each election, so the first leader was still a voter beside the
+    second one 4 s after its replacement had started; one lost disk then stopped the
+    group.
     """
     for seed in range(20):
-        cluster = founded(seed=seed)
+        cluster = bootstrapped(seed=seed)
         first = leader_name(cluster)
         cluster.remove(first)
         cluster.lose_disk("f")
@@ -71,8 +67,8 @@
         assert first not in voters(cluster), seed
 
 
-def test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss() -> None:
-    cluster = founded()
+def test_a_box_removed_after_its_replacement_joined_costs_no_later_loss() -> None:
+    cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(CATCH_UP)
     cluster.remove(follower(cluster))
@@ -82,30 +78,30 @@
     assert survive(cluster, lost=follower_pair(cluster))
 
 
-def test_a_box_that_says_that_it_stops_leaves_at_once_where_another_has_come() -> None:
+def test_a_stopping_box_leaves_at_once_if_its_replacement_has_joined() -> None:
     for stops in ("follower", "leader"):
-        cluster = founded()
+        cluster = bootstrapped()
         cluster.lose_disk("f")
         cluster.settle(CATCH_UP)
         name = leader_name(cluster) if stops == "leader" else follower(cluster)
-        stop_in_order(cluster, name)
+        stop_gracefully(cluster, name)
         cluster.remove(name)
-        # No time to be found silent.
+        # The box has no time to be detected as silent.
         assert survive(cluster, lost=follower_pair(cluster)), stops
 
 
-def test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent() -> None:
-    cluster = founded()
+def test_a_stopping_box_is_replaced_before_it_times_out() -> None:
+    cluster = bootstrapped()
     gone = follower(cluster)
-    stop_in_order(cluster, gone)
+    stop_gracefully(cluster, gone)
     cluster.remove(gone)
     cluster.lose_disk("f")
     cluster.settle(SECOND)
     assert voters(cluster) == set(cluster.boxes)
 
 
-def test_a_box_that_stops_is_not_elected_by_votes_it_had_asked_for() -> None:
-    cluster = founded()
+def test_a_stopping_box_is_not_elected_by_earlier_pre_votes() -> None:
+    cluster = bootstrapped()
     cluster.remove(leader_name(cluster))
     cluster.network.clear()
     while not cluster.network:
@@ -121,9 +117,9 @@
 
 
 def test_a_box_that_restarts_keeps_its_vote() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     for name in FIVE:
-        stop_in_order(cluster, name)
+        stop_gracefully(cluster, name)
         cluster.stop(name)
         cluster.settle(4 * SECOND)
         assert voters(cluster) == set(FIVE)
@@ -135,7 +131,7 @@
 
 
 def test_a_box_that_was_cut_off_votes_again_with_its_disk() -> None:
-    cluster = founded()
+    cluster = bootstrapped()
     cut = follower(cluster)
     cluster.cut_off.add(cut)
     cluster.lose_disk("f")
@@ -148,8 +144,8 @@
     assert cluster.boxes[cut].disk.identity == f"{cut}#first"
 
 
-def test_a_learner_that_was_dropped_while_it_was_away_joins_again() -> None:
-    cluster = founded()
+def test_a_learner_removed_while_it_was_unreachable_joins_again() -> None:
+    cluster = bootstrapped()
     cluster.lose_disk("f")
     cluster.settle(2)
     cluster.cut_off.add("f")
@@ -163,13 +159,13 @@
     assert "f" in voters(cluster)
 
 
-def stop_in_order(cluster: Cluster, name: str) -> None:
-    """Let a box tell the group that it stops, as its process does."""
+def stop_gracefully(cluster: Cluster, name: str) -> None:
+    """Announce the stop of a box to the group, as its process does."""
     raft = cluster.boxes[name].raft
     assert raft is not None
     raft.leave(cluster.now)
     for _ in range(3 * SECOND):
-        if raft.may_stop(cluster.now):
+        if raft.can_stop(cluster.now):
             return
         cluster.settle(1)
-    raise AssertionError("nobody took note")
+    raise AssertionError("no leader received the announcement")
