--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -21,9 +21,9 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-KEPT_AFTER_LOSS: Millis = 12_000
+LOST_REPLICA_TTL: Millis = 12_000
 """How long a lost replica's upstreams are kept: ten heartbeats of 1.2 s."""
-DOUBTED_HEARTBEATS = 3
+COLD_HEARTBEATS_AFTER_RESTORE = 3
 """Heartbeats for which upstreams count as cold once their failure domain is taken back:
 they may have turned cold just before, and one heartbeat may be late."""
 
@@ -34,7 +34,7 @@
 
     registration: Registration
     cold_until: Millis = 0
-    until: dict[str, Millis | None] = field(default_factory=dict)
+    held_until: dict[str, Millis | None] = field(default_factory=dict)
 
     @property
     def incarnation(self) -> Incarnation:
@@ -58,15 +58,15 @@
     ) -> None:
         self.evacuated: frozenset[str] = frozenset()
         self._regions = regions or {}
-        self._doubt = DOUBTED_HEARTBEATS * heartbeat_interval
+        self._restored_cold_time = COLD_HEARTBEATS_AFTER_RESTORE * heartbeat_interval
         self._evacuation_revision = 0
-        self._doubted: dict[str, Millis] = {}
-        self._last_cold: Millis = 0
+        self._restored_cold_until: dict[str, Millis] = {}
+        self._all_warm_at: Millis = 0
         self._known: dict[str, _Known] = {}
         self._departed = Departures()
         self._by_pool: dict[str, list[Registration]] | None = None
-        self._by_scope: dict[tuple[str, frozenset[str]], list[Registration]] = {}
-        self._slots: dict[str, tuple[int, int]] = {}
+        self._by_regions: dict[tuple[str, frozenset[str]], list[Registration]] = {}
+        self._slots_by_pool: dict[str, tuple[int, int]] = {}
         self._addresses = AddressTable()
 
     def __repr__(self) -> str:
@@ -74,11 +74,11 @@
 
     def connected(self, replica: str, now: Millis) -> None:
         """Note that a replica reports anew; what it held and omits ends later."""
-        self._end_later(replica, now)
+        self._schedule_drop(replica, now)
 
     def disconnected(self, replica: str, now: Millis) -> None:
         """Note that a replica no longer reports."""
-        self._end_later(replica, now)
+        self._schedule_drop(replica, now)
 
     def update(
         self, replica: str, rows: Iterable[Registration], now: Millis
@@ -88,27 +88,27 @@
         Returns:
             Incarnations that are over, as a later start of theirs is known now.
         """
-        taken = [row for row in rows if row.incarnation not in self._departed]
-        over = [self._take(replica, row, now) for row in taken]
-        return tuple(one for one in over if one is not None)
+        accepted = [row for row in rows if row.incarnation not in self._departed]
+        replaced = [self._merge_row(replica, row, now) for row in accepted]
+        return tuple(one for one in replaced if one is not None)
 
     def expired(self, replica: str, incarnations: Iterable[Incarnation]) -> None:
         """A replica no longer hears these."""
         for incarnation in incarnations:
             known = self._get(incarnation)
             if known is not None:
-                known.until.pop(replica, None)
+                known.held_until.pop(replica, None)
                 self._drop_if_unheld(known)
 
     def left(self, incarnations: Iterable[Incarnation]) -> tuple[Incarnation, ...]:
         """Take upstreams that leave for good; return those not known as such yet."""
-        fresh = tuple(one for one in incarnations if self._departed.add(one))
-        for incarnation in fresh:
+        new = tuple(one for one in incarnations if self._departed.add(one))
+        for incarnation in new:
             known = self._known.get(incarnation.instance)
             if known is not None and known.incarnation in self._departed:
                 del self._known[incarnation.instance]
                 self._forget(known)
-        return fresh
+        return new
 
     def evacuate(self, revision: int, domains: Iterable[str], now: Millis) -> bool:
         """Send nothing to the upstreams of some failure domains from now on.
@@ -126,8 +126,10 @@
         self._evacuation_revision = revision
         before, self.evacuated = self.evacuated, frozenset(domains)
         for domain in before - self.evacuated:
-            self._doubted[domain] = now + self._doubt
-            self._last_cold = max(self._last_cold, self._doubted[domain])
+            self._restored_cold_until[domain] = now + self._restored_cold_time
+            self._all_warm_at = max(
+                self._all_warm_at, self._restored_cold_until[domain]
+            )
         self._by_pool = None
         return True
 
@@ -136,16 +138,18 @@
         known = self._known.get(row.incarnation.instance)
         if known is None or known.incarnation != row.incarnation:
             return 0
-        return max(known.cold_until, self._doubted.get(row.failure_domain, 0))
+        return max(
+            known.cold_until, self._restored_cold_until.get(row.failure_domain, 0)
+        )
 
     def all_warm(self, now: Millis) -> bool:
         """Tell whether no upstream at all is cold: so it is nearly always."""
-        return now >= self._last_cold
+        return now >= self._all_warm_at
 
     def available_fraction(self, pools: Iterable[str]) -> float:
         """Return the part of the places of some pools that is not evacuated."""
         self._pools()
-        counts = [self._slots.get(pool, (0, 0)) for pool in pools]
+        counts = [self._slots_by_pool.get(pool, (0, 0)) for pool in pools]
         total = sum(every for _, every in counts)
         return sum(left for left, _ in counts) / total if total else 1.0
 
@@ -176,11 +180,11 @@
         return True
 
     def sweep(self, now: Millis) -> None:
-        """Drop what nobody has held for `KEPT_AFTER_LOSS`."""
+        """Drop what nobody has held for `LOST_REPLICA_TTL`."""
         for known in list(self._known.values()):
-            for replica, until in list(known.until.items()):
-                if until is not None and now >= until:
-                    del known.until[replica]
+            for replica, held_until in list(known.held_until.items()):
+                if held_until is not None and now >= held_until:
+                    del known.held_until[replica]
             self._drop_if_unheld(known)
 
     def pool(
@@ -196,17 +200,17 @@
         if regions is None:
             return rows
         key = (name, regions)
-        if key not in self._by_scope:
-            self._by_scope[key] = [
+        if key not in self._by_regions:
+            self._by_regions[key] = [
                 row for row in rows if self._regions.get(row.failure_domain) in regions
             ]
-        return self._by_scope[key]
+        return self._by_regions[key]
 
     def _pools(self) -> dict[str, list[Registration]]:
         """Return the upstreams that take new work by pool, grouped anew if need be."""
         if self._by_pool is None:
             self._by_pool = self._group()
-            self._by_scope.clear()
+            self._by_regions.clear()
         return self._by_pool
 
     def _group(self) -> dict[str, list[Registration]]:
@@ -215,44 +219,46 @@
             row = known.registration
             if row.ready and self._addresses.holds(row):
                 grouped.setdefault(row.pool, []).append(row)
-        stated = {pool: _with_starts(rows) for pool, rows in grouped.items()}
-        left = {pool: self._not_evacuated(rows) for pool, rows in stated.items()}
-        self._slots = {
+        listed = {pool: _without_foreign_rows(rows) for pool, rows in grouped.items()}
+        left = {pool: self._not_evacuated(rows) for pool, rows in listed.items()}
+        self._slots_by_pool = {
             pool: (_slots_of(left[pool]), _slots_of(rows))
-            for pool, rows in stated.items()
+            for pool, rows in listed.items()
         }
         return left
 
     def _not_evacuated(self, rows: list[Registration]) -> list[Registration]:
         return [row for row in rows if row.failure_domain not in self.evacuated]
 
-    def _take(self, replica: str, row: Registration, now: Millis) -> Incarnation | None:
+    def _merge_row(
+        self, replica: str, row: Registration, now: Millis
+    ) -> Incarnation | None:
         """Take a row; return the incarnation that it replaces, if any."""
-        over = None
+        replaced = None
         known = self._known.get(row.instance)
         if known is None:
             known = self._known[row.instance] = _Known(row)
-            self._note_cold(known, now)
+            self._update_cold_until(known, now)
             self._addresses.claim(row, now)
         elif row.incarnation.replaces(known.incarnation):
-            over = known.incarnation
+            replaced = known.incarnation
             self._addresses.succeed(known.registration, row)
             known = self._known[row.instance] = _Known(row)
-            self._note_cold(known, now)
+            self._update_cold_until(known, now)
         elif row.incarnation != known.incarnation:
             # A replica that has not heard of the later start yet.
             return None
         elif row.sequence > known.registration.sequence:
             known.registration = row
-            self._note_cold(known, now)
-        known.until[replica] = None
+            self._update_cold_until(known, now)
+        known.held_until[replica] = None
         self._by_pool = None
-        return over
+        return replaced
 
-    def _note_cold(self, known: _Known, now: Millis) -> None:
+    def _update_cold_until(self, known: _Known, now: Millis) -> None:
         left = known.registration.cold_remaining
         known.cold_until = now + left if left else 0
-        self._last_cold = max(self._last_cold, known.cold_until)
+        self._all_warm_at = max(self._all_warm_at, known.cold_until)
 
     def _get(self, incarnation: Incarnation) -> _Known | None:
         """Return what is known of an incarnation that is still the latest."""
@@ -261,15 +267,15 @@
             return None
         return known
 
-    def _end_later(self, replica: str, now: Millis) -> None:
+    def _schedule_drop(self, replica: str, now: Millis) -> None:
         """Let all that a replica holds end in time, unless it reports it anew."""
-        until = now + KEPT_AFTER_LOSS
+        held_until = now + LOST_REPLICA_TTL
         for known in self._known.values():
-            if known.until.get(replica, until) is None:
-                known.until[replica] = until
+            if known.held_until.get(replica, held_until) is None:
+                known.held_until[replica] = held_until
 
     def _drop_if_unheld(self, known: _Known) -> None:
-        if not known.until and self._get(known.incarnation) is known:
+        if not known.held_until and self._get(known.incarnation) is known:
             del self._known[known.incarnation.instance]
             self._forget(known)
 
@@ -282,11 +288,11 @@
     return sum(row.slots for row in rows)
 
 
-def _with_starts(rows: list[Registration]) -> list[Registration]:
+def _without_foreign_rows(rows: list[Registration]) -> list[Registration]:
     """Return the upstreams of a pool without those that only look like some.
 
     Either all upstreams of a pool state their start or none does, so the few that do
     not are written by something else.
     """
-    stated = [row for row in rows if row.incarnation.start]
-    return stated if 2 * len(stated) >= len(rows) else rows
+    listed = [row for row in rows if row.incarnation.start]
+    return listed if 2 * len(listed) >= len(rows) else rows
--- a/tests/membership/test_incarnations.py
+++ b/tests/membership/test_incarnations.py
@@ -16,7 +16,7 @@
 from leadseam.incarnation import Incarnation
 from leadseam.membership.departures import MAX_DEPARTED, Departures
 from leadseam.membership.registry import MAX_ROWS, MISSED_HEARTBEATS, Registry
-from leadseam.membership.view import KEPT_AFTER_LOSS, UpstreamView
+from leadseam.membership.view import LOST_REPLICA_TTL, UpstreamView
 from leadseam.wire.feed import Registration
 from tests.routing.samples import make_upstream
 
@@ -222,7 +222,7 @@
     @rule()
     def settle(self) -> None:
         """Once each live server was heard and all else is over, they are used."""
-        self.wait(max(KEPT_AFTER_LOSS, MISSED_HEARTBEATS * INTERVAL) + 2)
+        self.wait(max(LOST_REPLICA_TTL, MISSED_HEARTBEATS * INTERVAL) + 2)
         for number, row in list(self.live.items()):
             beat = msgspec.structs.replace(row, sequence=row.sequence + 1)
             self.live[number] = beat
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from leadseam.incarnation import Incarnation
-from leadseam.membership.view import KEPT_AFTER_LOSS, UpstreamView
+from leadseam.membership.view import LOST_REPLICA_TTL, UpstreamView
 from tests.routing.samples import make_upstream
 
 
@@ -30,9 +30,9 @@
     view = UpstreamView()
     view.update("a", [make_upstream(1)], 0)
     view.disconnected("a", 100)
-    view.sweep(100 + KEPT_AFTER_LOSS - 1)
+    view.sweep(100 + LOST_REPLICA_TTL - 1)
     assert instances(view) == {"i-1"}
-    view.sweep(100 + KEPT_AFTER_LOSS)
+    view.sweep(100 + LOST_REPLICA_TTL)
     assert instances(view) == set()
 
 
@@ -43,7 +43,7 @@
     view.update("a", [], 0)
     assert instances(view) == {"i-1"}
     view.update("a", [make_upstream(1, sequence=2)], 0)
-    view.sweep(10 * KEPT_AFTER_LOSS)
+    view.sweep(10 * LOST_REPLICA_TTL)
     assert instances(view) == {"i-1"}
 
 
@@ -98,7 +98,7 @@
         self.view.left([Incarnation(f"i-{number}")])
         self.left.add(f"i-{number}")
 
-    @rule(step=st.integers(1, 2 * KEPT_AFTER_LOSS))
+    @rule(step=st.integers(1, 2 * LOST_REPLICA_TTL))
     def wait(self, step: int) -> None:
         self.now += step
         self.view.sweep(self.now)
