--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -1,8 +1,8 @@
 """An entry's view of the registered upstreams, merged from several replicas. No I/O.
 
-Each replica reports the upstreams that it hears. An upstream is known for as long as
-one of them holds it. What a lost replica held is kept for a while, for its upstreams
-turn to another replica or it comes back empty.
+Each replica reports the upstreams that send it heartbeats. An upstream is kept while at
+least one replica lists it. The upstreams of a lost replica are kept for a while:
+they switch to another replica, or the replica returns with an empty table.
 """
 
 from __future__ import annotations
@@ -22,15 +22,21 @@
     from leadseam.wire.feed import Registration
 
 LOST_REPLICA_TTL: Millis = 12_000
-"""How long a lost replica's upstreams are kept: ten heartbeats of 1.2 s."""
+"""Time for which a lost replica's upstreams are kept: ten heartbeats of 1.2 s."""
 COLD_HEARTBEATS_AFTER_RESTORE = 3
-"""Heartbeats for which upstreams count as cold once their failure domain is taken back:
-they may have turned cold just before, and one heartbeat may be late."""
+"""Heartbeats for which the upstreams of a failure domain count as cold once its
+evacuation ends: they may have turned cold just before, and a heartbeat may be late."""
 
 
 @dataclass(slots=True)
 class _Known:
-    """An upstream, and until when each replica holds it; None without an end."""
+    """An upstream and the replicas that list it.
+
+    Args:
+        registration: Its latest registration.
+        cold_until: When it stops being cold; 0 if it is not cold.
+        held_until: When the entry of each replica expires, None while it is connected.
+    """
 
     registration: Registration
     cold_until: Millis = 0
@@ -38,12 +44,12 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Which start of the upstream it is."""
+        """Incarnation of the latest registration."""
         return self.registration.incarnation
 
 
 class UpstreamView:
-    """Upstreams known to an entry, the latest start of each.
+    """Upstreams known to an entry, with the latest incarnation of each.
 
     Args:
         regions: Region of each failure domain.
@@ -73,27 +79,30 @@
         return f"UpstreamView(known={len(self._known)}, {self._departed!r})"
 
     def connected(self, replica: str, now: Millis) -> None:
-        """Note that a replica reports anew; what it held and omits ends later."""
+        """Record a new connection of a replica.
+
+        Upstreams that it listed before and does not list again expire later.
+        """
         self._schedule_drop(replica, now)
 
     def disconnected(self, replica: str, now: Millis) -> None:
-        """Note that a replica no longer reports."""
+        """Record that the connection to a replica is lost."""
         self._schedule_drop(replica, now)
 
     def update(
         self, replica: str, rows: Iterable[Registration], now: Millis
     ) -> tuple[Incarnation, ...]:
-        """Take rows that a replica holds.
+        """Merge registrations that a replica lists.
 
         Returns:
-            Incarnations that are over, as a later start of theirs is known now.
+            Incarnations that were replaced by a later start of the same upstream.
         """
         accepted = [row for row in rows if row.incarnation not in self._departed]
         replaced = [self._merge_row(replica, row, now) for row in accepted]
         return tuple(one for one in replaced if one is not None)
 
     def expired(self, replica: str, incarnations: Iterable[Incarnation]) -> None:
-        """A replica no longer hears these."""
+        """Remove upstreams that have expired at a replica."""
         for incarnation in incarnations:
             known = self._get(incarnation)
             if known is not None:
@@ -101,7 +110,7 @@
                 self._drop_if_unheld(known)
 
     def left(self, incarnations: Iterable[Incarnation]) -> tuple[Incarnation, ...]:
-        """Take upstreams that leave for good; return those not known as such yet."""
+        """Remove upstreams that leave for good; return those not recorded before."""
         new = tuple(one for one in incarnations if self._departed.add(one))
         for incarnation in new:
             known = self._known.get(incarnation.instance)
@@ -111,15 +120,16 @@
         return new
 
     def evacuate(self, revision: int, domains: Iterable[str], now: Millis) -> bool:
-        """Send nothing to the upstreams of some failure domains from now on.
+        """Replace the set of evacuated failure domains, which get no requests.
 
         Args:
-            revision: Revision of the evacuations; an older one changes nothing.
+            revision: Revision of the evacuations. Only a higher one than the last has
+                an effect.
             domains: All failure domains that are evacuated.
             now: Current time.
 
         Returns:
-            Whether that is news.
+            Whether the revision was new.
         """
         if revision <= self._evacuation_revision:
             return False
@@ -134,7 +144,7 @@
         return True
 
     def cold_until(self, row: Registration) -> Millis:
-        """Return until when an upstream is taken to be cold; 0 if it is not."""
+        """Return when an upstream stops counting as cold; 0 if it is not cold."""
         known = self._known.get(row.incarnation.instance)
         if known is None or known.incarnation != row.incarnation:
             return 0
@@ -143,35 +153,35 @@
         )
 
     def all_warm(self, now: Millis) -> bool:
-        """Tell whether no upstream at all is cold: so it is nearly always."""
+        """Return whether no upstream at all is cold, which is the usual case."""
         return now >= self._all_warm_at
 
     def available_fraction(self, pools: Iterable[str]) -> float:
-        """Return the part of the places of some pools that is not evacuated."""
+        """Return the fraction of the slots of some pools that is not evacuated."""
         self._pools()
         counts = [self._slots_by_pool.get(pool, (0, 0)) for pool in pools]
         total = sum(every for _, every in counts)
         return sum(left for left, _ in counts) / total if total else 1.0
 
     def has_left(self, incarnation: Incarnation) -> bool:
-        """Tell whether an upstream has announced its end."""
+        """Return whether an upstream has announced that it leaves."""
         return incarnation in self._departed
 
     def serves(self, incarnation: Incarnation) -> bool:
-        """Tell whether an incarnation is heard, and holds its address."""
+        """Return whether an incarnation is registered and holds its address."""
         known = self._get(incarnation)
         return known is not None and self._addresses.holds(known.registration)
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
-        """Note that an upstream has answered a request that was meant for it."""
+        """Record that an upstream has answered a request that was meant for it."""
         if self._get(incarnation) is not None:
             self._addresses.answered(incarnation, now)
 
     def misdirected(self, incarnation: Incarnation) -> bool:
-        """Note that another incarnation answers at an upstream's address.
+        """Record that another incarnation answers at an upstream's address.
 
         Returns:
-            Whether another one is known there, which gets the work from now on.
+            Whether another one is registered there, which gets its requests from now.
         """
         known = self._get(incarnation)
         if known is None or not self._addresses.misdirected(known.registration):
@@ -180,7 +190,7 @@
         return True
 
     def sweep(self, now: Millis) -> None:
-        """Drop what nobody has held for `LOST_REPLICA_TTL`."""
+        """Drop upstreams that no replica has listed for `LOST_REPLICA_TTL`."""
         for known in list(self._known.values()):
             for replica, held_until in list(known.held_until.items()):
                 if held_until is not None and now >= held_until:
@@ -190,11 +200,11 @@
     def pool(
         self, name: str, regions: frozenset[str] | None = None
     ) -> Sequence[Registration]:
-        """Return the upstreams of a pool that take new work.
+        """Return the upstreams of a pool that accept new requests.
 
         Args:
-            name: The pool.
-            regions: Regions in which they have to be, or None for any.
+            name: Name of the pool.
+            regions: Allowed regions, or None for any.
         """
         rows = self._pools().get(name, ())
         if regions is None:
@@ -207,7 +217,10 @@
         return self._by_regions[key]
 
     def _pools(self) -> dict[str, list[Registration]]:
-        """Return the upstreams that take new work by pool, grouped anew if need be."""
+        """Return the upstreams that accept new requests by pool.
+
+        The result is cached until an upstream or the evacuations change.
+        """
         if self._by_pool is None:
             self._by_pool = self._group()
             self._by_regions.clear()
@@ -233,7 +246,7 @@
     def _merge_row(
         self, replica: str, row: Registration, now: Millis
     ) -> Incarnation | None:
-        """Take a row; return the incarnation that it replaces, if any."""
+        """Merge a row; return the incarnation that it replaces, if any."""
         replaced = None
         known = self._known.get(row.instance)
         if known is None:
@@ -246,7 +259,7 @@
             known = self._known[row.instance] = _Known(row)
             self._update_cold_until(known, now)
         elif row.incarnation != known.incarnation:
-            # A replica that has not heard of the later start yet.
+            # The replica has not received the later start yet.
             return None
         elif row.sequence > known.registration.sequence:
             known.registration = row
@@ -261,14 +274,14 @@
         self._all_warm_at = max(self._all_warm_at, known.cold_until)
 
     def _get(self, incarnation: Incarnation) -> _Known | None:
-        """Return what is known of an incarnation that is still the latest."""
+        """Return the record of an incarnation, or None if it is not the latest."""
         known = self._known.get(incarnation.instance)
         if known is None or known.incarnation != incarnation:
             return None
         return known
 
     def _schedule_drop(self, replica: str, now: Millis) -> None:
-        """Let all that a replica holds end in time, unless it reports it anew."""
+        """Let all upstreams of a replica expire, except those that it lists again."""
         held_until = now + LOST_REPLICA_TTL
         for known in self._known.values():
             if known.held_until.get(replica, held_until) is None:
@@ -289,10 +302,10 @@
 
 
 def _without_foreign_rows(rows: list[Registration]) -> list[Registration]:
-    """Return the upstreams of a pool without those that only look like some.
+    """Return the rows of a pool without those that other software has written.
 
-    Either all upstreams of a pool state their start or none does, so the few that do
-    not are written by something else.
+    Either all upstreams of a pool report their start or none does, so a minority of
+    rows without a start does not come from the pool's upstreams.
     """
     listed = [row for row in rows if row.incarnation.start]
     return listed if 2 * len(listed) >= len(rows) else rows
--- a/tests/membership/test_evacuated.py
+++ b/tests/membership/test_evacuated.py
@@ -1,4 +1,4 @@
-"""Evacuated failure domains, cold upstreams and regions in an entry's view."""
+"""`UpstreamView`: evacuated failure domains, cold upstreams and regions."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def names(view: UpstreamView, regions: frozenset[str] | None = None) -> set[str]:
-    """Return the upstreams that take new work."""
+    """Return the ids of the upstreams that accept new requests."""
     return {row.instance for row in view.pool("p", regions)}
 
 
 def make_view() -> UpstreamView:
-    """Return a view of three domains, two of them in the region `east`."""
+    """Return a view of three failure domains, two of them in the region `east`."""
     regions = {"north": "east", "south": "east", "west": "west"}
     view = UpstreamView(regions, heartbeat_interval=1_200)
     rows = [upstream(n, d) for n, d in enumerate(regions, start=1)]
@@ -35,7 +35,7 @@
     assert view.evacuate(1, ("north",), 0)
     assert names(view) == {"i-2", "i-3"}
     assert view.available_fraction(["p"]) == 2 / 3
-    # What registers there later gets nothing either.
+    # An upstream that registers there later gets nothing either.
     view.update("b", [upstream(9, "north")], 0)
     assert names(view) == {"i-2", "i-3"}
     assert view.evacuate(2, (), 0)
@@ -44,7 +44,7 @@
 
 
 def test_an_older_revision_changes_nothing() -> None:
-    # A replica that lags greets with what it knows.
+    # A replica that lags behind sends its older revision when it is connected.
     view = make_view()
     view.evacuate(2, ("north",), 0)
     assert not view.evacuate(1, (), 0)
@@ -68,7 +68,7 @@
     assert not view.all_warm(13_599)
     assert view.cold_until(north) == 13_600
     assert view.cold_until(south) == 0
-    # A heartbeat of before it turned cold may come late.
+    # A heartbeat from before the upstream turned cold may arrive late.
     view.update("a", [upstream(1, "north", seq=2)], 11_000)
     assert view.cold_until(north) == 13_600
     assert view.all_warm(13_600)
@@ -79,7 +79,7 @@
     view.update("a", [upstream(1, "north", cold=3_000, seq=2)], 500)
     row = next(row for row in view.pool("p") if row.instance == "i-1")
     assert view.cold_until(row) == 3_500
-    # An older row of another replica does not count.
+    # An older row from another replica is ignored.
     view.update("b", [upstream(1, "north")], 600)
     assert view.cold_until(row) == 3_500
     view.update("b", [upstream(1, "north", seq=3)], 700)
@@ -87,7 +87,8 @@
 
 
 def test_entries_hear_of_an_upstream_that_turns_cold_and_of_nothing_else() -> None:
-    # The time left of being cold was left out of what makes a heartbeat news.
+    # A change of the remaining cold time was not reported to entries, because the
+    # comparison of heartbeats ignored that field.
     registry = Registry(1_200)
     assert registry.heartbeat(upstream(1, "north", cold=3_000), 0)
     assert not registry.heartbeat(upstream(1, "north", cold=1_800, seq=2), 1_200)
@@ -106,7 +107,7 @@
     assert names(view, frozenset()) == set()
     view.evacuate(1, ("west",), 0)
     assert names(view, frozenset({"west"})) == set()
-    # A domain whose region is not known serves nobody who is bound.
+    # A domain without a known region gets no request that is bound to regions.
     view.update("a", [upstream(4, "elsewhere")], 0)
     assert "i-4" in names(view)
     assert names(view, frozenset({"east", "west"})) == {"i-1", "i-2"}
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""An entry's view over several replicas."""
+"""`UpstreamView`: an entry's view, merged from the reports of several replicas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def instances(view: UpstreamView) -> set[str]:
-    """Return the incarnations that take new work."""
+    """Return the ids of the upstreams that accept new requests."""
     return {row.instance for row in view.pool("p")}
 
 
@@ -69,7 +69,10 @@
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """Random reports: what left never returns, and held upstreams stay."""
+    """Applies random reports and checks two properties.
+
+    An incarnation that left never returns, and an upstream that a replica lists stays.
+    """
 
     def __init__(self) -> None:
         super().__init__()
