--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -22,7 +22,7 @@
 MISSED_HEARTBEATS = 6
 """Heartbeats that may be missing before an upstream is dropped. They may come seconds
 late, and entries find dead upstreams by themselves, so this is only housekeeping."""
-MAX_STEP: Millis = 1_000
+MAX_EXPIRE_INTERVAL: Millis = 1_000
 """Time between two looks that counts as listening: twice their interval. A box that
 stood still for longer has received nothing, which says nothing of them."""
 COLD_TOLERANCE: Millis = 500
@@ -35,12 +35,12 @@
 @dataclass(slots=True)
 class _Row:
     registration: Registration
-    heard_at: Millis
+    last_heartbeat: Millis
 
     @property
     def cold_until(self) -> Millis:
         """Until when the upstream is cold; when it was heard if it is not."""
-        return self.heard_at + self.registration.cold_remaining
+        return self.last_heartbeat + self.registration.cold_remaining
 
 
 class Registry:
@@ -53,7 +53,7 @@
     def __init__(self, heartbeat_interval: Millis) -> None:
         self._limit = heartbeat_interval * MISSED_HEARTBEATS
         self._rows: dict[str, _Row] = {}
-        self._looked_at: Millis | None = None
+        self._expired_at: Millis | None = None
 
     def __repr__(self) -> str:
         return f"Registry(upstreams={len(self._rows)})"
@@ -75,10 +75,10 @@
             return True
         if not _is_newer(registration, row.registration):
             return False
-        changed = _substance(registration) != _substance(row.registration)
-        changed = changed or _cold_moved(row, registration, now)
+        changed = _stable_fields(registration) != _stable_fields(row.registration)
+        changed = changed or _cold_end_changed(row, registration, now)
         row.registration = registration
-        row.heard_at = now
+        row.last_heartbeat = now
         return changed
 
     def remove(self, incarnation: Incarnation) -> None:
@@ -90,25 +90,27 @@
     def expire(self, now: Millis) -> tuple[Incarnation, ...]:
         """Drop and return the upstreams that have been silent for too long.
 
-        To be called again and again, more often than every `MAX_STEP`.
+        To be called again and again, more often than every `MAX_EXPIRE_INTERVAL`.
         """
-        self._leave_out_standstill(now)
-        lost = tuple(
+        self._exclude_standstill(now)
+        expired = tuple(
             row.registration.incarnation
             for row in self._rows.values()
-            if now - row.heard_at > self._limit
+            if now - row.last_heartbeat > self._limit
         )
-        for incarnation in lost:
+        for incarnation in expired:
             del self._rows[incarnation.instance]
-        return lost
+        return expired
 
-    def _leave_out_standstill(self, now: Millis) -> None:
+    def _exclude_standstill(self, now: Millis) -> None:
         """Count no time in which this box could not listen."""
-        before, self._looked_at = self._looked_at, now
-        if before is None or now - before <= MAX_STEP:
+        before, self._expired_at = self._expired_at, now
+        if before is None or now - before <= MAX_EXPIRE_INTERVAL:
             return
         for row in self._rows.values():
-            row.heard_at = min(row.heard_at + now - before - MAX_STEP, now)
+            row.last_heartbeat = min(
+                row.last_heartbeat + now - before - MAX_EXPIRE_INTERVAL, now
+            )
 
     def is_registered(self, registration: Registration) -> bool:
         """Tell whether this start of an upstream is heard here, for the same pool."""
@@ -138,12 +140,12 @@
     return registration.sequence > known.sequence
 
 
-def _cold_moved(row: _Row, registration: Registration, now: Millis) -> bool:
+def _cold_end_changed(row: _Row, registration: Registration, now: Millis) -> bool:
     """Tell whether an upstream is cold for longer, or warm sooner, than it was."""
     expected = max(row.cold_until - now, 0)
     return abs(registration.cold_remaining - expected) > COLD_TOLERANCE
 
 
-def _substance(registration: Registration) -> Registration:
+def _stable_fields(registration: Registration) -> Registration:
     """Return a registration without what changes from heartbeat to heartbeat."""
     return msgspec.structs.replace(registration, sequence=0, cold_remaining=0)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -370,7 +370,7 @@
     Variant(
         "entries do not hear that an upstream turns cold",
         "membership/registry.py",
-        "        changed = changed or _cold_moved(row, registration, now)\n",
+        "        changed = changed or _cold_end_changed(row, registration, now)\n",
         "",
         "tests/platform/test_evacuation.py"
         "::test_a_server_that_turns_cold_gets_its_part_of_the_rate",
