--- a/src/leadseam/membership/registry.py
+++ b/src/leadseam/membership/registry.py
@@ -1,7 +1,7 @@
 """A replica's table of upstreams that send it heartbeats. No I/O.
 
-The table is soft state: it is rebuilt from heartbeats after a restart. Only leaving is
-replicated (`leadseam.control.state.Leave`).
+The table is soft state: it is rebuilt from heartbeats after a restart. Only departures
+are replicated (`leadseam.control.state.Leave`).
 """
 
 from __future__ import annotations
@@ -18,33 +18,37 @@
     from leadseam.incarnation import Incarnation
 
 DEFAULT_HEARTBEAT: Millis = 1_000
-"""Heartbeat interval of upstreams where the settings give none."""
+"""Heartbeat interval of upstreams if the settings give none."""
 MISSED_HEARTBEATS = 6
-"""Heartbeats that may be missing before an upstream is dropped. They may come seconds
-late, and entries find dead upstreams by themselves, so this is only housekeeping."""
+"""Heartbeats that may be missing before an upstream is dropped. Heartbeats may arrive
+seconds late, and entries detect dead upstreams by themselves, so the limit only serves
+to clean up."""
 MAX_EXPIRE_INTERVAL: Millis = 1_000
-"""Time between two looks that counts as listening: twice their interval. A box that
-stood still for longer has received nothing, which says nothing of them."""
+"""Longest time between two calls of `expire` that counts as silence of an upstream:
+twice the interval of the calls. A box that was stopped for longer has received nothing
+meanwhile, which is no evidence that upstreams were silent."""
 COLD_TOLERANCE: Millis = 500
-"""Change of the end of a cold time below which entries are not told: heartbeats come as
-late as that."""
+"""Change of the end of a cold period up to which entries are not notified: heartbeats
+are delayed by as much."""
 MAX_ROWS = 10_000
-"""Upstreams heard at a time: some 5 MB, and far more than a fleet has."""
+"""Most upstreams in the table: some 5 MB, and far more than a fleet has."""
 
 
 @dataclass(slots=True)
 class _Row:
+    """The last registration of an upstream, and when it arrived."""
+
     registration: Registration
     last_heartbeat: Millis
 
     @property
     def cold_until(self) -> Millis:
-        """Until when the upstream is cold; when it was heard if it is not."""
+        """When the upstream stops being cold; its last heartbeat if it is not cold."""
         return self.last_heartbeat + self.registration.cold_remaining
 
 
 class Registry:
-    """Upstreams heard by this replica, the latest start of each.
+    """Upstreams that send heartbeats to this replica, with the latest start of each.
 
     Args:
         heartbeat_interval: Milliseconds between the heartbeats of an upstream.
@@ -59,13 +63,14 @@
         return f"Registry(upstreams={len(self._rows)})"
 
     def heartbeat(self, registration: Registration, now: Millis) -> bool:
-        """Take a heartbeat; one that is older than the last one heard never counts.
+        """Process a heartbeat, unless it is older than the last one received.
 
-        A later start counts at once, whatever its sequence; an earlier one never does
-        as long as the later one is heard. Beyond `MAX_ROWS` no new upstream is taken.
+        A later start of the upstream counts at once, whatever its sequence. An earlier
+        start is ignored while the later one is registered. Beyond `MAX_ROWS`, no new
+        upstream is added.
 
         Returns:
-            Whether entries have to hear of it.
+            Whether entries have to be notified.
         """
         row = self._rows.get(registration.instance)
         if row is None:
@@ -82,15 +87,15 @@
         return changed
 
     def remove(self, incarnation: Incarnation) -> None:
-        """Forget an upstream that has left, unless it has started again since."""
+        """Remove an upstream that has left, unless it has started again since."""
         row = self._rows.get(incarnation.instance)
         if row is not None and row.registration.incarnation.start <= incarnation.start:
             del self._rows[incarnation.instance]
 
     def expire(self, now: Millis) -> tuple[Incarnation, ...]:
-        """Drop and return the upstreams that have been silent for too long.
+        """Remove and return the upstreams whose heartbeats are overdue.
 
-        To be called again and again, more often than every `MAX_EXPIRE_INTERVAL`.
+        Must be called periodically, more often than every `MAX_EXPIRE_INTERVAL`.
         """
         self._exclude_standstill(now)
         expired = tuple(
@@ -103,7 +108,7 @@
         return expired
 
     def _exclude_standstill(self, now: Millis) -> None:
-        """Count no time in which this box could not listen."""
+        """Exclude time in which this box could not receive heartbeats."""
         before, self._expired_at = self._expired_at, now
         if before is None or now - before <= MAX_EXPIRE_INTERVAL:
             return
@@ -113,24 +118,24 @@
             )
 
     def is_registered(self, registration: Registration) -> bool:
-        """Tell whether this start of an upstream is heard here, for the same pool."""
+        """Return whether this start of an upstream is registered for the same pool."""
         row = self._rows.get(registration.instance)
         if row is None or row.registration.incarnation != registration.incarnation:
             return False
         return row.registration.pool == registration.pool
 
     def start_of(self, instance: str) -> int | None:
-        """Return the start of an upstream that is heard here, or None."""
+        """Return the start of an upstream that is in the table, or None."""
         row = self._rows.get(instance)
         return row.registration.incarnation.start if row is not None else None
 
     @property
     def reports_start_times(self) -> bool:
-        """Whether an upstream that is heard here states its start."""
+        """Whether any upstream in the table reports its start."""
         return any(row.registration.incarnation.start for row in self._rows.values())
 
     def rows(self) -> tuple[Registration, ...]:
-        """Return all rows, for an entry that knows nothing."""
+        """Return all registrations, for an entry that connects."""
         return tuple(row.registration for row in self._rows.values())
 
 
@@ -141,11 +146,11 @@
 
 
 def _cold_end_changed(row: _Row, registration: Registration, now: Millis) -> bool:
-    """Tell whether an upstream is cold for longer, or warm sooner, than it was."""
+    """Return whether the cold period now ends later or sooner than reported before."""
     expected = max(row.cold_until - now, 0)
     return abs(registration.cold_remaining - expected) > COLD_TOLERANCE
 
 
 def _stable_fields(registration: Registration) -> Registration:
-    """Return a registration without what changes from heartbeat to heartbeat."""
+    """Return a registration without the fields that change with every heartbeat."""
     return msgspec.structs.replace(registration, sequence=0, cold_remaining=0)
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""A replica's table of heartbeats."""
+"""`Registry`: a replica's table of upstreams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 INTERVAL = 1_000
 
 
-def test_only_what_is_new_is_told() -> None:
+def test_only_changes_are_reported() -> None:
     registry = Registry(INTERVAL)
     row = make_upstream(1)
     assert registry.heartbeat(row, 0)
@@ -36,12 +36,12 @@
     assert registry.heartbeat(make_upstream(1, sequence=2), limit + 2)
 
 
-def test_a_box_that_could_not_listen_takes_nobody_for_silent() -> None:
+def test_time_in_which_a_box_was_stopped_is_not_silence() -> None:
     registry = Registry(INTERVAL)
     registry.heartbeat(make_upstream(1), 0)
     limit = INTERVAL * MISSED_HEARTBEATS
     assert registry.expire(500) == ()
-    # It was away for 20 s; a second of them may have been silence.
+    # The box was stopped for 20 s, of which one second counts as silence.
     assert registry.expire(20_500) == ()
     for now in range(21_000, 20_500 + limit - 1_500 + 1, 500):
         assert registry.expire(now) == ()
