--- a/src/leadseam/membership/addresses.py
+++ b/src/leadseam/membership/addresses.py
@@ -16,7 +16,7 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-PROOF: Millis = 1_500
+PROOF_TTL: Millis = 1_500
 """Age of an answer up to which it shows that an incarnation still holds its address: a
 successor does not come sooner than 2 s after the end of the one before."""
 
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._claims: dict[_Address, _Claims] = {}
-        self._answered: dict[Incarnation, Millis] = {}
+        self._answered_at: dict[Incarnation, Millis] = {}
 
     def __repr__(self) -> str:
         return f"AddressTable(addresses={len(self._claims)})"
@@ -73,7 +73,7 @@
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
         """Note that an incarnation has answered a request that was meant for it."""
-        self._answered[incarnation] = now
+        self._answered_at[incarnation] = now
 
     def misdirected(self, row: Registration) -> bool:
         """Note that another incarnation answers at an address.
@@ -92,7 +92,7 @@
 
     def drop(self, row: Registration) -> None:
         """Forget an incarnation; one that is left holds the address."""
-        self._answered.pop(row.incarnation, None)
+        self._answered_at.pop(row.incarnation, None)
         address = (row.ip, row.port)
         claims = self._claims.get(address)
         if claims is None or row.incarnation not in claims.claimants:
@@ -104,5 +104,5 @@
             claims.holder = claims.claimants[-1]
 
     def _has_proof(self, incarnation: Incarnation, now: Millis) -> bool:
-        at = self._answered.get(incarnation)
-        return at is not None and now - at <= PROOF
+        answered_at = self._answered_at.get(incarnation)
+        return answered_at is not None and now - answered_at <= PROOF_TTL
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -5,14 +5,12 @@
 import msgspec
 
 from leadseam.incarnation import Incarnation
-from leadseam.membership.addresses import PROOF, AddressTable
+from leadseam.membership.addresses import PROOF_TTL, AddressTable
 from leadseam.membership.view import UpstreamView
 from tests.routing.samples import make_upstream
 
-SERVING = make_upstream(1)
-STALE = msgspec.structs.replace(
-    SERVING, incarnation=Incarnation("i-stale"), sequence=40
-)
+ACTIVE = make_upstream(1)
+STALE = msgspec.structs.replace(ACTIVE, incarnation=Incarnation("i-stale"), sequence=40)
 
 
 def instances(view: UpstreamView) -> set[str]:
@@ -20,17 +18,17 @@
     return {row.instance for row in view.pool("p")}
 
 
-def serving_view() -> UpstreamView:
+def active_view() -> UpstreamView:
     """Return a view with an upstream that answered at 1,000 ms."""
     view = UpstreamView()
-    view.update("a", [SERVING], 0)
+    view.update("a", [ACTIVE], 0)
     view.answered(Incarnation("i-1"), 1_000)
     return view
 
 
 def test_a_late_heartbeat_takes_no_address_from_one_that_answers() -> None:
-    view = serving_view()
-    view.update("b", [STALE], 1_000 + PROOF)
+    view = active_view()
+    view.update("b", [STALE], 1_000 + PROOF_TTL)
     assert instances(view) == {"i-1"}
     # Nor does it later, when nothing was sent there for long.
     view.update("b", [msgspec.structs.replace(STALE, sequence=41)], 60_000)
@@ -40,7 +38,7 @@
 
 
 def test_a_late_word_of_leaving_concerns_its_own_incarnation_only() -> None:
-    view = serving_view()
+    view = active_view()
     view.update("b", [msgspec.structs.replace(STALE, ready=False)], 1_200)
     view.left([Incarnation("i-stale")])
     assert instances(view) == {"i-1"}
@@ -49,14 +47,14 @@
 
 
 def test_a_successor_has_the_address_at_once_if_nothing_was_answered_of_late() -> None:
-    view = serving_view()
-    view.update("a", [STALE], 1_000 + PROOF + 1)
+    view = active_view()
+    view.update("a", [STALE], 1_000 + PROOF_TTL + 1)
     assert instances(view) == {"i-stale"}
 
 
 def test_an_answer_for_another_gives_the_address_back() -> None:
     view = UpstreamView()
-    view.update("a", [SERVING], 0)
+    view.update("a", [ACTIVE], 0)
     view.update("b", [STALE], 0)
     assert instances(view) == {"i-stale"}
     assert view.misdirected(Incarnation("i-stale"))
@@ -70,7 +68,7 @@
 
 
 def test_one_alone_keeps_its_address_whatever_is_said() -> None:
-    view = serving_view()
+    view = active_view()
     assert not view.misdirected(Incarnation("i-1"))
     assert not view.misdirected(Incarnation("i-unknown"))
     view.answered(Incarnation("i-unknown"), 0)
@@ -78,15 +76,15 @@
 
 
 def test_who_is_left_inherits_the_address_and_nothing_is_kept_of_the_others() -> None:
-    book = AddressTable()
-    book.claim(SERVING, 0)
-    book.answered(Incarnation("i-1"), 0)
-    book.claim(STALE, 10)
-    assert book.holds(SERVING)
-    assert not book.holds(STALE)
-    book.drop(SERVING)
-    assert book.holds(STALE)
-    book.drop(SERVING)
-    book.drop(STALE)
-    assert not book.holds(STALE)
-    assert repr(book) == "AddressTable(addresses=0)"
+    table = AddressTable()
+    table.claim(ACTIVE, 0)
+    table.answered(Incarnation("i-1"), 0)
+    table.claim(STALE, 10)
+    assert table.holds(ACTIVE)
+    assert not table.holds(STALE)
+    table.drop(ACTIVE)
+    assert table.holds(STALE)
+    table.drop(ACTIVE)
+    table.drop(STALE)
+    assert not table.holds(STALE)
+    assert repr(table) == "AddressTable(addresses=0)"
