--- a/src/leadseam/membership/addresses.py
+++ b/src/leadseam/membership/addresses.py
@@ -1,8 +1,8 @@
-"""Which incarnation of an upstream holds an address that several claim. No I/O.
+"""Resolves which incarnation holds an address that several claim. No I/O.
 
-An address is handed on when an upstream ends. A heartbeat that was held up on its way
-may come after another incarnation has registered there, through any replica, and looks
-like a newcomer. What an incarnation answers tells more than what is heard of it.
+An address is reused when an upstream ends. A delayed heartbeat may arrive through any
+replica after another incarnation has registered at the address, and then looks like a
+new upstream. An answer from an incarnation is better evidence than a heartbeat.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     from leadseam.wire.feed import Registration
 
 PROOF_TTL: Millis = 1_500
-"""Age of an answer up to which it shows that an incarnation still holds its address: a
-successor does not come sooner than 2 s after the end of the one before."""
+"""Age of an answer up to which it proves that an incarnation still holds its address: a
+successor does not start sooner than 2 s after its predecessor has ended."""
 
 _Address = tuple[str, int]
 
@@ -32,7 +32,7 @@
 
 
 class AddressTable:
-    """Holders of the addresses of all known upstreams."""
+    """Claims on the addresses of all registered upstreams, and their holders."""
 
     def __init__(self) -> None:
         self._claims: dict[_Address, _Claims] = {}
@@ -42,12 +42,12 @@
         return f"AddressTable(addresses={len(self._claims)})"
 
     def holds(self, row: Registration) -> bool:
-        """Tell whether an incarnation holds the address that it claims."""
+        """Return whether an incarnation holds the address that it claims."""
         claims = self._claims.get((row.ip, row.port))
         return claims is not None and claims.holder == row.incarnation
 
     def claim(self, row: Registration, now: Millis) -> None:
-        """Take a new incarnation; it holds its address unless another has proof."""
+        """Add a new incarnation; it gets its address unless the holder has proof."""
         address = (row.ip, row.port)
         claims = self._claims.get(address)
         if claims is None:
@@ -58,25 +58,25 @@
             claims.holder = row.incarnation
 
     def succeed(self, earlier: Registration, later: Registration) -> None:
-        """Take a later start of an upstream, which holds what the earlier one held.
+        """Replace an incarnation by a later start of it, which inherits its address.
 
         Args:
-            earlier: The start that is over; its claim ends.
-            later: The start that serves now, maybe at another address.
+            earlier: The start that has ended; its claim is removed.
+            later: The start that runs now, possibly at another address.
         """
         held = self.holds(earlier)
         self.drop(earlier)
-        # What was proved of the earlier one is void, and nothing is proved yet.
+        # Answers of the earlier start are no proof for the later one.
         self.claim(later, now=0)
         if held and (earlier.ip, earlier.port) == (later.ip, later.port):
             self._claims[later.ip, later.port].holder = later.incarnation
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
-        """Note that an incarnation has answered a request that was meant for it."""
+        """Record that an incarnation has answered a request that was meant for it."""
         self._answered_at[incarnation] = now
 
     def misdirected(self, row: Registration) -> bool:
-        """Note that another incarnation answers at an address.
+        """Record that another incarnation answers at an address.
 
         Returns:
             Whether the address has another holder now.
@@ -91,7 +91,7 @@
         return True
 
     def drop(self, row: Registration) -> None:
-        """Forget an incarnation; one that is left holds the address."""
+        """Remove an incarnation; the last remaining claimant inherits its address."""
         self._answered_at.pop(row.incarnation, None)
         address = (row.ip, row.port)
         claims = self._claims.get(address)
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -1,4 +1,4 @@
-"""Incarnations that claim one address, some by a heartbeat that came late."""
+"""Incarnations that claim the same address, some by a delayed heartbeat."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def instances(view: UpstreamView) -> set[str]:
-    """Return the incarnations that take new work."""
+    """Return the ids of the upstreams that accept new requests."""
     return {row.instance for row in view.pool("p")}
 
 
@@ -30,14 +30,14 @@
     view = active_view()
     view.update("b", [STALE], 1_000 + PROOF_TTL)
     assert instances(view) == {"i-1"}
-    # Nor does it later, when nothing was sent there for long.
+    # Nor does a later one, when no request was sent there for a long time.
     view.update("b", [msgspec.structs.replace(STALE, sequence=41)], 60_000)
     assert instances(view) == {"i-1"}
     view.expired("b", [Incarnation("i-stale")])
     assert instances(view) == {"i-1"}
 
 
-def test_a_late_word_of_leaving_concerns_its_own_incarnation_only() -> None:
+def test_a_late_departure_concerns_its_own_incarnation_only() -> None:
     view = active_view()
     view.update("b", [msgspec.structs.replace(STALE, ready=False)], 1_200)
     view.left([Incarnation("i-stale")])
@@ -46,7 +46,7 @@
     assert instances(view) == {"i-1"}
 
 
-def test_a_successor_has_the_address_at_once_if_nothing_was_answered_of_late() -> None:
+def test_a_successor_has_the_address_at_once_without_a_recent_answer() -> None:
     view = active_view()
     view.update("a", [STALE], 1_000 + PROOF_TTL + 1)
     assert instances(view) == {"i-stale"}
@@ -59,15 +59,15 @@
     assert instances(view) == {"i-stale"}
     assert view.misdirected(Incarnation("i-stale"))
     assert instances(view) == {"i-1"}
-    # Several requests were under way; only the first changes anything.
+    # Several requests were in flight; only the first one has an effect.
     assert not view.misdirected(Incarnation("i-stale"))
     assert instances(view) == {"i-1"}
-    # If that one is gone after all, it is turned back.
+    # If the new holder has ended after all, the address goes back.
     assert view.misdirected(Incarnation("i-1"))
     assert instances(view) == {"i-stale"}
 
 
-def test_one_alone_keeps_its_address_whatever_is_said() -> None:
+def test_a_sole_claimant_keeps_its_address() -> None:
     view = active_view()
     assert not view.misdirected(Incarnation("i-1"))
     assert not view.misdirected(Incarnation("i-unknown"))
@@ -75,7 +75,7 @@
     assert instances(view) == {"i-1"}
 
 
-def test_who_is_left_inherits_the_address_and_nothing_is_kept_of_the_others() -> None:
+def test_the_remaining_claimant_inherits_and_the_others_are_removed() -> None:
     table = AddressTable()
     table.claim(ACTIVE, 0)
     table.answered(Incarnation("i-1"), 0)
