--- a/src/leadseam/membership/__init__.py
+++ b/src/leadseam/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams that register themselves: heartbeats, expiry and what entries see."""
+"""Membership of upstreams: heartbeats, expiry, and the view that entries have."""
--- a/src/leadseam/membership/addresses.py
+++ b/src/leadseam/membership/addresses.py
@@ -58,7 +58,7 @@
             claims.holder = row.incarnation
 
     def succeed(self, earlier: Registration, later: Registration) -> None:
-        """Replace an incarnation by a later start of it, which inherits its address.
+        """Replace an incarnation by a later start, which inherits its address.
 
         Args:
             earlier: The start that has ended; its claim is removed.
--- a/src/leadseam/membership/departures.py
+++ b/src/leadseam/membership/departures.py
@@ -1,7 +1,7 @@
 """Upstreams that have left for good. No I/O.
 
-Leaving is final for an incarnation and for all before it, whatever comes late; a later
-start of the same upstream is not concerned.
+A departure is final for an incarnation and all earlier ones, whatever heartbeats arrive
+late. It does not affect a later start of the same upstream.
 """
 
 from __future__ import annotations
@@ -15,11 +15,15 @@
     from collections.abc import Iterable, Iterator
 
 MAX_DEPARTED = 10_000
-"""Upstreams remembered: days of a fleet's planned restarts, some 1 MB."""
+"""Most departures kept: several days of a fleet's planned restarts, some 1 MB."""
 
 
 class Departures:
-    """The latest incarnation of each upstream that has left."""
+    """The latest incarnation of each upstream that has left.
+
+    Args:
+        departed: Incarnations to begin with.
+    """
 
     def __init__(self, departed: Iterable[Incarnation] = ()) -> None:
         self._starts: OrderedDict[str, int] = OrderedDict()
@@ -42,7 +46,7 @@
         return start is not None and incarnation.start <= start
 
     def add(self, incarnation: Incarnation) -> bool:
-        """Note that an incarnation leaves; return whether that is new."""
+        """Record that an incarnation leaves; return whether that is new."""
         if incarnation in self:
             return False
         self._starts[incarnation.instance] = incarnation.start
--- a/tests/membership/test_incarnations.py
+++ b/tests/membership/test_incarnations.py
@@ -1,9 +1,9 @@
-"""Upstreams that start again under their id, at any replica and entry.
+"""Upstreams that restart under the same id, as seen by replicas and entries.
 
-The story: the id of an upstream stays when it starts again, and its count of
-heartbeats begins anew. As long as the id stood for one start, heartbeats of the later
-one were too old to count, a late word of leaving of the earlier one ended the later one
-for good, and an upstream that had left never came back.
+An upstream keeps its id when it restarts, and its heartbeat sequence starts again.
+While rows were keyed by the id alone, heartbeats of the later start were ignored as too
+old, a late departure of the earlier start removed the later one for good, and an
+upstream that had left never became available again.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from leadseam.wire.feed import Registration
 from tests.routing.samples import make_upstream
 
-LOOK_INTERVAL = 500
+CHECK_INTERVAL = 500
 INTERVAL = 1_000
 EARLIER = make_upstream(1, start=1_000, sequence=500)
 LATER = make_upstream(1, start=2_000, sequence=1)
 
 
 def used(view: UpstreamView) -> set[Incarnation]:
-    """Return the incarnations that take new work."""
+    """Return the incarnations that accept new requests."""
     return {row.incarnation for row in view.pool("p")}
 
 
@@ -44,12 +44,12 @@
     late = msgspec.structs.replace(EARLIER, sequence=900, ip="10.9.9.9")
     assert not registry.heartbeat(late, 1)
     assert registry.rows() == (LATER,)
-    # Nor does it keep the later one alive.
+    # It does not extend the lifetime of the later start either.
     assert registry.expire(INTERVAL * MISSED_HEARTBEATS + 1) == (LATER.incarnation,)
 
 
 def test_a_start_that_seems_earlier_counts_once_the_later_one_is_silent() -> None:
-    # So it is where the clock of a box is put back between two starts.
+    # This happens if the clock of a box is set back between two starts.
     registry = Registry(INTERVAL)
     registry.heartbeat(LATER, 0)
     limit = INTERVAL * MISSED_HEARTBEATS
@@ -82,12 +82,12 @@
     assert registry.heartbeat(make_upstream(1, sequence=2, pool="q"), 0)
 
 
-def test_an_entry_uses_the_later_start_only_and_hears_what_is_over() -> None:
+def test_an_entry_uses_only_the_later_start_and_reports_the_replaced_one() -> None:
     view = UpstreamView()
     assert view.update("a", [EARLIER], 0) == ()
     assert view.update("b", [LATER], 1) == (EARLIER.incarnation,)
     assert used(view) == {LATER.incarnation}
-    # Another replica has not heard of it yet, and drops the earlier one later.
+    # Another replica has not received it yet, and drops the earlier one later.
     assert view.update("a", [msgspec.structs.replace(EARLIER, sequence=501)], 2) == ()
     view.expired("a", [EARLIER.incarnation])
     view.left([EARLIER.incarnation])
@@ -107,13 +107,13 @@
     )
     view.update("a", [moved], 102)
     assert view.pool("p") == [moved]
-    # The address that it left is free for another.
+    # Another upstream may use the address that it left.
     neighbour = msgspec.structs.replace(make_upstream(2), ip=LATER.ip)
     view.update("a", [neighbour], 103)
     assert used(view) == {moved.incarnation}
 
 
-def test_one_that_left_comes_back_with_a_later_start() -> None:
+def test_one_that_left_returns_with_a_later_start() -> None:
     view = UpstreamView()
     view.update("a", [EARLIER], 0)
     view.left([EARLIER.incarnation])
@@ -123,18 +123,18 @@
     assert used(view) == {LATER.incarnation}
 
 
-def test_one_without_a_start_among_many_that_state_theirs_is_none() -> None:
+def test_a_row_without_a_start_among_many_with_one_is_ignored() -> None:
     view = UpstreamView()
     stated = [make_upstream(number, start=1_000) for number in (1, 2)]
     view.update("a", [*stated, make_upstream(3)], 0)
     assert used(view) == {row.incarnation for row in stated}
-    # Where most state none, ids are new at each start.
+    # If most rows report no start, each start has a new id.
     view.update("a", [make_upstream(number) for number in (4, 5)], 0)
     assert len(used(view)) == 5
 
 
 class RestartMachine(RuleBasedStateMachine):
-    """Two replicas, one entry, servers that start, crash, leave and are heard late."""
+    """Two replicas, one entry, and servers whose heartbeats may arrive late."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -149,7 +149,7 @@
 
     @rule(number=st.integers(1, 3), moved=st.booleans())
     def start(self, number: int, moved: bool) -> None:
-        """A server starts, under its id, maybe at another address."""
+        """A server starts under its id, possibly at another address."""
         self.latest += 10
         row = make_upstream(number, start=self.latest, sequence=1)
         if moved:
@@ -158,7 +158,7 @@
 
     @rule(number=st.integers(1, 3), replica=st.sampled_from("ab"), late=st.booleans())
     def beat(self, number: int, replica: str, late: bool) -> None:
-        """A server sends a heartbeat, which may be held up on its way."""
+        """A server sends a heartbeat, which may be delayed."""
         row = self.live.get(number)
         if row is None:
             return
@@ -171,7 +171,7 @@
 
     @rule(replica=st.sampled_from("ab"), data=st.data())
     def arrive(self, replica: str, data: st.DataObject) -> None:
-        """A heartbeat arrives late, in any order."""
+        """A delayed heartbeat arrives, in any order."""
         if self.late:
             row = self.late.pop(data.draw(st.integers(0, len(self.late) - 1)))
             self.hear(replica, row)
@@ -187,7 +187,7 @@
 
     @rule(number=st.integers(1, 3))
     def leave(self, number: int) -> None:
-        """A server leaves in order; what it said before may come later."""
+        """A server leaves in order; its earlier heartbeats may still arrive."""
         row = self.live.pop(number, None)
         if row is not None:
             self.departed.add(row.incarnation)
@@ -201,27 +201,27 @@
 
     @rule(replica=st.sampled_from("ab"))
     def fail_over(self, replica: str) -> None:
-        """A replica starts anew and knows nothing but who has left."""
+        """A replica restarts and has only the departures, which are replicated."""
         self.registries[replica] = Registry(INTERVAL)
         self.view.connected(replica, self.now)
         self.view.left(self.departed)
 
     @rule(step=st.sampled_from([10, 1_000, MISSED_HEARTBEATS * INTERVAL + 1]))
     def wait(self, step: int) -> None:
-        # Replicas and entries look every so often while time passes.
+        # Replicas and entries check for expired rows at intervals as time passes.
         end = self.now + step
         while self.now < end:
-            self.now = min(self.now + LOOK_INTERVAL, end)
+            self.now = min(self.now + CHECK_INTERVAL, end)
             for replica, registry in self.registries.items():
                 self.view.expired(replica, registry.expire(self.now))
             self.view.sweep(self.now)
         known = {one.instance for one in used(self.view)}
-        # Once nobody holds an upstream, what is heard next counts.
+        # Once no replica lists an upstream, the next heartbeat counts.
         self.told = {name: start for name, start in self.told.items() if name in known}
 
     @rule()
     def settle(self) -> None:
-        """Once each live server was heard and all else is over, they are used."""
+        """After a heartbeat of each live server, exactly these are used."""
         self.wait(max(LOST_REPLICA_TTL, MISSED_HEARTBEATS * INTERVAL) + 2)
         for number, row in list(self.live.items()):
             beat = msgspec.structs.replace(row, sequence=row.sequence + 1)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -254,7 +254,7 @@
         "membership/departures.py",
         "        return start is not None and incarnation.start <= start\n",
         "        return start is not None\n",
-        f"{RESTARTED}::test_one_that_left_comes_back_with_a_later_start",
+        f"{RESTARTED}::test_one_that_left_returns_with_a_later_start",
     ),
     Variant(
         "pools that nobody named are taken",
