--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -24,7 +24,7 @@
     from leadseam.crashes.fingerprint import Fingerprint
     from leadseam.incarnation import Incarnation
 
-SIGN_OF_LIFE: Millis = 100
+MIN_ANSWER_DELAY: Millis = 100
 """Time after a break from which an answer shows that the upstream goes on. Earlier ones
 may have been on their way: they take a few ms, and wait for a busy loop up to 30 ms."""
 UNDECIDED_LIMIT: Millis = 20_000
@@ -94,10 +94,10 @@
     def __init__(self) -> None:
         self.table = CrashTable()
         self._breaks: dict[Incarnation, _Break] = {}
-        self._undecided = 0
+        self._undecided_suspects = 0
 
     def __repr__(self) -> str:
-        return f"Suspects(undecided={self._undecided}, {self.table!r})"
+        return f"Suspects(undecided={self._undecided_suspects}, {self.table!r})"
 
     @property
     def undecided(self) -> bool:
@@ -123,15 +123,15 @@
         broken.at = now
         if suspect in broken.suspects:
             broken.suspects[suspect] |= early
-        elif self._undecided < MAX_UNDECIDED:
+        elif self._undecided_suspects < MAX_UNDECIDED:
             broken.suspects[suspect] = early
-            self._undecided += 1
+            self._undecided_suspects += 1
         return first
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
         """Note that an upstream has answered."""
         broken = self._breaks.get(incarnation)
-        if broken is not None and now - broken.at >= SIGN_OF_LIFE:
+        if broken is not None and now - broken.at >= MIN_ANSWER_DELAY:
             self._drop(incarnation)
 
     def ended(self, incarnation: Incarnation, now: Millis) -> Findings:
@@ -143,12 +143,14 @@
             _row(suspect, incarnation, early=early)
             for suspect, early in broken.suspects.items()
         ]
-        free = [row for row in rows if not self.table.convicts(row.fingerprint)]
+        unconvicted = [row for row in rows if not self.table.convicts(row.fingerprint)]
         merged = [self.table.merge(row, now) for row in rows]
         return Findings(
             tuple(row for row in merged if row is not None),
             tuple(
-                row.fingerprint for row in free if self.table.convicts(row.fingerprint)
+                row.fingerprint
+                for row in unconvicted
+                if self.table.convicts(row.fingerprint)
             ),
         )
 
@@ -156,19 +158,19 @@
         self, presence: Callable[[Incarnation], Presence], now: Millis
     ) -> Findings:
         """Look at what registrations say; return what is learned from it."""
-        news = Findings()
+        findings = Findings()
         for incarnation, broken in list(self._breaks.items()):
             match presence(incarnation):
                 case Presence.GONE:
                     ended = self.ended(incarnation, now)
-                    news = Findings(
-                        news.rows + ended.rows, news.convicted + ended.convicted
+                    findings = Findings(
+                        findings.rows + ended.rows, findings.convicted + ended.convicted
                     )
                 case Presence.LEAVES:
                     self._drop(incarnation)
                 case _ if now - broken.at > UNDECIDED_LIMIT:
                     self._drop(incarnation)
-        return news
+        return findings
 
     def merge_reports(
         self, rows: Iterable[CrashRow], now: Millis
@@ -187,7 +189,7 @@
         for broken in self._breaks.values():
             if suspect in broken.suspects:
                 del broken.suspects[suspect]
-                self._undecided -= 1
+                self._undecided_suspects -= 1
         return self.table.void(suspect.fingerprint, now)
 
     def would_be_convicted(self, suspect: Suspect) -> bool:
@@ -202,7 +204,7 @@
 
     def may_match(self, account: str, size: int) -> bool:
         """Tell whether a request may be known, before its body is digested."""
-        return self.table.may_hold(account, size) or any(
+        return self.table.may_match(account, size) or any(
             (one.account, one.size) == (account, size)
             for broken in self._breaks.values()
             for one in broken.suspects
@@ -211,7 +213,7 @@
     def _drop(self, incarnation: Incarnation) -> _Break | None:
         broken = self._breaks.pop(incarnation, None)
         if broken is not None:
-            self._undecided -= len(broken.suspects)
+            self._undecided_suspects -= len(broken.suspects)
         return broken
 
 
--- a/src/leadseam/crashes/table.py
+++ b/src/leadseam/crashes/table.py
@@ -83,7 +83,7 @@
         row = self.get(fingerprint)
         return evidence.weight_of(row) if row is not None else 0
 
-    def may_hold(self, account: str, size: int) -> bool:
+    def may_match(self, account: str, size: int) -> bool:
         """Tell whether a request may have a row, before its body is digested."""
         return (account, size) in self._sizes
 
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -6,7 +6,7 @@
 
 from leadseam.crashes.suspects import (
     MAX_UNDECIDED,
-    SIGN_OF_LIFE,
+    MIN_ANSWER_DELAY,
     UNDECIDED_LIMIT,
     Findings,
     Presence,
@@ -36,10 +36,10 @@
 
 
 def test_an_upstream_that_answers_later_has_not_ended(suspects: Suspects) -> None:
-    suspects.answered(upstream(1), SIGN_OF_LIFE - 1)
+    suspects.answered(upstream(1), MIN_ANSWER_DELAY - 1)
     assert suspects.undecided
-    suspects.answered(upstream(1), SIGN_OF_LIFE)
-    assert suspects.ended(upstream(1), SIGN_OF_LIFE) == Findings()
+    suspects.answered(upstream(1), MIN_ANSWER_DELAY)
+    assert suspects.ended(upstream(1), MIN_ANSWER_DELAY) == Findings()
 
 
 def test_an_upstream_that_has_announced_its_end_is_no_evidence(
@@ -52,8 +52,8 @@
 def test_an_upstream_that_is_not_heard_any_more_has_ended(suspects: Suspects) -> None:
     assert suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT) == Findings()
     assert suspects.undecided
-    news = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
-    assert news == Findings(rows=(make_row(1),))
+    findings = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
+    assert findings == Findings(rows=(make_row(1),))
 
 
 def test_what_stays_undecided_is_forgotten(suspects: Suspects) -> None:
@@ -83,7 +83,7 @@
     suspects.record_break(DEADLY, upstream(2), 1, early=True)
     assert suspects.would_be_convicted(DEADLY)
     assert not suspects.would_be_convicted(GOOD)
-    suspects.answered(upstream(2), 1 + SIGN_OF_LIFE)
+    suspects.answered(upstream(2), 1 + MIN_ANSWER_DELAY)
     assert not suspects.would_be_convicted(DEADLY)
 
 
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -71,10 +71,10 @@
     assert len(book) == 2
     book.expire_suspects(SUSPECT_TTL + 1)
     assert book.rows() == (make_row(1, 2, 3),)
-    assert book.may_hold("bank", 7)
+    assert book.may_match("bank", 7)
     book.void(DEADLY.fingerprint, SUSPECT_TTL + 2)
     book.expire_suspects(2 * SUSPECT_TTL + 3)
-    assert not book.may_hold("bank", 7)
+    assert not book.may_match("bank", 7)
 
 
 def test_one_account_pushes_out_neither_its_worst_nor_anothers() -> None:
