--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -1,10 +1,10 @@
-"""What an entry has seen of requests that may end upstreams. No I/O.
+"""An entry's evidence against requests that may crash upstreams. No I/O.
 
-An attempt that breaks says little by itself: connections are reset, answers are lost.
-It speaks against its request only if the upstream has ended too: connections to it are
-refused, it has started again, another one holds its address, or it is silent until it
-expires. An upstream that answers later, or that has announced its end, speaks against
-nobody.
+A broken attempt alone is weak evidence: connections are reset, answers are lost. It
+counts against its request only if the upstream has ended too: connections to it are
+refused, it has started again, another one holds its address, or it sends no heartbeat
+until it expires. If the upstream answers later, or had announced that it leaves, the
+break counts against no request.
 """
 
 from __future__ import annotations
@@ -25,17 +25,18 @@
     from leadseam.incarnation import Incarnation
 
 MIN_ANSWER_DELAY: Millis = 100
-"""Time after a break from which an answer shows that the upstream goes on. Earlier ones
-may have been on their way: they take a few ms, and wait for a busy loop up to 30 ms."""
+"""Time after a break from which an answer shows that the upstream still runs. Earlier
+answers may have been in flight: they take a few ms, and up to 30 ms more if the event
+loop is busy."""
 UNDECIDED_LIMIT: Millis = 20_000
-"""Time after which a break is forgotten: an upstream that has ended expires after six
+"""Time after which a break is dropped: an upstream that has ended expires after six
 heartbeats, 7 s on today's deployments."""
 MAX_UNDECIDED = 2_000
-"""Breaks kept at a time, some 0.5 MB: every request of a busy entry, twice over."""
+"""Most suspects kept, some 0.5 MB: twice the requests of a busy entry."""
 
 
 class Presence(Enum):
-    """What registrations say of an incarnation."""
+    """State of an incarnation according to the registrations."""
 
     SERVES = auto()
     LEAVES = auto()
@@ -45,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """A request as far as it is told to others.
+    """A suspected request, with the fields that are reported to replicas.
 
     Args:
-        fingerprint: What is the same when it is sent again.
-        account: Client account that sent it, or an empty text.
+        fingerprint: Digest that stays the same when the request is sent again.
+        account: Client account that sent it, or an empty string.
         size: Bytes of its body.
     """
 
@@ -60,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Findings:
-    """What was learned from ends of upstreams.
+    """Result of processing ends of upstreams.
 
     Args:
-        rows: What is news to the others.
+        rows: Rows that have changed and must be reported.
         convicted: Requests that are refused from now on.
     """
 
@@ -77,7 +78,7 @@
 
     Args:
         at: When the last of them broke.
-        suspects: Their requests, and whether they had just begun there.
+        suspects: Their requests, and whether each had just begun there.
     """
 
     at: Millis
@@ -85,10 +86,12 @@
 
 
 class Suspects:
-    """Breaks that are undecided, and what all entries know.
+    """Undecided breaks of this entry, and the table that all entries share.
+
+    A break is undecided until it is known whether its upstream has ended.
 
     Attributes:
-        table: What this entry and the others have seen.
+        table: Ends of upstreams that this entry and the others have recorded.
     """
 
     def __init__(self) -> None:
@@ -101,22 +104,22 @@
 
     @property
     def undecided(self) -> bool:
-        """Whether it is not known yet of some upstream if it has ended."""
+        """Whether any break is undecided."""
         return bool(self._breaks)
 
     def record_break(
         self, suspect: Suspect, incarnation: Incarnation, now: Millis, *, early: bool
     ) -> bool:
-        """Note an attempt that broke.
+        """Record an attempt that broke.
 
         Args:
             suspect: Its request.
-            incarnation: Where it ran.
+            incarnation: Upstream that ran it.
             now: Current time.
             early: Whether it had just begun there, and nothing was answered.
 
         Returns:
-            Whether it is the first at this upstream that is undecided.
+            Whether it is the first undecided break at this upstream.
         """
         first = incarnation not in self._breaks
         broken = self._breaks.setdefault(incarnation, _Break(now))
@@ -129,13 +132,13 @@
         return first
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
-        """Note that an upstream has answered."""
+        """Record an answer of an upstream; one that is late enough drops its break."""
         broken = self._breaks.get(incarnation)
         if broken is not None and now - broken.at >= MIN_ANSWER_DELAY:
             self._drop(incarnation)
 
     def ended(self, incarnation: Incarnation, now: Millis) -> Findings:
-        """Note that an upstream has ended; return what is learned from it."""
+        """Record that an upstream has ended; return the findings."""
         broken = self._drop(incarnation)
         if broken is None:
             return Findings()
@@ -157,7 +160,12 @@
     def review(
         self, presence: Callable[[Incarnation], Presence], now: Millis
     ) -> Findings:
-        """Look at what registrations say; return what is learned from it."""
+        """Check all undecided breaks against the registrations; return the findings.
+
+        Args:
+            presence: Returns the state of an incarnation.
+            now: Current time.
+        """
         findings = Findings()
         for incarnation, broken in list(self._breaks.items()):
             match presence(incarnation):
@@ -175,7 +183,7 @@
     def merge_reports(
         self, rows: Iterable[CrashRow], now: Millis
     ) -> tuple[Fingerprint, ...]:
-        """Take what others have seen; return the requests that are convicted by it."""
+        """Merge rows of other entries; return the requests that they convict."""
         fresh = []
         for row in rows:
             known = self.table.convicts(row.fingerprint)
@@ -185,7 +193,7 @@
         return tuple(fresh)
 
     def acquit(self, suspect: Suspect, now: Millis) -> CrashRow | None:
-        """Acquit a request that has run to its end; return what is news, if any."""
+        """Acquit a request that was answered whole; return its row if it changed."""
         for broken in self._breaks.values():
             if suspect in broken.suspects:
                 del broken.suspects[suspect]
@@ -193,7 +201,7 @@
         return self.table.void(suspect.fingerprint, now)
 
     def would_be_convicted(self, suspect: Suspect) -> bool:
-        """Tell whether a request would be convicted if its upstreams have ended."""
+        """Return whether a request would be convicted if its upstreams have ended."""
         undecided = sum(
             evidence.weight(early=one.suspects[suspect])
             for one in self._breaks.values()
@@ -203,7 +211,7 @@
         return known + undecided >= evidence.CONVICTION_WEIGHT
 
     def may_match(self, account: str, size: int) -> bool:
-        """Tell whether a request may be known, before its body is digested."""
+        """Return whether a request may be a suspect, before its body is hashed."""
         return self.table.may_match(account, size) or any(
             (one.account, one.size) == (account, size)
             for broken in self._breaks.values()
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -1,4 +1,4 @@
-"""What speaks against a request, and what does not."""
+"""`Suspects`: what counts as evidence against a request, and what does not."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def suspects() -> Suspects:
-    """An entry where an attempt at the first upstream broke at 0 ms."""
+    """Suspects of an entry where an attempt at the first upstream broke at 0 ms."""
     suspects = Suspects()
     assert suspects.record_break(DEADLY, upstream(1), 0, early=True)
     return suspects
@@ -56,7 +56,7 @@
     assert findings == Findings(rows=(make_row(1),))
 
 
-def test_what_stays_undecided_is_forgotten(suspects: Suspects) -> None:
+def test_a_break_that_stays_undecided_is_dropped(suspects: Suspects) -> None:
     suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT + 1)
     assert not suspects.undecided
 
@@ -77,7 +77,7 @@
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
 
 
-def test_a_third_break_is_a_trial(suspects: Suspects) -> None:
+def test_a_third_break_would_convict(suspects: Suspects) -> None:
     suspects.merge_reports([make_row(7)], 0)
     assert not suspects.would_be_convicted(DEADLY)
     suspects.record_break(DEADLY, upstream(2), 1, early=True)
@@ -87,7 +87,7 @@
     assert not suspects.would_be_convicted(DEADLY)
 
 
-def test_what_others_have_seen_convicts_once(suspects: Suspects) -> None:
+def test_rows_of_other_entries_convict_once(suspects: Suspects) -> None:
     assert suspects.merge_reports([make_row(2, 3)], 0) == ()
     assert suspects.merge_reports([make_row(3, 4)], 0) == (DEADLY.fingerprint,)
     assert suspects.merge_reports([make_row(5)], 0) == ()
