--- a/src/leadseam/crashes/table.py
+++ b/src/leadseam/crashes/table.py
@@ -108,7 +108,7 @@
         self.changes += 1
         self._account_of[row.fingerprint] = account
         self._changed_at[row.fingerprint] = now
-        self._bound(rows)
+        self._evict(rows)
         return merged
 
     def void(self, fingerprint: Fingerprint, now: Millis = 0) -> CrashRow | None:
@@ -123,23 +123,23 @@
 
     def expire_suspects(self, now: Millis) -> None:
         """Forget suspects of long ago; who is convicted stays."""
-        old = [
+        expired = [
             fingerprint
             for fingerprint, at in self._changed_at.items()
             if now - at > SUSPECT_TTL and not self.convicts(fingerprint)
         ]
-        for fingerprint in old:
-            self._forget(fingerprint)
+        for fingerprint in expired:
+            self._remove(fingerprint)
 
-    def _bound(self, rows: _Rows) -> None:
+    def _evict(self, rows: _Rows) -> None:
         while len(rows) > MAX_ROWS_OF_ACCOUNT:
-            least = min(rows.values(), key=evidence.weight_of)
-            self._forget(least.fingerprint)
+            weakest = min(rows.values(), key=evidence.weight_of)
+            self._remove(weakest.fingerprint)
         while len(self._accounts) > MAX_ACCOUNTS:
             for fingerprint in list(next(iter(self._accounts.values()))):
-                self._forget(fingerprint)
+                self._remove(fingerprint)
 
-    def _forget(self, fingerprint: Fingerprint) -> None:
+    def _remove(self, fingerprint: Fingerprint) -> None:
         account = self._account_of.pop(fingerprint)
         del self._changed_at[fingerprint]
         rows = self._accounts[account]
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -63,7 +63,7 @@
     assert book.count(DEADLY.fingerprint) == 1
 
 
-def test_suspects_fade_and_verdicts_stay() -> None:
+def test_suspects_expire_and_verdicts_stay() -> None:
     book = CrashTable()
     book.merge(make_row(1, 2, 3), 0)
     book.merge(make_row(1, 2, suspect=GOOD), 0)
@@ -77,7 +77,7 @@
     assert not book.may_match("bank", 7)
 
 
-def test_one_account_pushes_out_neither_its_worst_nor_anothers() -> None:
+def test_eviction_spares_convicted_requests_and_other_accounts() -> None:
     book = CrashTable([make_row(1, 2, 3), make_row(1, suspect=Suspect("o", "shop", 1))])
     for number in range(10_000):
         book.merge(make_row(1, suspect=Suspect(str(number), "bank", 7)))
