--- a/src/leadseam/crashes/table.py
+++ b/src/leadseam/crashes/table.py
@@ -1,7 +1,7 @@
-"""Which requests have ended how many upstreams, merged from all who saw it. No I/O.
+"""Upstreams that ended under each request, merged from all reports. No I/O.
 
-Entries, replicas and the replicated state each hold such a book. Its rows only grow, so
-books that have heard the same rows agree, in whatever order they came.
+Entries, replicas and the replicated state each hold such a table. Its rows only grow,
+so tables that have merged the same rows agree, whatever the order.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
     from leadseam.wire.crashes import CrashRow
 
 MAX_ENDED = 8
-"""Incarnations kept in a row; more say nothing new."""
+"""Incarnations kept in a row; more of them add no information."""
 MAX_ROWS_OF_ACCOUNT = 256
-"""Rows of one client account: several ends of an engine that ran its work alone. A row
-of three incarnations takes some 0.5 KB."""
+"""Most rows of one client account: several ends of an engine that ran only requests of
+this account. A row of three incarnations takes some 0.5 KB."""
 MAX_ACCOUNTS = 1_000
-"""Client accounts with rows: 60 of today's largest deployment, and room to grow."""
+"""Most client accounts with rows: today's largest deployment has 60, so it may grow."""
 SUSPECT_TTL: Millis = 600_000
-"""Time after which a suspect without a further end is forgotten: callers give a request
-up after seconds, and send it again within minutes."""
+"""Time after which a suspect without a further end is removed: callers abandon a
+request after seconds, and send it again within minutes."""
 
 _Rows = OrderedDict["Fingerprint", "CrashRow"]
 
 
 class CrashTable:
-    """Rows by fingerprint; one client account cannot push out another's.
+    """Rows by fingerprint, bounded for each client account.
+
+    The rows of one account never evict those of another.
 
     Args:
         rows: Rows to begin with.
@@ -69,36 +71,36 @@
         return None if account is None else self._accounts[account][fingerprint]
 
     def count(self, fingerprint: Fingerprint) -> int:
-        """Return how many upstreams a request has ended, as far as it counts."""
+        """Return how many ended upstreams count against a request."""
         row = self.get(fingerprint)
         return len(row.counted) if row is not None else 0
 
     def convicts(self, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request is to be refused."""
+        """Return whether a request is to be refused."""
         row = self.get(fingerprint)
         return row is not None and evidence.convicts(row)
 
     def weight(self, fingerprint: Fingerprint) -> int:
-        """Return how much is known against a request."""
+        """Return the weight of the evidence against a request."""
         row = self.get(fingerprint)
         return evidence.weight_of(row) if row is not None else 0
 
     def may_match(self, account: str, size: int) -> bool:
-        """Tell whether a request may have a row, before its body is digested."""
+        """Return whether a request may have a row, before its body is hashed."""
         return (account, size) in self._sizes
 
     def merge(self, row: CrashRow, now: Millis = 0) -> CrashRow | None:
-        """Take a row; return what is known now if that is news, else None.
+        """Merge a row; return the merged row if it changed, else None.
 
         Args:
-            row: What somebody has seen.
-            now: Current time, for rows that fade.
+            row: Ends of upstreams that some process has recorded.
+            now: Current time, from which the lifetime of a suspect counts.
         """
         known = self.get(row.fingerprint)
         merged = row if known is None else _union(known, row)
         if merged == known:
             return None
-        # The account of the first row counts: a digest has only one.
+        # The account of the first row is kept: a fingerprint has only one account.
         account = row.account if known is None else known.account
         rows = self._accounts.setdefault(account, OrderedDict())
         rows[row.fingerprint] = merged
@@ -112,9 +114,9 @@
         return merged
 
     def void(self, fingerprint: Fingerprint, now: Millis = 0) -> CrashRow | None:
-        """Let nothing that is known count against a request; return the news, if any.
+        """Void all recorded ends of a request; return its row if it changed.
 
-        A further end counts anew.
+        Ends that are recorded later count again.
         """
         row = self.get(fingerprint)
         if row is None:
@@ -122,7 +124,7 @@
         return self.merge(msgspec.structs.replace(row, void=row.ended), now)
 
     def expire_suspects(self, now: Millis) -> None:
-        """Forget suspects of long ago; who is convicted stays."""
+        """Remove suspects older than `SUSPECT_TTL`; convicted requests stay."""
         expired = [
             fingerprint
             for fingerprint, at in self._changed_at.items()
@@ -152,7 +154,7 @@
 
 
 def _union(known: CrashRow, row: CrashRow) -> CrashRow:
-    """Return both rows in one; the newest ends are kept beyond `MAX_ENDED`."""
+    """Return the union of two rows, cut to the newest `MAX_ENDED` incarnations."""
     ended = tuple(dict.fromkeys([*known.ended, *row.ended]))
     void = tuple(dict.fromkeys([*known.void, *row.void]))
     early = tuple(dict.fromkeys([*known.early, *row.early]))
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -1,4 +1,4 @@
-"""Rows merged from many writers, and their bounds."""
+"""`CrashTable`: rows merged from many processes, and their limits."""
 
 from __future__ import annotations
 
