--- a/src/leadseam/crashes/evidence.py
+++ b/src/leadseam/crashes/evidence.py
@@ -1,8 +1,8 @@
-"""How much the ends of upstreams speak against a request that ran there. No I/O.
+"""Weight of the ends of upstreams as evidence against a request. No I/O.
 
-A request that crashes whatever begins it ends its upstream within some ms, before a
-byte of an answer. One that merely ran there is hit at any moment of its time, so its
-ends weigh less.
+A request that crashes every upstream that begins it ends the upstream within some ms,
+before the first byte of an answer. A request that merely ran there may be interrupted
+at any moment, so late ends weigh less.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
     from leadseam.wire.crashes import CrashRow
 
 EARLY_LIMIT: Millis = 200
-"""Time from a send within which a break is early, if nothing was answered: a crash
-takes some 50 ms, and a busy event loop adds some 100."""
+"""Time after sending within which a break is early, if nothing was answered: a crash
+takes some 50 ms, and a busy event loop adds some 100 ms."""
 ENGINE_EARLY_LIMIT: Millis = 2_000
-"""The same at an engine, where a request may stand in a queue before it is begun, and
-where its first token tells when it was: callers give a stream up after some 3 s."""
+"""The same limit at engines, where a request may wait in a queue before it is begun,
+and only its first token shows that it was. Callers abandon a stream after some 3 s."""
 EARLY_WEIGHT = 5
 LATE_WEIGHT = 4
 CONVICTION_WEIGHT = 3 * EARLY_WEIGHT
-"""Weight from which on a request is refused: three early ends, two with two late ones,
-or four late ones. Three ends are to be borne, and three sends after them; a fourth end
-leaves two of these for copies that are under way then. One end takes everything that
-ran there with it, some 4 to 60 requests, and a repeat may meet a second one."""
+"""Weight at which a request is refused: three early ends, two early and two late ones,
+or four late ones. The fleet must tolerate three ends, and three sends after them; a
+fourth end leaves two of these for copies that are in flight then. One end interrupts
+all requests of the upstream, some 4 to 60, and a retry may meet a second end."""
 
 
 def weight(*, early: bool) -> int:
-    """Return how much one end speaks against a request."""
+    """Return the weight of one end."""
     return EARLY_WEIGHT if early else LATE_WEIGHT
 
 
 def weight_of(row: CrashRow) -> int:
-    """Return how much all ends that count speak against a request."""
+    """Return the weight of all ends of a row that are not void."""
     early = set(row.early)
     return sum(weight(early=one in early) for one in row.counted)
 
 
 def convicts(row: CrashRow) -> bool:
-    """Tell whether a request is to be refused."""
+    """Return whether the weight of a row is enough to refuse its request."""
     return weight_of(row) >= CONVICTION_WEIGHT
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -1,4 +1,4 @@
-"""How many ends convict, by when they came."""
+"""Weight of early and late ends, and how many of them convict."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert (weight_of(row), convicts(row)) == (weight, convicted)
 
 
-def test_an_end_that_anybody_saw_early_is_early() -> None:
+def test_an_end_is_early_if_any_report_says_so() -> None:
     book = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
     assert not book.convicts(DEADLY.fingerprint)
     book.merge(make_row(1, 2))
