--- a/src/leadseam/crashes/__init__.py
+++ b/src/leadseam/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the upstreams which run them: recognising and refusing them."""
+"""Detection and refusal of requests that crash the upstreams which run them."""
--- a/src/leadseam/crashes/fingerprint.py
+++ b/src/leadseam/crashes/fingerprint.py
@@ -1,4 +1,4 @@
-"""What tells that two requests are the same, whatever their identifiers. No I/O."""
+"""Fingerprints, which identify a request whatever its identifiers. No I/O."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
     from leadseam.routing.dialect import RoutedRequest
 
 Fingerprint: TypeAlias = str
-"""Hexadecimal digest of path, caller and body."""
+"""Hexadecimal digest of caller, path and body."""
 
 DIGEST_SIZE = 16
-"""Bytes of a digest. A cryptographic one, so that nobody can write a request that is
-taken for another caller's."""
+"""Bytes of a digest. The hash is cryptographic, so that nobody can craft a request that
+has the fingerprint of another caller's."""
 
 
 def fingerprint(req: RoutedRequest, account: str | None, body: bytes) -> Fingerprint:
-    """Return the digest of what a request asks for, and on whose behalf.
+    """Return the digest of a request's caller, path and body.
 
-    A large body takes most of a millisecond, so it is worked out only where a request
-    is suspected.
+    Hashing a large body takes most of a millisecond, so it is computed only for
+    requests that may be suspects.
 
     Args:
-        req: The request. Its query counts only where there is no body to tell requests
-            apart, for a caller may number what it sends again there.
-        account: Client account, or None; its bearer key stands in for it then.
-        body: Its body.
+        req: The request. Its query counts only if there is no body to distinguish
+            requests, as a caller may number its retries in the query.
+        account: Client account, or None; the bearer key is used instead then.
+        body: Body of the request.
     """
     caller = account if account is not None else f"key:{req.key or ''}"
     digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
--- a/tests/crashes/samples.py
+++ b/tests/crashes/samples.py
@@ -1,4 +1,4 @@
-"""Literal rows and suspects for the tests of requests that end upstreams."""
+"""Sample rows and suspects for the tests of crashes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def upstream(number: int) -> Incarnation:
-    """Return an incarnation."""
+    """Return the incarnation of an upstream by its number."""
     return Incarnation(f"i-{number}")
 
 
@@ -21,7 +21,7 @@
     void: tuple[int, ...] = (),
     late: tuple[int, ...] = (),
 ) -> CrashRow:
-    """Return a row of upstreams that have ended under a suspect, early if not late."""
+    """Return a row of ended upstreams; ends not in `late` are early."""
     return CrashRow(
         suspect.fingerprint,
         suspect.account,
--- a/tests/crashes/test_fingerprint.py
+++ b/tests/crashes/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for the same."""
+"""Which requests have the same fingerprint."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 def test_path_account_and_body_tell_requests_apart() -> None:
     req = make_request()
     other = replace(req, target="/chat/2")
-    marks = {
+    fingerprints = {
         fingerprint(req, "bank", b"{}"),
         fingerprint(other, "bank", b"{}"),
         fingerprint(req, "shop", b"{}"),
         fingerprint(req, None, b"{}"),
         fingerprint(req, "bank", b"{ }"),
     }
-    assert len(marks) == 5
+    assert len(fingerprints) == 5
 
 
 def test_a_query_counts_only_where_there_is_no_body() -> None:
