--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -1,7 +1,7 @@
-"""Entries and replicas that tell each other, in any order, with losses. No I/O.
+"""Crash reports between entries and replicas, in any order, with losses. No I/O.
 
-The model knows how many upstreams a request has ended. Once all that was said has been
-heard by a replica and an entry that are whole, that entry sends it nowhere.
+The model counts the upstreams that a request has ended. Once all messages have been
+delivered, every entry refuses the request exactly if it has ended enough of them.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     from leadseam.incarnation import Incarnation
 
 CONVICTING_ENDS = 3
-"""Ends of a request that ends each upstream as soon as it begins there."""
+"""Early ends after which a request is convicted."""
 ENTRIES = range(3)
 REPLICAS = range(3)
 
 
 class Fleet(RuleBasedStateMachine):
-    """Three entries that follow three replicas; one deadly request, one good one."""
+    """Three entries connected to three replicas, a deadly request and a good one."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -72,7 +72,7 @@
         early=st.booleans(),
     )
     def send(self, entry: int, late: bool, good: bool, early: bool) -> None:
-        """An entry sends the deadly request, if it may; a good one may run beside."""
+        """An entry sends the deadly request if allowed; a good one may run too."""
         suspects = self.entries[entry]
         if suspects.table.convicts(DEADLY.fingerprint) or suspects.would_be_convicted(
             DEADLY
@@ -95,7 +95,7 @@
     @precondition(lambda self: self.broken)
     @rule(which=st.integers(0, 5))
     def find_out(self, which: int) -> None:
-        """An entry learns that an upstream has ended."""
+        """An entry detects that an upstream has ended."""
         entry, incarnation = self.broken.pop(which % len(self.broken))
         self.report(entry, self.entries[entry].ended(incarnation, self.now).rows)
 
@@ -106,7 +106,7 @@
         twice=st.booleans(),
     )
     def deliver(self, way: str, entry: int, replica: int, twice: bool) -> None:
-        """A message arrives, maybe once more later."""
+        """A message arrives, and possibly a second time later."""
         queue = self.link(way, entry, replica)
         if not queue:
             return
@@ -123,7 +123,10 @@
 
     @rule(entry=st.sampled_from(ENTRIES), replica=st.sampled_from(REPLICAS))
     def follow_anew(self, entry: int, replica: int) -> None:
-        """A link breaks: what was under way is lost, and both sides greet."""
+        """A link breaks and is opened again.
+
+        Messages in flight are lost, and both sides send all their rows.
+        """
         for way in ("up", "down"):
             self.link(way, entry, replica).clear()
         self.link("up", entry, replica).append(
@@ -134,25 +137,25 @@
 
     @rule(replica=st.sampled_from(REPLICAS))
     def lose_replica(self, replica: int) -> None:
-        """A replica starts with nothing but the log."""
+        """A replica restarts with nothing but the log."""
         self.replicas[replica] = self.new_replica(replica)
         for entry in ENTRIES:
             self.follow_anew(entry, replica)
 
     @rule(replica=st.sampled_from(REPLICAS))
     def write(self, replica: int) -> None:
-        """A replica's verdicts are committed; all hear of it at some time."""
+        """A replica's verdicts are committed; the others apply them later."""
         for row in self.replicas[replica]._unwritten():
             self.log.merge(row)
 
     @rule(replica=st.sampled_from(REPLICAS))
     def apply(self, replica: int) -> None:
-        """A replica looks at the log."""
+        """A replica applies the log."""
         self.replicas[replica].applied()
 
     @rule()
     def lose_all(self) -> None:
-        """All boxes lose power; what is in the log stays."""
+        """All boxes lose power; only the log is kept."""
         self.links.clear()
         self.broken.clear()
         written = self.log.convicts(DEADLY.fingerprint)
@@ -164,7 +167,7 @@
 
     @rule()
     def settle(self) -> None:
-        """Everything that is to be learned is learned, and every message arrives."""
+        """All ends of upstreams are detected, and all messages arrive."""
         while self.broken:
             self.find_out(0)
         for _ in range(4):
@@ -177,7 +180,7 @@
 
     @invariant()
     def good_requests_are_never_convicted(self) -> None:
-        """A request that was answered whole each time stays innocent."""
+        """A request that was answered whole each time is never convicted."""
         for suspects in self.entries.values():
             assert not suspects.table.convicts(GOOD.fingerprint)
 
