--- a/src/leadseam/fairness/ledger.py
+++ b/src/leadseam/fairness/ledger.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class _Own:
+class _OwnService:
     served: int = 0
     reserved: int = 0
 
@@ -22,7 +22,7 @@
     """
 
     def __init__(self) -> None:
-        self._own: dict[str, _Own] = {}
+        self._own: dict[str, _OwnService] = {}
         self._others: dict[str, tuple[int, int]] = {}
         self._offsets: dict[str, int] = {}
         self._changed: set[str] = set()
@@ -46,7 +46,7 @@
         row = self._own_row(account)
         row.reserved = max(row.reserved + amount, 0)
 
-    def raise_to(self, account: str, level: int) -> None:
+    def raise_level(self, account: str, level: int) -> None:
         """Lift an account that was idle, so that it brings no old credit.
 
         Nothing is done before the others' service is known: what seems missing may
@@ -78,11 +78,11 @@
         accounts = set(self._own) | set(self._offsets)
         return tuple(self._row(account) for account in sorted(accounts))
 
-    def _own_row(self, account: str) -> _Own:
+    def _own_row(self, account: str) -> _OwnService:
         self._changed.add(account)
-        return self._own.setdefault(account, _Own())
+        return self._own.setdefault(account, _OwnService())
 
     def _row(self, account: str) -> ServiceRow:
-        own = self._own.get(account, _Own())
+        own = self._own.get(account, _OwnService())
         offset = self._offsets.get(account, 0)
         return ServiceRow(account, own.served, own.reserved, offset)
--- a/src/leadseam/fairness/merge.py
+++ b/src/leadseam/fairness/merge.py
@@ -12,38 +12,38 @@
 
 
 @dataclass(slots=True)
-class _Source:
+class _Sidecar:
     incarnation: int
     rows: dict[str, ServiceRow] = field(default_factory=dict)
-    earlier: dict[str, int] = field(default_factory=dict)
+    earlier_served: dict[str, int] = field(default_factory=dict)
 
 
 class ServiceMerge:
     """Rows by sidecar; what earlier incarnations of a sidecar served is kept."""
 
     def __init__(self) -> None:
-        self._sources: dict[str, _Source] = {}
+        self._sidecars: dict[str, _Sidecar] = {}
         self._offsets: dict[str, int] = {}
         self._sent: dict[str, dict[str, ServiceRow]] = {}
 
     def __repr__(self) -> str:
-        return f"ServiceMerge(sidecars={len(self._sources)})"
+        return f"ServiceMerge(sidecars={len(self._sidecars)})"
 
     def connect(self, sidecar: str, incarnation: int) -> None:
         """Note a new connection; a new incarnation counts from zero again."""
         self._sent.pop(sidecar, None)
-        source = self._sources.get(sidecar)
-        if source is None:
-            self._sources[sidecar] = _Source(incarnation)
-        elif source.incarnation != incarnation:
-            self._fold(source)
-            source.incarnation = incarnation
+        state = self._sidecars.get(sidecar)
+        if state is None:
+            self._sidecars[sidecar] = _Sidecar(incarnation)
+        elif state.incarnation != incarnation:
+            self._keep_served(state)
+            state.incarnation = incarnation
 
     def update(self, sidecar: str, rows: Iterable[ServiceRow]) -> None:
         """Take changed rows of a connected sidecar."""
-        source = self._sources[sidecar]
+        state = self._sidecars[sidecar]
         for row in rows:
-            source.rows[row.account] = row
+            state.rows[row.account] = row
             known = self._offsets.get(row.account, 0)
             self._offsets[row.account] = max(known, row.offset)
 
@@ -68,15 +68,17 @@
     def _others(self, sidecar: str, account: str) -> ServiceRow:
         served = 0
         reserved = 0
-        for name, source in self._sources.items():
-            served += source.earlier.get(account, 0)
-            row = source.rows.get(account)
+        for name, state in self._sidecars.items():
+            served += state.earlier_served.get(account, 0)
+            row = state.rows.get(account)
             if name != sidecar and row is not None:
                 served += row.served
                 reserved += row.reserved
         return ServiceRow(account, served, reserved, self._offsets.get(account, 0))
 
-    def _fold(self, source: _Source) -> None:
-        for account, row in source.rows.items():
-            source.earlier[account] = source.earlier.get(account, 0) + row.served
-        source.rows = {}
+    def _keep_served(self, state: _Sidecar) -> None:
+        for account, row in state.rows.items():
+            state.earlier_served[account] = (
+                state.earlier_served.get(account, 0) + row.served
+            )
+        state.rows = {}
--- a/src/leadseam/fairness/picker.py
+++ b/src/leadseam/fairness/picker.py
@@ -15,7 +15,7 @@
 
     from leadseam.fairness.ledger import Ledger
 
-DEBT_CAP = 20_000 * OUTPUT_TOKEN * NORMAL_SCALE
+MAX_DEBT = 20_000 * OUTPUT_TOKEN * NORMAL_SCALE
 
 
 class Picker:
@@ -26,7 +26,7 @@
         debt_cap: How far behind its turn an account may be put at most.
     """
 
-    def __init__(self, ledger: Ledger, *, debt_cap: int = DEBT_CAP) -> None:
+    def __init__(self, ledger: Ledger, *, debt_cap: int = MAX_DEBT) -> None:
         self._ledger = ledger
         self._debt_cap = debt_cap
         self._level = 0
@@ -36,7 +36,7 @@
 
     def join(self, account: str) -> None:
         """Note that an idle account has work again."""
-        self._ledger.raise_to(account, self._level)
+        self._ledger.raise_level(account, self._level)
 
     def pick(self, waiting: Iterable[str]) -> str | None:
         """Return the account whose turn it is.
@@ -47,11 +47,11 @@
         Returns:
             The account with the least service, or None if there is none.
         """
-        chosen = min(waiting, key=self._turn, default=None)
+        chosen = min(waiting, key=self._order_key, default=None)
         if chosen is not None:
             self._level = max(self._level, self._ledger.level(chosen))
         return chosen
 
-    def _turn(self, account: str) -> tuple[int, int, str]:
+    def _order_key(self, account: str) -> tuple[int, int, str]:
         level = self._ledger.level(account)
         return min(level, self._level + self._debt_cap), level, account
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -28,12 +28,12 @@
     """A request that runs."""
 
     lease: Lease
-    left: int
+    remaining: int
     service: int = 0
 
 
 @dataclass
-class Side:
+class SimulatedSidecar:
     """One sidecar's decisions, with requests that take service each step."""
 
     name: str
@@ -56,8 +56,8 @@
             self.running.append(Running(lease, rng.randint(1, LONGEST)))
         given: dict[str, int] = dict.fromkeys(self.shares, 0)
         for one in self.running:
-            amount = min(STEP, one.left)
-            one.left -= amount
+            amount = min(STEP, one.remaining)
+            one.remaining -= amount
             one.service += amount
             given[one.lease.account] += amount
             share = self.shares[one.lease.account]
@@ -66,7 +66,7 @@
         return given
 
     def _finish(self) -> None:
-        for one in [ended for ended in self.running if not ended.left]:
+        for one in [ended for ended in self.running if not ended.remaining]:
             self.running.remove(one)
             self.ledger.reserve(one.lease.account, -one.lease.reserved)
             self.scheduler.finish(one.lease.account, one.service)
@@ -77,39 +77,43 @@
 
     def __init__(self, shares: dict[str, int], count: int, seed: int) -> None:
         self.shares = shares
-        self.sides = [Side(f"s{number}", shares) for number in range(count)]
+        self.sidecars = [
+            SimulatedSidecar(f"s{number}", shares) for number in range(count)
+        ]
         self.merge = ServiceMerge()
-        self.incarnations = {side.name: 1 for side in self.sides}
+        self.incarnations = {sidecar.name: 1 for sidecar in self.sidecars}
         self.rng = random.Random(seed)
         self.now = 0
-        self.got: dict[str, int] = dict.fromkeys(shares, 0)
-        for side in self.sides:
-            self.merge.connect(side.name, 1)
+        self.served: dict[str, int] = dict.fromkeys(shares, 0)
+        for sidecar in self.sidecars:
+            self.merge.connect(sidecar.name, 1)
 
     def run(self, steps: int, waiting: set[str]) -> float:
         """Run and return the normalised gap of the accounts that wait throughout."""
         samples = ServiceSamples({name: self.shares[name] for name in waiting})
         for _ in range(steps):
             self.now += 1
-            for side in self.sides:
-                for account, amount in side.step(self.now, waiting, self.rng).items():
-                    self.got[account] += amount
+            for sidecar in self.sidecars:
+                for account, amount in sidecar.step(
+                    self.now, waiting, self.rng
+                ).items():
+                    self.served[account] += amount
             if self.now % REPORT_EVERY == 0:
                 self.report()
-            samples.add({name: float(got) for name, got in self.got.items()})
+            samples.add({name: float(served) for name, served in self.served.items()})
         return samples.gap()
 
     def report(self) -> None:
         """Merge all rows and hand each sidecar what the others gave."""
-        for side in self.sides:
-            self.merge.update(side.name, side.ledger.take_changed())
-        for side in self.sides:
-            side.ledger.merge_others(self.merge.report(side.name, self.shares))
+        for sidecar in self.sidecars:
+            self.merge.update(sidecar.name, sidecar.ledger.take_changed())
+        for sidecar in self.sidecars:
+            sidecar.ledger.merge_others(self.merge.report(sidecar.name, self.shares))
 
     def restart(self, number: int) -> None:
         """Restart a sidecar without state; what ran there is lost."""
-        name = self.sides[number].name
-        self.sides[number] = Side(name, self.shares)
+        name = self.sidecars[number].name
+        self.sidecars[number] = SimulatedSidecar(name, self.shares)
         self.incarnations[name] += 1
         self.merge.connect(name, self.incarnations[name])
         self.report()
@@ -164,10 +168,10 @@
     shares = {"a": 1, "b": 1}
     pool = Pool(shares, 1, 1)
     pool.run(4_000, {"a", "b"})
-    before = dict(pool.got)
+    before = dict(pool.served)
     shares["a"] = 3
     pool.run(4_000, {"a", "b"})
-    ratio = (pool.got["a"] - before["a"]) / (pool.got["b"] - before["b"])
+    ratio = (pool.served["a"] - before["a"]) / (pool.served["b"] - before["b"])
     assert 2.5 < ratio < 3.5
 
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -165,7 +165,7 @@
     Variant(
         "idle accounts keep their credit",
         "fairness/picker.py",
-        "        self._ledger.raise_to(account, self._level)\n",
+        "        self._ledger.raise_level(account, self._level)\n",
         "        return\n",
         "tests/test_fairness.py",
     ),
