--- a/src/leadseam/fairness/__init__.py
+++ b/src/leadseam/fairness/__init__.py
@@ -1,1 +1,1 @@
-"""Who is served next: service counters, their merge, and the picker. No I/O."""
+"""Fair order of service: counters, their merge, and the selection. No I/O."""
--- a/src/leadseam/fairness/ledger.py
+++ b/src/leadseam/fairness/ledger.py
@@ -1,4 +1,4 @@
-"""A sidecar's knowledge of the service that each account got in the whole pool."""
+"""A sidecar's record of the service that each account received in the whole pool."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 @dataclass(slots=True)
 class _OwnService:
+    """Service that this sidecar has given to one account."""
+
     served: int = 0
     reserved: int = 0
 
 
 class Ledger:
-    """Own counters, what others reported, and offsets of accounts that were idle.
+    """Own counters, service reported by others, and offsets of accounts that were idle.
 
-    All values are normalised service. `served` only grows; of two reports on the
-    others' service the higher counts, and of two offsets the higher counts, so
-    reports may arrive late, twice and by several ways.
+    All values are normalised service. `served` only grows. Of two reports on the
+    service of others the higher one counts, and likewise of two offsets, so reports may
+    arrive late, twice and by several paths.
     """
 
     def __init__(self) -> None:
@@ -31,14 +33,14 @@
         return f"Ledger(accounts={len(self._own)}, others={len(self._others)})"
 
     def level(self, account: str) -> int:
-        """Return the service that decides an account's turn."""
+        """Return the service by which accounts are ordered."""
         own = self._own.get(account)
         own_level = own.served + own.reserved if own is not None else 0
         others = sum(self._others.get(account, (0, 0)))
         return own_level + others + self._offsets.get(account, 0)
 
     def charge(self, account: str, amount: int) -> None:
-        """Add measured service."""
+        """Add measured service of an account."""
         self._own_row(account).served += amount
 
     def reserve(self, account: str, amount: int) -> None:
@@ -47,10 +49,10 @@
         row.reserved = max(row.reserved + amount, 0)
 
     def raise_level(self, account: str, level: int) -> None:
-        """Lift an account that was idle, so that it brings no old credit.
+        """Raise an account that was idle to a level, so that it keeps no old credit.
 
-        Nothing is done before the others' service is known: what seems missing may
-        have been served elsewhere, and an offset is never taken back.
+        This has no effect until the service of other sidecars is known: the account may
+        have been served there, and an offset is never reduced.
         """
         if account not in self._others:
             return
@@ -60,7 +62,7 @@
             self._changed.add(account)
 
     def merge_others(self, rows: tuple[ServiceRow, ...]) -> None:
-        """Take a report on the service given by the other sidecars."""
+        """Merge a report on the service given by the other sidecars."""
         for row in rows:
             known = self._others.get(row.account, (-1, 0))
             if row.served >= known[0]:
@@ -74,7 +76,7 @@
         return tuple(self._row(account) for account in sorted(changed))
 
     def all_rows(self) -> tuple[ServiceRow, ...]:
-        """Return every own row, for an entry that knows nothing."""
+        """Return all own rows, for an entry that connects."""
         accounts = set(self._own) | set(self._offsets)
         return tuple(self._row(account) for account in sorted(accounts))
 
--- a/src/leadseam/fairness/merge.py
+++ b/src/leadseam/fairness/merge.py
@@ -13,13 +13,21 @@
 
 @dataclass(slots=True)
 class _Sidecar:
+    """Rows of one sidecar.
+
+    Args:
+        incarnation: Its current incarnation.
+        rows: Latest row of each account in this incarnation.
+        earlier_served: Service of each account in earlier incarnations.
+    """
+
     incarnation: int
     rows: dict[str, ServiceRow] = field(default_factory=dict)
     earlier_served: dict[str, int] = field(default_factory=dict)
 
 
 class ServiceMerge:
-    """Rows by sidecar; what earlier incarnations of a sidecar served is kept."""
+    """Rows by sidecar, including the service of earlier incarnations of a sidecar."""
 
     def __init__(self) -> None:
         self._sidecars: dict[str, _Sidecar] = {}
@@ -30,7 +38,7 @@
         return f"ServiceMerge(sidecars={len(self._sidecars)})"
 
     def connect(self, sidecar: str, incarnation: int) -> None:
-        """Note a new connection; a new incarnation counts from zero again."""
+        """Record a new connection; a new incarnation counts from zero again."""
         self._sent.pop(sidecar, None)
         state = self._sidecars.get(sidecar)
         if state is None:
@@ -40,7 +48,7 @@
             state.incarnation = incarnation
 
     def update(self, sidecar: str, rows: Iterable[ServiceRow]) -> None:
-        """Take changed rows of a connected sidecar."""
+        """Merge changed rows of a connected sidecar."""
         state = self._sidecars[sidecar]
         for row in rows:
             state.rows[row.account] = row
@@ -48,7 +56,7 @@
             self._offsets[row.account] = max(known, row.offset)
 
     def report(self, sidecar: str, accounts: Iterable[str]) -> tuple[ServiceRow, ...]:
-        """Return rows on the others' service that a sidecar does not have yet."""
+        """Return rows on the service of others that a sidecar has not received yet."""
         sent = self._sent.setdefault(sidecar, {})
         changed = []
         for account in accounts:
@@ -61,7 +69,7 @@
     def report_unsent(
         self, sidecar: str, accounts: Iterable[str]
     ) -> tuple[ServiceRow, ...]:
-        """Return rows of accounts that a connected sidecar has not heard of."""
+        """Return rows of accounts that were never sent to a connected sidecar."""
         sent = self._sent.setdefault(sidecar, {})
         return self.report(sidecar, [name for name in accounts if name not in sent])
 
--- a/src/leadseam/fairness/picker.py
+++ b/src/leadseam/fairness/picker.py
@@ -1,7 +1,7 @@
-"""The choice of the next account: least normalised service among those waiting.
+"""Selection of the next account: the one with the least normalised service.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996) gives the rule for accounts that
-come back from idle: they join at the level of the account served last.
+Accounts that become active again follow start-time fair queueing (Goyal, Vin and Cheng,
+1996): they join at the level of the account that was served last.
 """
 
 from __future__ import annotations
@@ -16,14 +16,16 @@
     from leadseam.fairness.ledger import Ledger
 
 MAX_DEBT = 20_000 * OUTPUT_TOKEN * NORMAL_SCALE
+"""Normalised service of 20,000 output tokens at a share of 1."""
 
 
 class Picker:
-    """Orders accounts by the ledger's levels.
+    """Orders accounts by their levels in the ledger.
 
     Args:
         ledger: Service of each account.
-        debt_cap: How far behind its turn an account may be put at most.
+        debt_cap: Service above the current level beyond which an account is not put
+            back further. Defaults to `MAX_DEBT`.
     """
 
     def __init__(self, ledger: Ledger, *, debt_cap: int = MAX_DEBT) -> None:
@@ -35,14 +37,14 @@
         return f"Picker(level={self._level})"
 
     def join(self, account: str) -> None:
-        """Note that an idle account has work again."""
+        """Record that an idle account has requests again."""
         self._ledger.raise_level(account, self._level)
 
     def pick(self, waiting: Iterable[str]) -> str | None:
-        """Return the account whose turn it is.
+        """Return the account to serve next.
 
         Args:
-            waiting: Accounts with work that could start now.
+            waiting: Accounts with requests that could start now.
 
         Returns:
             The account with the least service, or None if there is none.
--- a/src/leadseam/fairness/service.py
+++ b/src/leadseam/fairness/service.py
@@ -1,8 +1,9 @@
-"""Units of service.
+"""Units in which service is measured.
 
-Engines: `OUTPUT_TOKEN` for each generated token and `INPUT_TOKEN` for each prompt
-token that was not served from the cache. Plain services: 1 for each millisecond of a
-slot. Normalised service is `NORMAL_SCALE` times service divided by share.
+An engine counts `OUTPUT_TOKEN` for each generated token and `INPUT_TOKEN` for each
+prompt token that was not served from the cache. A plain service counts 1 for each
+millisecond of a slot. Normalised service is `NORMAL_SCALE` times service divided by
+share.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def normalise(service: int, share: int) -> int:
-    """Divide service by an account's share, in `NORMAL_SCALE` steps."""
+    """Return service divided by an account's share, in units of `1/NORMAL_SCALE`."""
     return service * NORMAL_SCALE // share
 
 
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""The gap between backlogged accounts stays under its bound. No I/O."""
+"""The service gap between backlogged accounts stays under its bound. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class Running:
-    """A request that runs."""
+    """A request in progress."""
 
     lease: Lease
     remaining: int
@@ -34,7 +34,7 @@
 
 @dataclass
 class SimulatedSidecar:
-    """One sidecar's decisions, with requests that take service each step."""
+    """A sidecar's scheduler, with requests that receive service in each step."""
 
     name: str
     shares: dict[str, int]
@@ -47,7 +47,7 @@
         self.scheduler.slots = SLOTS
 
     def step(self, now: int, waiting: set[str], rng: random.Random) -> dict[str, int]:
-        """Grant, run for one step and return the service given."""
+        """Grant slots, run for one step and return the service given."""
         for account in self.shares:
             row = BacklogRow(account, 50 if account in waiting else 0, 0)
             self.scheduler.set_backlog(ENTRY, row, now)
@@ -89,7 +89,7 @@
             self.merge.connect(sidecar.name, 1)
 
     def run(self, steps: int, waiting: set[str]) -> float:
-        """Run and return the normalised gap of the accounts that wait throughout."""
+        """Run, and return the normalised gap between the accounts that always wait."""
         samples = ServiceSamples({name: self.shares[name] for name in waiting})
         for _ in range(steps):
             self.now += 1
@@ -104,14 +104,14 @@
         return samples.gap()
 
     def report(self) -> None:
-        """Merge all rows and hand each sidecar what the others gave."""
+        """Merge all rows, and report the service of the others to each sidecar."""
         for sidecar in self.sidecars:
             self.merge.update(sidecar.name, sidecar.ledger.take_changed())
         for sidecar in self.sidecars:
             sidecar.ledger.merge_others(self.merge.report(sidecar.name, self.shares))
 
     def restart(self, number: int) -> None:
-        """Restart a sidecar without state; what ran there is lost."""
+        """Restart a sidecar without state; the requests that ran there are lost."""
         name = self.sidecars[number].name
         self.sidecars[number] = SimulatedSidecar(name, self.shares)
         self.incarnations[name] += 1
@@ -175,7 +175,7 @@
     assert 2.5 < ratio < 3.5
 
 
-def test_what_is_not_known_yet_is_not_lifted() -> None:
+def test_a_level_is_not_raised_before_others_have_reported() -> None:
     ledger = Ledger()
     picker = Picker(ledger)
     ledger.merge_others((ServiceRow("a", 20_000, 0, 0),))
