--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -1,4 +1,4 @@
-"""Messages between control replicas and the nodes that follow them."""
+"""Messages between control replicas and the nodes that subscribe to them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Subscribe(Message, frozen=True, array_like=True, tag=30):
-    """Ask a control replica for its configuration feed.
+    """Subscribes to the configuration feed of a control replica.
 
     Args:
         node: Name of the subscriber.
         incarnation: Its incarnation.
-        version: Highest version it holds, 0 for none.
+        version: Highest version it has, 0 for none.
         clock: The subscriber's clock.
-        replica_count: Number of replicas that it follows if it can.
+        replica_count: Number of replicas that it subscribes to if they are available.
     """
 
     node: str
@@ -25,7 +25,7 @@
 
 
 class Snapshot(Message, frozen=True, array_like=True, tag=31):
-    """A whole configuration, as CBOR of `leadseam.control.configuration`."""
+    """The complete configuration, as CBOR of `leadseam.control.configuration`."""
 
     version: int
     data: bytes
@@ -35,7 +35,7 @@
     """Operations of one accepted change.
 
     Args:
-        version: Version that the change leads to; it applies to the one before.
+        version: Version after the change, which applies to the version before it.
         data: CBOR of the operations.
     """
 
@@ -44,13 +44,13 @@
 
 
 class Current(Message, frozen=True, array_like=True, tag=33):
-    """Heartbeat of the feed: the replica is current at this version.
+    """Heartbeat of the feed: the replica is up to date at this version.
 
     Args:
         version: The version.
-        echo: The subscriber's clock from its last `InForce`, -1 before the first. A
-            heartbeat that waited in a buffer proves nothing about now.
-        subscribers: Entries on the feed, 0 where that is not counted.
+        echo: The subscriber's clock from its last `InForce`, -1 before the first. It
+            shows the heartbeat's age, as one that waited in a buffer is out of date.
+        subscribers: Number of subscribed entries, 0 if they are not counted.
     """
 
     version: int
@@ -59,7 +59,7 @@
 
 
 class InForce(Message, frozen=True, array_like=True, tag=34):
-    """A subscriber has put a version in force.
+    """A subscriber has applied a version.
 
     Args:
         version: The version.
@@ -74,13 +74,13 @@
     """An upstream as its heartbeat describes it.
 
     Args:
-        incarnation: Which start of which upstream.
+        incarnation: Incarnation of the upstream.
         pool: Pool that it serves.
-        ip: IP number of the server.
+        ip: IP address of the server.
         port: Its port.
         failure_domain: Failure domain of its box.
-        slots: Requests that it works on at once.
-        ready: Whether it takes new work.
+        slots: Requests that it processes concurrently.
+        ready: Whether it accepts new requests.
         sequence: Grows with each heartbeat of this incarnation.
         cold_left: Milliseconds for which it is still slow from its start.
     """
@@ -97,31 +97,36 @@
 
     @property
     def instance(self) -> str:
-        """Its id, which another start of it has too."""
+        """Id of the upstream, which its other incarnations share."""
         return self.incarnation.instance
 
 
 class Registered(Message, frozen=True, array_like=True, tag=35):
-    """Upstreams that the sending replica hears; `whole` replaces what it said."""
+    """Upstreams that send heartbeats to the sending replica.
+
+    Args:
+        rows: New or changed registrations.
+        whole: Whether the rows replace all that the replica has sent before.
+    """
 
     rows: tuple[Registration, ...]
     whole: bool = False
 
 
 class Expired(Message, frozen=True, array_like=True, tag=36):
-    """Upstreams that the sending replica no longer hears."""
+    """Upstreams whose heartbeats the sending replica no longer receives."""
 
     incarnations: tuple[Incarnation, ...]
 
 
 class Left(Message, frozen=True, array_like=True, tag=37):
-    """Upstreams that leave; final for these incarnations and all before them."""
+    """Upstreams that leave, which is final for these and their earlier incarnations."""
 
     incarnations: tuple[Incarnation, ...]
 
 
 class Evacuated(Message, frozen=True, array_like=True, tag=46):
-    """All failure domains that are evacuated; replaces an older revision.
+    """All evacuated failure domains; replaces older revisions.
 
     Args:
         revision: Grows with each change.
@@ -139,13 +144,13 @@
 
 
 class LoadRow(Record, frozen=True, array_like=True):
-    """Work in flight at one upstream, of one entry or of all.
+    """Load of one upstream, from one entry or from all.
 
     Args:
         upstream: Digest of the upstream's incarnation.
-        requests: Requests sent and not ended.
-        unread: Prompt tokens of those without a first byte of an answer.
-        memory: Tokens that the requests are expected to hold.
+        requests: Requests in flight.
+        unread: Prompt tokens of the requests without a first byte of an answer.
+        memory: Tokens that the requests are expected to keep in memory.
     """
 
     upstream: int
@@ -155,7 +160,7 @@
 
 
 class UsageRow(Record, frozen=True, array_like=True):
-    """Service of one client account of late, at one entry or at all.
+    """Recent service of one client account, at one entry or at all.
 
     Args:
         account: The client account.
@@ -169,12 +174,12 @@
 
 
 class LoadReport(Message, frozen=True, array_like=True, tag=39):
-    """An entry's own counts; replaces its last report.
+    """An entry's own load and usage; replaces its last report.
 
     Args:
         sequence: Number of the report.
-        rows: Upstreams with work in flight.
-        usage: Client accounts with requests of late.
+        rows: Upstreams with requests in flight.
+        usage: Client accounts with recent requests.
     """
 
     sequence: int
@@ -183,11 +188,11 @@
 
 
 class LoadSums(Record, frozen=True, array_like=True):
-    """Counts of all entries, added up by a replica.
+    """Load and usage of all entries, added up by a replica.
 
     Args:
-        rows: Upstreams with work in flight.
-        usage: Client accounts with requests of late.
+        rows: Upstreams with requests in flight.
+        usage: Client accounts with recent requests.
     """
 
     rows: tuple[LoadRow, ...]
@@ -195,10 +200,10 @@
 
 
 class LoadTotals(Message, frozen=True, array_like=True, tag=44):
-    """The sums that contain the receiver's own report.
+    """The sums, with the number of the receiver's report that they include.
 
     Args:
-        included: Number of that report.
+        included: Number of the receiver's report.
         data: The sums as CBOR of `LoadSums`, encoded once for all receivers.
     """
 
