--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -105,7 +105,7 @@
     """Upstreams that send heartbeats to the sending replica.
 
     Args:
-        rows: New or changed registrations.
+        rows: New and changed registrations, or all of them.
         whole: Whether the rows replace all that the replica has sent before.
     """
 
