--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from leadseam.clock import Millis
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.flight import Flight
     from leadseam.routing.gateway import Gateway
     from leadseam.routing.placement import Placement
@@ -40,9 +40,9 @@
 """Upstreams tried for one request, those that did not run it included."""
 MIN_TIME_LEFT: Millis = 20
 """Time left below which nothing more is sent: a few round trips between boxes."""
-COME_BACK_PART = 1 / 3
+RETRY_AFTER_SHARE = 1 / 3
 """Part of the time left that a caller may be told to wait; more is not heeded."""
-MAX_COME_BACK: Millis = 4_000
+MAX_RETRY_PAUSE: Millis = 4_000
 """Longest pause told: bursts last a few seconds."""
 RETURN_SPREAD: Millis = 500
 """Time over which callers come back once an upstream takes requests again."""
@@ -77,7 +77,7 @@
     """
 
     def __init__(
-        self, gateway: Gateway, http: web.BaseRequest, admitted: Admitted
+        self, gateway: Gateway, http: web.BaseRequest, admitted: AdmittedRequest
     ) -> None:
         self._gateway = gateway
         self._request = admitted
@@ -95,7 +95,7 @@
         self.placement: Placement | None = None
 
     @property
-    def admitted(self) -> Admitted:
+    def admitted(self) -> AdmittedRequest:
         """The request."""
         return self._request
 
@@ -114,7 +114,7 @@
         """When the first byte went to the caller, `NOT_YET` before."""
         return self._reply.first_byte_at
 
-    def look_at_deadline(self) -> None:
+    def reset_deadline_timer(self) -> None:
         """Set the timer to the time that is left: it leaves out suspended time."""
         if self._limit is not None:
             left = self._request.deadline - self._gateway.now()
@@ -131,7 +131,7 @@
         """Return the finished response; the caller's connection may be cut instead."""
         try:
             async with asyncio.timeout(None) as self._limit:
-                self.look_at_deadline()
+                self.reset_deadline_timer()
                 return await self._forward()
         except TimeoutError:
             return self._out_of_time()
@@ -235,7 +235,7 @@
         head = AttemptHead(
             instance=upstream.instance,
             account=request.account,
-            keyed=self._gateway.keyed,
+            uses_account_keys=self._gateway.uses_account_keys,
             time_left=max(request.deadline - self._gateway.now(), 1),
             resume_after=self._reply.last_event,
         )
@@ -367,9 +367,11 @@
         paused = self._gateway.placer.pause_left(self._request.scope)
         if paused:
             # Sooner there is nobody to serve it, and not all are to return at once.
-            return paused + self._gateway.spread(RETURN_SPREAD)
+            return paused + self._gateway.jitter(RETURN_SPREAD)
         left = max(self._request.deadline - self._gateway.now(), 0)
-        return self._gateway.spread(min(round(left * COME_BACK_PART), MAX_COME_BACK))
+        return self._gateway.jitter(
+            min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
+        )
 
     def _out_of_time(self) -> web.StreamResponse:
         if self._reply.begun:
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -14,7 +14,7 @@
 from leadseam.routing.balance import Balancer, service_of
 from leadseam.routing.cold import ColdBudget
 from leadseam.routing.flight import Flight
-from leadseam.routing.pauses import PauseBook
+from leadseam.routing.pauses import PauseTable
 from leadseam.routing.plain import PLACES, WAIT_PART, PlainQueue, PlainWaiter
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import MEMORY, UsageBook
@@ -26,7 +26,7 @@
     from leadseam.clock import Clock, Millis
     from leadseam.feed.client import FeedClient
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.dialect import RoutedRequest
     from leadseam.routing.health import UpstreamHealth
     from leadseam.routing.placement import Placement
@@ -88,7 +88,7 @@
         self._health = health
         self._clock = clock
         self._rng = rng
-        self._pauses = PauseBook()
+        self._pauses = PauseTable()
         self._cold = ColdBudget(
             entry,
             rate_of=self._cold_rate,
@@ -129,7 +129,7 @@
         return self._usage.standing(account, now)
 
     async def place(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Flight | Reason:
         """Find the upstream for an attempt; it may wait for room the first time.
 
@@ -178,7 +178,7 @@
         """Send nothing to an upstream for a while, as it asks."""
         spread = self._rng.randint(0, length // PAUSE_SPREAD)
         until = self._clock.now() + length + spread
-        self._pauses.asked(row.incarnation, until)
+        self._pauses.pause(row.incarnation, until)
         self._sound.clear()
 
     def answered(self, row: Registration) -> None:
@@ -229,7 +229,7 @@
         self._pump_soon()
 
     def _place_at_once(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Placement | EngineProfile | _Wait | None:
         """Place a request that need not wait; else return its pool's profile."""
         rows = self._candidates(admitted.scope)
@@ -259,7 +259,7 @@
         return placement if taken < PLACES * row.slots else None
 
     async def _wait_for_plain(
-        self, admitted: Admitted, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
@@ -275,7 +275,7 @@
         return await self._until_done(self._plain.withdraw, waiter, woken)
 
     async def _wait_for_room(
-        self, admitted: Admitted, profile: EngineProfile, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, profile: EngineProfile, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -21,7 +21,11 @@
 )
 
 HEAD = AttemptHead(
-    instance="i-1", account="bank", keyed=True, time_left=900, resume_after=None
+    instance="i-1",
+    account="bank",
+    uses_account_keys=True,
+    time_left=900,
+    resume_after=None,
 )
 
 
@@ -97,7 +101,7 @@
     values: list[str], pause: int, odd: str
 ) -> None:
     head = answer_with(503, *(("Retry-After", value) for value in values))
-    assert (head.pause, head.odd_pause) == (pause, odd)
+    assert (head.pause, head.invalid_pause) == (pause, odd)
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
