--- a/src/leadseam/wire/dispatch.py
+++ b/src/leadseam/wire/dispatch.py
@@ -9,8 +9,8 @@
     """State of a sidecar's slots.
 
     Args:
-        slots: Slots that may be used now.
-        healthy: Whether the upstream takes work.
+        slots: Number of slots that may be used now.
+        healthy: Whether the upstream accepts requests.
     """
 
     slots: int
@@ -43,8 +43,8 @@
     Args:
         account: Client account.
         served: Cumulative measured service divided by share.
-        reserved: Expected rest of the requests in flight, divided by share.
-        offset: Service credited without work when the account came back from idle.
+        reserved: Expected remaining service of requests in flight, divided by share.
+        offset: Service credited without requests when the account became active again.
     """
 
     account: str
@@ -60,7 +60,7 @@
 
 
 class OthersService(Message, frozen=True, array_like=True, tag=5):
-    """Service that other sidecars of the pool gave, as merged by an entry."""
+    """Service given by the other sidecars of the pool, as merged by an entry."""
 
     rows: tuple[ServiceRow, ...]
 
@@ -78,7 +78,7 @@
 
 
 class Decline(Message, frozen=True, array_like=True, tag=7):
-    """A grant that the entry has no use for."""
+    """Return of a grant that the entry has no use for."""
 
     grant: int
 
@@ -89,15 +89,15 @@
     Args:
         attempt: Number of the attempt, unique in the entry's incarnation.
         grant: The lease it uses.
-        account: Client account that pays.
+        account: Client account to which its service is charged.
         method: HTTP method towards the upstream.
         path: Path and query towards the upstream.
         headers: End-to-end headers to pass on.
         body: The caller's body, unchanged.
-        repeatable: Whether the work may be cancelled and run again.
-        priority: Priority class, lower is more urgent.
-        deadline: Milliseconds left to the caller's deadline; 0 for none.
-        window: Bytes that the sidecar may send ahead of `Credit`.
+        repeatable: Whether the request may be cancelled and run again.
+        priority: Priority class; a lower one is more urgent.
+        deadline: Milliseconds until the caller's deadline; 0 for none.
+        window: Bytes that the sidecar may send before it receives `Credit`.
     """
 
     attempt: int
@@ -114,13 +114,13 @@
 
 
 class Accepted(Message, frozen=True, array_like=True, tag=9):
-    """The attempt is recorded as started; the upstream may see it."""
+    """The attempt is recorded as started and may have reached the upstream."""
 
     attempt: int
 
 
 class Refused(Message, frozen=True, array_like=True, tag=10):
-    """The attempt was not started and never will be.
+    """The attempt has not started and never will.
 
     Args:
         attempt: The attempt.
@@ -140,7 +140,13 @@
 
 
 class Chunk(Message, frozen=True, array_like=True, tag=12):
-    """Bytes of the response body; `seq` counts from 0 without gaps."""
+    """Bytes of the response body.
+
+    Args:
+        attempt: The attempt.
+        seq: Number of the chunk, counted from 0 without gaps.
+        data: The bytes.
+    """
 
     attempt: int
     seq: int
@@ -173,19 +179,19 @@
 
 
 class Cancel(Message, frozen=True, array_like=True, tag=15):
-    """The caller has gone; stop the work if it is repeatable."""
+    """The caller has disconnected; the sidecar cancels a repeatable request."""
 
     attempt: int
 
 
 class Query(Message, frozen=True, array_like=True, tag=16):
-    """Ask what became of an attempt sent on an earlier connection."""
+    """Asks for the state of an attempt that was sent on an earlier connection."""
 
     attempt: int
 
 
 class QueryReply(Message, frozen=True, array_like=True, tag=17):
-    """Answer to `Query`.
+    """Reply to `Query`.
 
     Args:
         attempt: The attempt.
@@ -197,4 +203,4 @@
 
 
 class Leaving(Message, frozen=True, array_like=True, tag=18):
-    """The sidecar takes no new work in this incarnation."""
+    """The sidecar accepts no new requests in this incarnation."""
