--- a/src/leadseam/wire/consensus.py
+++ b/src/leadseam/wire/consensus.py
@@ -1,4 +1,4 @@
-"""Messages between control replicas: elections, the log, and forwarded commands."""
+"""Messages between control replicas: elections, log replication, forwarded commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,14 @@
 
 
 class LogEntry(Record, frozen=True, array_like=True):
-    """One entry of the replicated log; `kind` is a `raft.EntryKind` value."""
+    """One entry of the replicated log.
+
+    Args:
+        term: Term in which it was appended.
+        index: Its index.
+        kind: A `raft.EntryKind` value.
+        data: Its content.
+    """
 
     term: int
     index: int
@@ -15,7 +22,7 @@
 
 
 class PreVote(Message, frozen=True, array_like=True, tag=50):
-    """Ask whether a vote would be given in `term`; binds nobody."""
+    """Asks whether a vote would be granted in `term`; the reply is not binding."""
 
     sender: str
     term: int
@@ -24,7 +31,7 @@
 
 
 class PreVoteReply(Message, frozen=True, array_like=True, tag=51):
-    """Answer to `PreVote`; `term` is the one asked for."""
+    """Reply to `PreVote`; `term` is the requested term."""
 
     sender: str
     term: int
@@ -32,7 +39,7 @@
 
 
 class Vote(Message, frozen=True, array_like=True, tag=52):
-    """Ask for a vote."""
+    """Requests a vote."""
 
     sender: str
     term: int
@@ -41,7 +48,7 @@
 
 
 class VoteReply(Message, frozen=True, array_like=True, tag=53):
-    """Answer to `Vote`."""
+    """Reply to `Vote`."""
 
     sender: str
     term: int
@@ -58,9 +65,9 @@
         prev_term: Term of that index.
         entries: Entries, possibly none.
         commit: Commit index of the leader.
-        sent: Leader's clock, echoed by the reply.
-        echo: Follower's clock from its last reply; -1 while the leader has no lease.
-        silent: Members that the leader does not hear, and for how many milliseconds.
+        sent: The leader's clock, echoed in the reply.
+        echo: The follower's clock from its last reply; -1 if the leader has no lease.
+        silent: Members that do not answer the leader, and for how many milliseconds.
     """
 
     sender: str
@@ -75,13 +82,13 @@
 
 
 class AppendReply(Message, frozen=True, array_like=True, tag=55):
-    """Answer to `Append` or `Install`.
+    """Reply to `Append` or `Install`.
 
     Args:
         sender: The follower.
         term: Its term.
-        success: Whether the entries fit.
-        match: Last index known to match, or a hint for the next try.
+        success: Whether the entries follow the follower's log.
+        match: Last index known to match, or a hint for the next attempt.
         sent: The leader's clock from the request.
         clock: The follower's clock.
         stops: Whether the follower is about to stop.
@@ -97,7 +104,7 @@
 
 
 class Install(Message, frozen=True, array_like=True, tag=56):
-    """A whole snapshot for a follower that is too far behind."""
+    """A complete snapshot for a follower that is too far behind."""
 
     sender: str
     term: int
@@ -110,11 +117,11 @@
 
 
 class Join(Message, frozen=True, array_like=True, tag=57):
-    """A replica on a new disk asks the leader to take it in.
+    """Request of a replica with a new disk to become a member of the group.
 
     Args:
         sender: The replica.
-        forwarded: Whether a follower has forwarded it; this is done once.
+        forwarded: Whether a follower has forwarded it, which happens at most once.
     """
 
     sender: str
@@ -122,11 +129,11 @@
 
 
 class Forward(Message, frozen=True, array_like=True, tag=58):
-    """A command passed by a follower to the leader.
+    """A command that a follower forwards to the leader.
 
     Args:
         sender: The follower.
-        ticket: Number to match the reply.
+        ticket: Number that the reply repeats.
         data: The command.
     """
 
