--- a/src/leadseam/wire/claim.py
+++ b/src/leadseam/wire/claim.py
@@ -1,4 +1,4 @@
-"""Messages on claims of an Idempotency-Key."""
+"""Messages on claims of an `Idempotency-Key`."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Claim(Message, frozen=True, array_like=True, tag=40):
-    """Ask for the sole right to run a request with a caller's key.
+    """Requests the exclusive right to run a request with a caller's key.
 
     Args:
-        ticket: Number to match the reply, unique on the link.
+        ticket: Number that the reply repeats, unique on the link.
         account: Client account.
-        key: The caller's Idempotency-Key.
-        digest: Hash of the request, to refuse a reused key.
-        owner: The claiming run, unique over all time.
+        key: The caller's `Idempotency-Key`.
+        digest: Hash of the request, by which a key reused for another one is refused.
+        owner: Id of the run that claims the key, never used twice.
     """
 
     ticket: int
@@ -24,7 +24,7 @@
 
 
 class ClaimDone(Message, frozen=True, array_like=True, tag=41):
-    """Record the answer of a claimed run; no reply."""
+    """Records the answer of a claimed run; it has no reply."""
 
     account: str
     key: str
@@ -35,7 +35,7 @@
 
 
 class ClaimRelease(Message, frozen=True, array_like=True, tag=42):
-    """Give up a claim whose request truly did not run; no reply."""
+    """Releases a claim whose request is known not to have run; it has no reply."""
 
     account: str
     key: str
@@ -43,12 +43,12 @@
 
 
 class ClaimReply(Message, frozen=True, array_like=True, tag=43):
-    """Answer to `Claim`.
+    """Reply to `Claim`.
 
     Args:
-        ticket: Number of the claim.
+        ticket: Ticket of the claim.
         verdict: A `leadseam.control.claims.Verdict`.
-        status: HTTP status of the recorded answer, 0 where there is none.
+        status: HTTP status of the recorded answer, 0 if there is none.
         content_type: Its content type.
         body: Its body.
     """
