--- a/src/leadseam/wire/crashes.py
+++ b/src/leadseam/wire/crashes.py
@@ -1,4 +1,4 @@
-"""Messages about requests that end the upstreams which run them."""
+"""Messages about requests that crash the upstreams which run them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 class CrashRow(Record, frozen=True, array_like=True):
     """Upstreams that have ended while they ran one request.
 
-    Rows of one request merge by the union of both sets, so they may come late, twice,
-    in any order and through anybody.
+    Rows of one request are merged by the union of their sets, so they may arrive late,
+    twice, in any order and from any process.
 
     Args:
         fingerprint: Digest of the request; see `leadseam.crashes.fingerprint`.
-        account: Client account that sent it, or an empty text.
+        account: Client account that sent it, or an empty string.
         size: Bytes of its body.
-        ended: Incarnations that have ended under it.
-        void: Those among them that do not count, as it was answered whole since, or an
-            operator says so.
-        early: Those among them that have ended as soon as the request began there.
+        ended: Incarnations that have ended while they ran it.
+        void: Those of them that do not count, because the request was answered whole
+            since, or an operator has lifted the verdict.
+        early: Those of them that have ended as soon as the request began there.
     """
 
     fingerprint: str
@@ -31,11 +31,11 @@
 
     @property
     def counted(self) -> frozenset[Incarnation]:
-        """Incarnations that speak against the request."""
+        """Incarnations that count as evidence against the request."""
         return frozenset(self.ended) - frozenset(self.void)
 
 
 class Crashes(Message, frozen=True, array_like=True, tag=45):
-    """What the sender knows of such requests; the receiver merges it."""
+    """Rows of the sender, which the receiver merges into its own."""
 
     rows: tuple[CrashRow, ...]
