--- a/src/leadseam/wire/messages.py
+++ b/src/leadseam/wire/messages.py
@@ -1,4 +1,4 @@
-"""All messages between the processes of a fleet, as `[tag, field, ...]`."""
+"""All messages between the processes of a fleet, encoded as `[tag, field, ...]`."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Hello(Message, frozen=True, array_like=True, tag=1):
-    """First message of either side of a link.
+    """First message from each side of a link.
 
     Args:
         node: Name of the sending process.
