--- a/src/leadseam/wire/backoff.py
+++ b/src/leadseam/wire/backoff.py
@@ -10,19 +10,21 @@
 if TYPE_CHECKING:
     from leadseam.clock import Millis
 
-FIRST: Millis = 100
-LAST: Millis = 1_500
+FIRST_PAUSE: Millis = 100
+MAX_PAUSE: Millis = 1_500
 
 
 class Backoff:
     """The pauses of one peer; spread, so that many do not dial at once.
 
     Args:
-        first: Longest first pause. Defaults to `FIRST`.
-        last: Longest pause of all. Defaults to `LAST`.
+        first: Longest first pause. Defaults to `FIRST_PAUSE`.
+        last: Longest pause of all. Defaults to `MAX_PAUSE`.
     """
 
-    def __init__(self, *, first: Millis = FIRST, last: Millis = LAST) -> None:
+    def __init__(
+        self, *, first: Millis = FIRST_PAUSE, last: Millis = MAX_PAUSE
+    ) -> None:
         self._first = first
         self._last = last
         self._limit = first
--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -77,10 +77,10 @@
     messages = tuple(messages)
     if not any(isinstance(one, EncodedMessage) for one in messages):
         return encode(messages)
-    items = [
+    encoded = [
         one.data if isinstance(one, EncodedMessage) else encode(one) for one in messages
     ]
-    return b"".join([_array_head(len(items)), *items])
+    return b"".join([_array_head(len(encoded)), *encoded])
 
 
 def _array_head(length: int) -> bytes:
@@ -97,12 +97,12 @@
         WireError: If any message of the frame is malformed.
     """
     try:
-        return tuple(map(_message, cbor2.loads(data)))
+        return tuple(map(_decode_message, cbor2.loads(data)))
     except _DECODE_ERRORS as exc:
         raise WireError(f"cannot decode: {exc!r}") from exc
 
 
-def _message(fields: list[Any]) -> AnyMessage:
+def _decode_message(fields: list[Any]) -> AnyMessage:
     # Converting to the union itself would build its type anew on each call.
     message: AnyMessage = msgspec.convert(fields, _BY_TAG[fields[0]])
     return message
--- a/src/leadseam/wire/link.py
+++ b/src/leadseam/wire/link.py
@@ -54,7 +54,7 @@
         self._conn = conn
         self._traffic = traffic
         self._queue: deque[AnyMessage | EncodedMessage] = deque()
-        self._wake = asyncio.Event()
+        self._queued = asyncio.Event()
         self._writer = spawn(self._write())
         self._aborted = False
 
@@ -69,7 +69,7 @@
             self.abort()
             return
         self._queue.append(message)
-        self._wake.set()
+        self._queued.set()
 
     async def messages(self) -> AsyncIterator[AnyMessage]:
         """Yield messages until the connection ends.
@@ -108,8 +108,8 @@
     async def _write(self) -> None:
         try:
             while True:
-                await self._wake.wait()
-                self._wake.clear()
+                await self._queued.wait()
+                self._queued.clear()
                 while self._queue:
                     await self._flush()
         except (websockets.ConnectionClosed, TimeoutError):
