--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -1,4 +1,4 @@
-"""Frames on a link: a CBOR array of one or more messages."""
+"""Encoding of frames; a frame on a link is a CBOR array of messages."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedMessage:
-    """A message that goes to many peers, encoded once for all of them.
+    """A message for several peers, encoded once for all of them.
 
     Args:
         message: The message.
@@ -68,7 +68,7 @@
 
 
 def encode_message(message: AnyMessage) -> EncodedMessage:
-    """Encode a message that goes to many peers."""
+    """Encode a message once for several peers."""
     return EncodedMessage(message, encode(message))
 
 
@@ -84,7 +84,7 @@
 
 
 def _array_head(length: int) -> bytes:
-    """Return the head of a CBOR array of a length."""
+    """Return the head of a CBOR array with a number of items."""
     if length < 24:
         return bytes([0x80 | length])
     return b"\x99" + struct.pack(">H", length)
@@ -103,6 +103,6 @@
 
 
 def _decode_message(fields: list[Any]) -> AnyMessage:
-    # Converting to the union itself would build its type anew on each call.
+    # Converting to the union would build the union's type on each call.
     message: AnyMessage = msgspec.convert(fields, _BY_TAG[fields[0]])
     return message
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames: what is encoded comes back, and garbage is an error, never a crash."""
+"""Frames: decoding inverts encoding, and malformed data raises `WireError`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from leadseam.wire.messages import AnyMessage
 
 
-def test_messages_come_back() -> None:
+def test_decoding_inverts_encoding() -> None:
     messages = (
         Backlog((BacklogRow("a", 1, 2),)),
         Chunk(1, 2, b"\x00\xff"),
