--- a/src/leadseam/wire/link.py
+++ b/src/leadseam/wire/link.py
@@ -1,4 +1,4 @@
-"""A link: one websocket whose writer task sends queued messages in shared frames."""
+"""Links between processes: a websocket with a queue and a task that writes."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 MAX_QUEUED = 20_000
 MAX_PER_FRAME = 256
 OPEN_TIMEOUT: Millis = 1_000
-"""Time to open a link: boxes of a region are a few ms apart, and a new attempt sends a
-lost first packet again sooner than the system does."""
+"""Time to open a link. Boxes of a region are a few ms apart, and a new attempt resends
+a lost first packet sooner than the operating system does."""
 KEEPALIVE_INTERVAL: Millis = 500
 KEEPALIVE_TIMEOUT: Millis = 2_000
-"""A box without power says nothing. It should count again within four seconds of its
-return, and a link to its former self must be gone by then."""
+"""A box that loses power closes no connection. It should be usable within four seconds
+of its return, and links to its earlier processes must be closed by then."""
 WRITE_TIMEOUT: Millis = 2_000
-"""Time that a frame may wait for the peer to read; keepalive waits behind it."""
+"""Time that a frame may wait for the peer to read; keepalive pings queue behind it."""
 
 
 class Link:
     """One open connection to a peer.
 
-    The link owns its socket: `send` only queues, and a task of the link writes.
-    Messages queued together travel in one frame.
+    The link owns its socket: `send` only queues messages, and a task of the link writes
+    them. Messages that are queued together are sent in one frame.
 
     Args:
         conn: The open websocket.
@@ -62,7 +62,7 @@
         return f"Link({self._conn.remote_address}, queued={len(self._queue)})"
 
     def send(self, message: AnyMessage | EncodedMessage) -> None:
-        """Queue a message; a peer that cannot keep up loses the connection."""
+        """Queue a message; a full queue aborts the connection to the slow peer."""
         if self._aborted:
             return
         if len(self._queue) >= MAX_QUEUED:
@@ -72,7 +72,7 @@
         self._queued.set()
 
     async def messages(self) -> AsyncIterator[AnyMessage]:
-        """Yield messages until the connection ends.
+        """Yield received messages until the connection ends.
 
         Raises:
             WireError: If the peer sends a malformed frame.
@@ -89,7 +89,7 @@
             return
 
     def abort(self) -> None:
-        """Drop the connection without a closing handshake."""
+        """Close the connection without a closing handshake; drop queued messages."""
         if self._aborted:
             return
         self._aborted = True
@@ -98,7 +98,7 @@
         self._conn.transport.abort()
 
     async def close(self) -> None:
-        """Send what is queued, then close."""
+        """Send the queued messages, then close the connection."""
         with contextlib.suppress(websockets.ConnectionClosed, TimeoutError):
             while self._queue:
                 await self._flush()
@@ -115,7 +115,7 @@
         except (websockets.ConnectionClosed, TimeoutError):
             return
         finally:
-            # A link that cannot write is of no use to its reader either.
+            # If the link cannot write, its reader must end too.
             self.abort()
 
     async def _flush(self) -> None:
@@ -132,14 +132,14 @@
     """Open a link to a peer.
 
     Args:
-        ip: IP number of the peer.
+        ip: IP address of the peer.
         port: Its port.
         traffic: Counters of the process.
 
     Raises:
         OSError: If the peer cannot be reached.
         TimeoutError: If the peer does not answer within `OPEN_TIMEOUT`.
-        websockets.WebSocketException: If the peer speaks something else.
+        websockets.WebSocketException: If the peer does not speak the protocol.
     """
     async with connect(
         f"ws://{ip}:{port}/",
@@ -164,11 +164,11 @@
     handler: Callable[[Link], Awaitable[None]],
     traffic: Traffic,
 ) -> Server:
-    """Serve links.
+    """Accept links from peers.
 
     Args:
-        ip: IP number to bind.
-        port: Port to bind; 0 lets the system choose.
+        ip: IP address to bind.
+        port: Port to bind; 0 lets the operating system choose one.
         handler: Called with each new link; the link ends when it returns.
         traffic: Counters of the process.
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Links to peers that no longer read."""
+"""Links to peers that stop reading."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     port = next(iter(server.sockets)).getsockname()[1]
     try:
         async with dial(LOOPBACK, port, Traffic()) as link:
-            # More than the buffers hold, so that the writer has to wait.
+            # This exceeds the buffers, so the writer has to wait.
             for number in range(50):
                 link.send(Forward("a", number, bytes(SIZE)))
             async with asyncio.timeout(30):
@@ -39,5 +39,6 @@
     finally:
         over.set()
         server.close(close_connections=False)
-        # A handler that outlives the loop is taken apart at any later moment.
+        # A handler still running when the loop closes would be finalized at an
+        # arbitrary later time.
         await server.wait_closed()
