--- a/src/leadseam/wire/backoff.py
+++ b/src/leadseam/wire/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between attempts to reach a peer: growing, bounded, spread at random."""
+"""Exponential backoff with jitter between attempts to reach a peer."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 
 class Backoff:
-    """The pauses of one peer; spread, so that many do not dial at once.
+    """Pauses before reconnecting to one peer.
+
+    They are random, so that many processes do not reconnect at once.
 
     Args:
-        first: Longest first pause. Defaults to `FIRST_PAUSE`.
-        last: Longest pause of all. Defaults to `MAX_PAUSE`.
+        first: Upper limit of the first pause. Defaults to `FIRST_PAUSE`.
+        last: Upper limit of all pauses. Defaults to `MAX_PAUSE`.
     """
 
     def __init__(
@@ -33,11 +35,11 @@
         return f"Backoff({self._limit} ms)"
 
     def reset(self) -> None:
-        """Begin again with the first pause."""
+        """Start again with the first pause, after the peer was reached."""
         self._limit = self._first
 
     def next_pause(self) -> Millis:
-        """Return the next pause, between half of the limit and the limit."""
+        """Return the next pause, between half of the current limit and the limit."""
         pause = random.randint(self._limit // 2, self._limit)
         self._limit = min(self._limit * 2, self._last)
         return pause
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,11 +1,11 @@
-"""Pauses between attempts to reach a peer."""
+"""`Backoff`: pauses between attempts to reach a peer."""
 
 from __future__ import annotations
 
 from leadseam.wire.backoff import Backoff
 
 
-def test_pauses_grow_to_a_limit_and_begin_again() -> None:
+def test_pauses_grow_to_a_limit_until_reset() -> None:
     backoff = Backoff(first=100, last=400)
     pauses = [backoff.next_pause() for _ in range(5)]
     limits = [100, 200, 400, 400, 400]
