--- a/src/leadseam/wire/__init__.py
+++ b/src/leadseam/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol: typed messages, their codec and the link that carries them."""
+"""Internal protocol: typed messages, their encoding, and the links that carry them."""
--- a/src/leadseam/wire/record.py
+++ b/src/leadseam/wire/record.py
@@ -1,6 +1,6 @@
-"""Bases of what the processes of a fleet send each other.
+"""Base classes of the messages between processes of a fleet, and of their rows.
 
-Each is a frozen record encoded as a CBOR array. Times are in milliseconds; service is
+Each is a frozen struct, encoded as a CBOR array. Times are in milliseconds, service is
 in the units of `leadseam.fairness.service`.
 """
 
@@ -10,8 +10,8 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """Base of immutable rows; encoded as an array without a tag."""
+    """Base class of rows in messages, encoded as an array without a tag."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of immutable messages; each subclass sets its own tag."""
+    """Base class of messages, encoded as an array; each subclass sets its own tag."""
--- a/src/leadseam/wire/traffic.py
+++ b/src/leadseam/wire/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes on inner links, callers' payload told apart from everything else."""
+"""Counters of bytes on links, separately for callers' payload and control data."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Counters of one process; control is all that is not a caller's payload.
+    """Counters of one process.
 
     Args:
-        control_sent: Bytes of frames sent, less payload.
-        control_received: Bytes of frames received, less payload.
+        control_sent: Bytes of frames sent, without payload.
+        control_received: Bytes of frames received, without payload.
         payload_sent: Bytes of request and response bodies sent.
         payload_received: Bytes of request and response bodies received.
     """
@@ -44,7 +44,7 @@
 
 
 def payload_size(messages: Iterable[AnyMessage | EncodedMessage]) -> int:
-    """Return the bytes of callers' bodies in messages."""
+    """Return the size of the request and response bodies in messages."""
     size = 0
     for message in messages:
         match message:
