--- a/src/leadseam/clock.py
+++ b/src/leadseam/clock.py
@@ -61,7 +61,7 @@
 
     def __init__(self, start: Millis = 0) -> None:
         self._now = start
-        self._away: Millis = 0
+        self._suspended: Millis = 0
 
     def __repr__(self) -> str:
         return f"ManualClock({self._now})"
@@ -72,11 +72,11 @@
 
     def running(self) -> Millis:
         """Return the time set by hand without suspensions."""
-        return self._now - self._away
+        return self._now - self._suspended
 
     def suspend(self, millis: Millis) -> Millis:
         """Let time pass that only `now` counts, and return the new time."""
-        self._away += millis
+        self._suspended += millis
         return self.advance(millis)
 
     def wall(self) -> Millis:
