--- a/src/leadseam/outcome.py
+++ b/src/leadseam/outcome.py
@@ -1,4 +1,4 @@
-"""Final results of a caller's request, and the reasons for a refusal."""
+"""Outcomes of a caller's request, and the reasons for failures and refusals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request was refused or ended badly; stable codes for callers."""
+    """Why a request was refused or failed; stable codes for callers."""
 
     NO_KEY = "no_key"
     WRONG_KEY = "wrong_key"
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer of the upstream reached the entry."""
+    """The upstream's complete answer reached the entry."""
 
     status: int
 
@@ -64,8 +64,8 @@
     """The request did not run, and never will.
 
     Args:
-        reason: Why.
-        retry_after: When to come back, or None where it makes no sense.
+        reason: Why it did not run.
+        retry_after: Time after which to retry, or None if a retry is pointless.
     """
 
     reason: Reason
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran, at least in part, and did not end well."""
+    """The request ran, at least in part, and failed."""
 
     reason: Reason
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Nobody can say whether the request ran."""
+    """It cannot be determined whether the request ran."""
 
     reason: Reason
 
