--- a/src/leadseam/errors.py
+++ b/src/leadseam/errors.py
@@ -1,13 +1,13 @@
-"""The exceptions of this project; each carries a stable code."""
+"""Exceptions of this project, each with a stable error code."""
 
 from __future__ import annotations
 
 
 class LeadseamError(Exception):
-    """Base of all exceptions raised on purpose.
+    """Base class of all exceptions that this project defines.
 
     Args:
-        message: One line for a person.
+        message: One human-readable line.
     """
 
     code = "internal"
@@ -21,25 +21,25 @@
 
 
 class SettingsError(LeadseamError):
-    """A settings file that cannot be used."""
+    """A settings file is invalid."""
 
     code = "bad_settings"
 
 
 class DocumentError(LeadseamError):
-    """A caller's or operator's document that cannot be read."""
+    """A document from a caller or an operator is invalid."""
 
     code = "bad_document"
 
 
 class WireError(LeadseamError):
-    """A frame from a peer that cannot be decoded."""
+    """A frame from a peer cannot be decoded."""
 
     code = "bad_frame"
 
 
 class StorageError(LeadseamError):
-    """The data folder cannot be read or written."""
+    """The data directory cannot be read or written."""
 
     code = "storage_failed"
 
@@ -51,6 +51,6 @@
 
 
 class InvariantError(LeadseamError):
-    """A broken invariant; the process must stop."""
+    """An invariant is violated; the process must stop."""
 
     code = "invariant_broken"
