--- a/src/leadseam/clock.py
+++ b/src/leadseam/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, and a clock that tests can move by hand."""
+"""Clocks in whole milliseconds, among them one that tests advance by hand."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 
 class Clock(Protocol):
-    """A source of steady and wall-clock time."""
+    """A source of monotonic and wall-clock time."""
 
     def now(self) -> Millis:
-        """Return steady milliseconds, the time included for which the box was away.
+        """Return monotonic milliseconds, including time when the box was suspended.
 
-        All leases, deadlines and ages go by it.
+        All leases, deadlines and ages are measured with it.
         """
 
     def running(self) -> Millis:
-        """Return steady milliseconds without the time away, as timers count them."""
+        """Return monotonic milliseconds without suspended time, like timers."""
 
     def wall(self) -> Millis:
         """Return milliseconds since the Unix epoch."""
 
 
 class SystemClock:
-    """The clock of the running machine."""
+    """The clock of the operating system."""
 
     def now(self) -> Millis:
-        """Return steady milliseconds, suspended time included where that is known."""
+        """Return monotonic milliseconds, including suspended time if it is known."""
         return steady_ns() // NANOS_PER_MILLI
 
     def running(self) -> Millis:
-        """Return steady milliseconds without suspended time."""
+        """Return monotonic milliseconds without suspended time."""
         return running_ns() // NANOS_PER_MILLI
 
     def wall(self) -> Millis:
@@ -48,12 +48,12 @@
 
 
 def process_start() -> Millis:
-    """Return when this process started, as milliseconds of the steady clock."""
+    """Return the start time of this process in milliseconds of the steady clock."""
     return STARTED_NS // NANOS_PER_MILLI
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that only moves when it is advanced explicitly.
 
     Args:
         start: Initial reading of both clocks. Defaults to 0.
@@ -67,7 +67,7 @@
         return f"ManualClock({self._now})"
 
     def now(self) -> Millis:
-        """Return the time set by hand."""
+        """Return the time set by hand, including suspensions."""
         return self._now
 
     def running(self) -> Millis:
@@ -75,7 +75,7 @@
         return self._now - self._suspended
 
     def suspend(self, millis: Millis) -> Millis:
-        """Let time pass that only `now` counts, and return the new time."""
+        """Advance only `now`, as during a suspension, and return the new time."""
         self._suspended += millis
         return self.advance(millis)
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The steady clock and the start of the process."""
+"""Start time of the process on the steady clock."""
 
 from __future__ import annotations
 
