--- a/src/leadseam/fairness/merge.py
+++ b/src/leadseam/fairness/merge.py
@@ -18,12 +18,12 @@
     Args:
         incarnation: Its current incarnation.
         rows: Latest row of each account in this incarnation.
-        earlier_served: Service of each account in earlier incarnations.
+        earlier: Service of each account in earlier incarnations.
     """
 
     incarnation: int
     rows: dict[str, ServiceRow] = field(default_factory=dict)
-    earlier_served: dict[str, int] = field(default_factory=dict)
+    earlier: dict[str, int] = field(default_factory=dict)
 
 
 class ServiceMerge:
@@ -77,7 +77,7 @@
         served = 0
         reserved = 0
         for name, state in self._sidecars.items():
-            served += state.earlier_served.get(account, 0)
+            served += state.earlier.get(account, 0)
             row = state.rows.get(account)
             if name != sidecar and row is not None:
                 served += row.served
@@ -86,7 +86,5 @@
 
     def _keep_served(self, state: _Sidecar) -> None:
         for account, row in state.rows.items():
-            state.earlier_served[account] = (
-                state.earlier_served.get(account, 0) + row.served
-            )
+            state.earlier[account] = state.earlier.get(account, 0) + row.served
         state.rows = {}
