--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -184,13 +184,13 @@
         self, rows: Iterable[CrashRow], now: Millis
     ) -> tuple[Fingerprint, ...]:
         """Merge rows of other entries; return the requests that they convict."""
-        fresh = []
+        newly_convicted = []
         for row in rows:
             known = self.table.convicts(row.fingerprint)
             self.table.merge(row, now)
             if not known and self.table.convicts(row.fingerprint):
-                fresh.append(row.fingerprint)
-        return tuple(fresh)
+                newly_convicted.append(row.fingerprint)
+        return tuple(newly_convicted)
 
     def acquit(self, suspect: Suspect, now: Millis) -> CrashRow | None:
         """Acquit a request that was answered whole; return its row if it changed."""
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -29,12 +29,12 @@
 
 
 def test_an_end_is_early_if_any_report_says_so() -> None:
-    book = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
-    assert not book.convicts(DEADLY.fingerprint)
-    book.merge(make_row(1, 2))
-    assert book.weight(DEADLY.fingerprint) == 14
-    book.merge(make_row(3))
-    assert book.convicts(DEADLY.fingerprint)
+    table = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
+    assert not table.convicts(DEADLY.fingerprint)
+    table.merge(make_row(1, 2))
+    assert table.weight(DEADLY.fingerprint) == 14
+    table.merge(make_row(3))
+    assert table.convicts(DEADLY.fingerprint)
 
 
 def test_what_is_void_weighs_nothing() -> None:
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -113,9 +113,9 @@
         message = queue.popleft()
         if twice:
             queue.append(message)
-        self.take(way, entry, replica, message)
+        self.receive(way, entry, replica, message)
 
-    def take(self, way: str, entry: int, replica: int, message: Crashes) -> None:
+    def receive(self, way: str, entry: int, replica: int, message: Crashes) -> None:
         if way == "up":
             self.replicas[replica].take(message)
         else:
@@ -173,7 +173,7 @@
         for _ in range(4):
             for (way, entry, replica), queue in list(self.links.items()):
                 while queue:
-                    self.take(way, entry, replica, queue.popleft())
+                    self.receive(way, entry, replica, queue.popleft())
         known = self.ended >= CONVICTING_ENDS
         for suspects in self.entries.values():
             assert suspects.table.convicts(DEADLY.fingerprint) is known
--- a/tests/membership/test_incarnations.py
+++ b/tests/membership/test_incarnations.py
@@ -145,7 +145,7 @@
         self.departed = Departures()
         self.live: dict[int, Registration] = {}
         self.late: list[Registration] = []
-        self.told: dict[str, int] = {}
+        self.reported_starts: dict[str, int] = {}
 
     @rule(number=st.integers(1, 3), moved=st.booleans())
     def start(self, number: int, moved: bool) -> None:
@@ -167,21 +167,21 @@
         if late:
             self.late.append(row)
         else:
-            self.hear(replica, row)
+            self.receive(replica, row)
 
     @rule(replica=st.sampled_from("ab"), data=st.data())
     def arrive(self, replica: str, data: st.DataObject) -> None:
         """A delayed heartbeat arrives, in any order."""
         if self.late:
             row = self.late.pop(data.draw(st.integers(0, len(self.late) - 1)))
-            self.hear(replica, row)
+            self.receive(replica, row)
 
-    def hear(self, replica: str, row: Registration) -> None:
+    def receive(self, replica: str, row: Registration) -> None:
         if row.incarnation in self.departed:
             return
         if self.registries[replica].heartbeat(row, self.now):
-            self.told[row.instance] = max(
-                self.told.get(row.instance, 0), row.incarnation.start
+            self.reported_starts[row.instance] = max(
+                self.reported_starts.get(row.instance, 0), row.incarnation.start
             )
             self.view.update(replica, [row], self.now)
 
@@ -217,7 +217,9 @@
             self.view.sweep(self.now)
         known = {one.instance for one in used(self.view)}
         # Once no replica lists an upstream, the next heartbeat counts.
-        self.told = {name: start for name, start in self.told.items() if name in known}
+        self.reported_starts = {
+            name: start for name, start in self.reported_starts.items() if name in known
+        }
 
     @rule()
     def settle(self) -> None:
@@ -226,7 +228,7 @@
         for number, row in list(self.live.items()):
             beat = msgspec.structs.replace(row, sequence=row.sequence + 1)
             self.live[number] = beat
-            self.hear("a", beat)
+            self.receive("a", beat)
         expected = {row.incarnation for row in self.live.values()}
         assert used(self.view) == expected - set(self.departed)
 
@@ -234,7 +236,9 @@
     def no_earlier_start_is_used_than_one_that_is_known(self) -> None:
         for incarnation in used(self.view):
             assert incarnation not in self.departed
-            assert incarnation.start >= self.told.get(incarnation.instance, 0)
+            assert incarnation.start >= self.reported_starts.get(
+                incarnation.instance, 0
+            )
 
 
 TestRestartMachine = RestartMachine.TestCase
