--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _KnownUpstream:
     """An upstream and the replicas that list it.
 
     Args:
@@ -68,7 +68,7 @@
         self._evacuation_revision = 0
         self._restored_cold_until: dict[str, Millis] = {}
         self._all_warm_at: Millis = 0
-        self._known: dict[str, _Known] = {}
+        self._upstreams: dict[str, _KnownUpstream] = {}
         self._departed = Departures()
         self._by_pool: dict[str, list[Registration]] | None = None
         self._by_regions: dict[tuple[str, frozenset[str]], list[Registration]] = {}
@@ -76,7 +76,7 @@
         self._addresses = AddressTable()
 
     def __repr__(self) -> str:
-        return f"UpstreamView(known={len(self._known)}, {self._departed!r})"
+        return f"UpstreamView(known={len(self._upstreams)}, {self._departed!r})"
 
     def connected(self, replica: str, now: Millis) -> None:
         """Record a new connection of a replica.
@@ -113,10 +113,10 @@
         """Remove upstreams that leave for good; return those not recorded before."""
         new = tuple(one for one in incarnations if self._departed.add(one))
         for incarnation in new:
-            known = self._known.get(incarnation.instance)
+            known = self._upstreams.get(incarnation.instance)
             if known is not None and known.incarnation in self._departed:
-                del self._known[incarnation.instance]
-                self._forget(known)
+                del self._upstreams[incarnation.instance]
+                self._release_address(known)
         return new
 
     def evacuate(self, revision: int, domains: Iterable[str], now: Millis) -> bool:
@@ -145,7 +145,7 @@
 
     def cold_until(self, row: Registration) -> Millis:
         """Return when an upstream stops counting as cold; 0 if it is not cold."""
-        known = self._known.get(row.incarnation.instance)
+        known = self._upstreams.get(row.incarnation.instance)
         if known is None or known.incarnation != row.incarnation:
             return 0
         return max(
@@ -160,8 +160,8 @@
         """Return the fraction of the slots of some pools that is not evacuated."""
         self._pools()
         counts = [self._slots_by_pool.get(pool, (0, 0)) for pool in pools]
-        total = sum(every for _, every in counts)
-        return sum(left for left, _ in counts) / total if total else 1.0
+        total = sum(slots for _, slots in counts)
+        return sum(available for available, _ in counts) / total if total else 1.0
 
     def has_left(self, incarnation: Incarnation) -> bool:
         """Return whether an upstream has announced that it leaves."""
@@ -191,7 +191,7 @@
 
     def sweep(self, now: Millis) -> None:
         """Drop upstreams that no replica has listed for `LOST_REPLICA_TTL`."""
-        for known in list(self._known.values()):
+        for known in list(self._upstreams.values()):
             for replica, held_until in list(known.held_until.items()):
                 if held_until is not None and now >= held_until:
                     del known.held_until[replica]
@@ -228,17 +228,17 @@
 
     def _group(self) -> dict[str, list[Registration]]:
         grouped: dict[str, list[Registration]] = {}
-        for known in self._known.values():
+        for known in self._upstreams.values():
             row = known.registration
             if row.ready and self._addresses.holds(row):
                 grouped.setdefault(row.pool, []).append(row)
         listed = {pool: _without_foreign_rows(rows) for pool, rows in grouped.items()}
-        left = {pool: self._not_evacuated(rows) for pool, rows in listed.items()}
+        available = {pool: self._not_evacuated(rows) for pool, rows in listed.items()}
         self._slots_by_pool = {
-            pool: (_slots_of(left[pool]), _slots_of(rows))
+            pool: (_slots_of(available[pool]), _slots_of(rows))
             for pool, rows in listed.items()
         }
-        return left
+        return available
 
     def _not_evacuated(self, rows: list[Registration]) -> list[Registration]:
         return [row for row in rows if row.failure_domain not in self.evacuated]
@@ -248,15 +248,15 @@
     ) -> Incarnation | None:
         """Merge a row; return the incarnation that it replaces, if any."""
         replaced = None
-        known = self._known.get(row.instance)
+        known = self._upstreams.get(row.instance)
         if known is None:
-            known = self._known[row.instance] = _Known(row)
+            known = self._upstreams[row.instance] = _KnownUpstream(row)
             self._update_cold_until(known, now)
             self._addresses.claim(row, now)
         elif row.incarnation.replaces(known.incarnation):
             replaced = known.incarnation
             self._addresses.succeed(known.registration, row)
-            known = self._known[row.instance] = _Known(row)
+            known = self._upstreams[row.instance] = _KnownUpstream(row)
             self._update_cold_until(known, now)
         elif row.incarnation != known.incarnation:
             # The replica has not received the later start yet.
@@ -268,14 +268,14 @@
         self._by_pool = None
         return replaced
 
-    def _update_cold_until(self, known: _Known, now: Millis) -> None:
-        left = known.registration.cold_remaining
-        known.cold_until = now + left if left else 0
+    def _update_cold_until(self, known: _KnownUpstream, now: Millis) -> None:
+        remaining = known.registration.cold_remaining
+        known.cold_until = now + remaining if remaining else 0
         self._all_warm_at = max(self._all_warm_at, known.cold_until)
 
-    def _get(self, incarnation: Incarnation) -> _Known | None:
+    def _get(self, incarnation: Incarnation) -> _KnownUpstream | None:
         """Return the record of an incarnation, or None if it is not the latest."""
-        known = self._known.get(incarnation.instance)
+        known = self._upstreams.get(incarnation.instance)
         if known is None or known.incarnation != incarnation:
             return None
         return known
@@ -283,16 +283,16 @@
     def _schedule_drop(self, replica: str, now: Millis) -> None:
         """Let all upstreams of a replica expire, except those that it lists again."""
         held_until = now + LOST_REPLICA_TTL
-        for known in self._known.values():
+        for known in self._upstreams.values():
             if known.held_until.get(replica, held_until) is None:
                 known.held_until[replica] = held_until
 
-    def _drop_if_unheld(self, known: _Known) -> None:
+    def _drop_if_unheld(self, known: _KnownUpstream) -> None:
         if not known.held_until and self._get(known.incarnation) is known:
-            del self._known[known.incarnation.instance]
-            self._forget(known)
+            del self._upstreams[known.incarnation.instance]
+            self._release_address(known)
 
-    def _forget(self, known: _Known) -> None:
+    def _release_address(self, known: _KnownUpstream) -> None:
         self._addresses.drop(known.registration)
         self._by_pool = None
 
