--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -193,7 +193,7 @@
         return tuple(newly_convicted)
 
     def acquit(self, suspect: Suspect, now: Millis) -> CrashRow | None:
-        """Acquit a request that was answered whole; return its row if it changed."""
+        """Acquit a request after a complete answer; return its row if it changed."""
         for broken in self._breaks.values():
             if suspect in broken.suspects:
                 del broken.suspects[suspect]
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -86,7 +86,7 @@
         self._schedule_drop(replica, now)
 
     def disconnected(self, replica: str, now: Millis) -> None:
-        """Record that the connection to a replica is lost."""
+        """Record that a replica is disconnected; its upstreams expire later."""
         self._schedule_drop(replica, now)
 
     def update(
@@ -102,7 +102,10 @@
         return tuple(one for one in replaced if one is not None)
 
     def expired(self, replica: str, incarnations: Iterable[Incarnation]) -> None:
-        """Remove upstreams that have expired at a replica."""
+        """Record that upstreams have expired at a replica.
+
+        An upstream is dropped unless another replica lists it.
+        """
         for incarnation in incarnations:
             known = self._get(incarnation)
             if known is not None:
--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -51,7 +51,7 @@
     try:
         return msgspec.convert(cbor2.loads(data), type_)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError) as exc:
-        raise WireError(f"cannot decode: {exc}") from exc
+        raise WireError(f"cannot decode CBOR value: {exc}") from exc
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
     try:
         return tuple(map(_decode_message, cbor2.loads(data)))
     except _DECODE_ERRORS as exc:
-        raise WireError(f"cannot decode: {exc!r}") from exc
+        raise WireError(f"cannot decode frame: {exc!r}") from exc
 
 
 def _decode_message(fields: list[Any]) -> AnyMessage:
--- a/src/leadseam/wire/crashes.py
+++ b/src/leadseam/wire/crashes.py
@@ -17,8 +17,8 @@
         account: Client account that sent it, or an empty string.
         size: Bytes of its body.
         ended: Incarnations that have ended while they ran it.
-        void: Those of them that do not count, because the request was answered whole
-            since, or an operator has lifted the verdict.
+        void: Those of them that do not count, because the request was answered
+            completely since, or an operator has lifted the verdict.
         early: Those of them that have ended as soon as the request began there.
     """
 
--- a/src/leadseam/wire/dispatch.py
+++ b/src/leadseam/wire/dispatch.py
@@ -160,7 +160,7 @@
         attempt: The attempt.
         chunks: Number of `Chunk` messages sent.
         size: Bytes of the body.
-        error: Empty for a whole response, else a `leadseam.outcome.Reason`.
+        error: Empty for a complete response, else a `leadseam.outcome.Reason`.
         started: False when no byte of the request reached the upstream.
     """
 
--- a/src/leadseam/wire/link.py
+++ b/src/leadseam/wire/link.py
@@ -80,7 +80,7 @@
         try:
             async for data in self._conn:
                 if isinstance(data, str):
-                    raise WireError("text frame")
+                    raise WireError("received a text frame, expected binary")
                 messages = decode_frame(data)
                 self._traffic.received(len(data), messages)
                 for message in messages:
--- a/tests/crashes/test_fleet.py
+++ b/tests/crashes/test_fleet.py
@@ -180,7 +180,7 @@
 
     @invariant()
     def good_requests_are_never_convicted(self) -> None:
-        """A request that was answered whole each time is never convicted."""
+        """A request that was always answered completely is never convicted."""
         for suspects in self.entries.values():
             assert not suspects.table.convicts(GOOD.fingerprint)
 
