--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -37,5 +37,5 @@
     assert table.convicts(DEADLY.fingerprint)
 
 
-def test_what_is_void_weighs_nothing() -> None:
+def test_void_ends_weigh_nothing() -> None:
     assert weight_of(make_row(1, 2, 3, void=(1, 2))) == 5
--- a/tests/crashes/test_fingerprint.py
+++ b/tests/crashes/test_fingerprint.py
@@ -14,7 +14,7 @@
     assert fingerprint(first, "bank", b"{}") == fingerprint(again, "bank", b"{}")
 
 
-def test_path_account_and_body_tell_requests_apart() -> None:
+def test_requests_differ_by_path_account_and_body() -> None:
     req = make_request()
     other = replace(req, target="/chat/2")
     fingerprints = {
@@ -34,7 +34,7 @@
     assert fingerprint(first, "bank", b"") != fingerprint(again, "bank", b"")
 
 
-def test_callers_without_an_account_are_told_apart_by_their_key() -> None:
+def test_callers_without_an_account_differ_by_their_key() -> None:
     first = replace(make_request(), key="one")
     other = replace(make_request(), key="two")
     assert fingerprint(first, None, b"{}") != fingerprint(other, None, b"{}")
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -49,7 +49,7 @@
     assert not suspects.undecided
 
 
-def test_an_upstream_that_is_not_heard_any_more_has_ended(suspects: Suspects) -> None:
+def test_an_upstream_that_expires_has_ended(suspects: Suspects) -> None:
     assert suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT) == Findings()
     assert suspects.undecided
     findings = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
@@ -61,7 +61,7 @@
     assert not suspects.undecided
 
 
-def test_all_that_ran_there_is_suspected_and_an_answer_acquits(
+def test_all_requests_at_an_ended_upstream_are_suspects_until_answered(
     suspects: Suspects,
 ) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
@@ -71,7 +71,7 @@
     assert suspects.table.count(DEADLY.fingerprint) == 1
 
 
-def test_an_answer_acquits_of_ends_that_are_not_known_yet(suspects: Suspects) -> None:
+def test_an_answer_acquits_before_an_end_is_detected(suspects: Suspects) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
     suspects.acquit(GOOD, 2)
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
--- a/tests/crashes/test_table.py
+++ b/tests/crashes/test_table.py
@@ -53,7 +53,7 @@
     assert table.convicts(DEADLY.fingerprint)
 
 
-def test_what_is_void_does_not_count_and_a_further_end_counts_anew() -> None:
+def test_void_ends_do_not_count_and_later_ends_do() -> None:
     table = CrashTable([make_row(1, 2, 3)])
     assert table.void(DEADLY.fingerprint) == make_row(1, 2, 3, void=(1, 2, 3))
     assert table.void(DEADLY.fingerprint) is None
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -52,7 +52,7 @@
     assert instances(view) == {"i-stale"}
 
 
-def test_an_answer_for_another_gives_the_address_back() -> None:
+def test_a_misdirected_answer_moves_the_address() -> None:
     view = UpstreamView()
     view.update("a", [ACTIVE], 0)
     view.update("b", [STALE], 0)
--- a/tests/membership/test_evacuated.py
+++ b/tests/membership/test_evacuated.py
@@ -30,7 +30,7 @@
     return view
 
 
-def test_an_evacuated_domain_gets_nothing_until_it_is_taken_back() -> None:
+def test_an_evacuated_domain_gets_nothing_until_it_is_restored() -> None:
     view = make_view()
     assert view.evacuate(1, ("north",), 0)
     assert names(view) == {"i-2", "i-3"}
@@ -59,7 +59,7 @@
     assert view.available_fraction(["p"]) == 0
 
 
-def test_a_domain_that_is_taken_back_counts_as_cold_for_three_heartbeats() -> None:
+def test_a_restored_domain_counts_as_cold_for_three_heartbeats() -> None:
     view = make_view()
     view.evacuate(1, ("north",), 0)
     assert view.all_warm(0)
@@ -74,7 +74,7 @@
     assert view.all_warm(13_600)
 
 
-def test_what_an_upstream_says_of_being_cold_is_believed() -> None:
+def test_an_upstream_reports_how_long_it_is_cold() -> None:
     view = make_view()
     view.update("a", [upstream(1, "north", cold=3_000, seq=2)], 500)
     row = next(row for row in view.pool("p") if row.instance == "i-1")
@@ -86,7 +86,7 @@
     assert view.cold_until(row) == 0
 
 
-def test_entries_hear_of_an_upstream_that_turns_cold_and_of_nothing_else() -> None:
+def test_only_a_change_of_the_cold_period_is_reported() -> None:
     # A change of the remaining cold time was not reported to entries, because the
     # comparison of heartbeats ignored that field.
     registry = Registry(1_200)
@@ -100,7 +100,7 @@
     assert registry.heartbeat(upstream(1, "north", seq=6), 5_000)
 
 
-def test_a_request_that_is_bound_to_regions_goes_nowhere_else() -> None:
+def test_a_request_bound_to_regions_goes_nowhere_else() -> None:
     view = make_view()
     assert names(view, frozenset({"east"})) == {"i-1", "i-2"}
     assert names(view, frozenset({"west"})) == {"i-3"}
--- a/tests/membership/test_incarnations.py
+++ b/tests/membership/test_incarnations.py
@@ -48,7 +48,7 @@
     assert registry.expire(INTERVAL * MISSED_HEARTBEATS + 1) == (LATER.incarnation,)
 
 
-def test_a_start_that_seems_earlier_counts_once_the_later_one_is_silent() -> None:
+def test_an_apparently_earlier_start_counts_once_the_later_one_expires() -> None:
     # This happens if the clock of a box is set back between two starts.
     registry = Registry(INTERVAL)
     registry.heartbeat(LATER, 0)
@@ -71,7 +71,7 @@
     assert tuple(departed) == (LATER.incarnation,)
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_departures_and_rows_are_bounded() -> None:
     departed = Departures(Incarnation(f"i-{n}", 1) for n in range(MAX_DEPARTED + 5))
     assert len(departed) == MAX_DEPARTED
     assert Incarnation("i-0", 1) not in departed
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -27,7 +27,7 @@
     assert registry.rows() == (newest,)
 
 
-def test_silence_drops_an_upstream_and_a_heartbeat_brings_it_back() -> None:
+def test_silence_drops_an_upstream_and_a_heartbeat_adds_it_again() -> None:
     registry = Registry(INTERVAL)
     registry.heartbeat(make_upstream(1), 0)
     limit = INTERVAL * MISSED_HEARTBEATS
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -36,7 +36,7 @@
     assert instances(view) == set()
 
 
-def test_a_replica_that_comes_back_empty_takes_nothing_away_at_once() -> None:
+def test_a_replica_that_returns_empty_removes_nothing_at_once() -> None:
     view = UpstreamView()
     view.update("a", [make_upstream(1)], 0)
     view.connected("a", 0)
@@ -56,7 +56,7 @@
     assert instances(view) == {"i-2"}
 
 
-def test_an_address_that_is_handed_on_belongs_to_the_newer_incarnation() -> None:
+def test_a_reused_address_belongs_to_the_newer_incarnation() -> None:
     view = UpstreamView()
     old = make_upstream(1)
     view.update("a", [old], 0)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -291,8 +291,7 @@
         "crashes/suspects.py",
         "                case Presence.GONE:\n",
         "                case Presence.GONE | Presence.SERVES:\n",
-        "tests/crashes/test_suspects.py"
-        "::test_an_upstream_that_is_not_heard_any_more_has_ended",
+        "tests/crashes/test_suspects.py::test_an_upstream_that_expires_has_ended",
     ),
     Variant(
         "each end weighs the same",
