--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -35,7 +35,7 @@
     Args:
         registration: Its latest registration.
         cold_until: When it stops being cold; 0 if it is not cold.
-        held_until: When the entry of each replica expires, None while it is connected.
+        held_until: Until when each replica counts as listing it; None for no limit.
     """
 
     registration: Registration
