--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -82,7 +82,7 @@
         slots: Requests that it processes concurrently.
         ready: Whether it accepts new requests.
         sequence: Grows with each heartbeat of this incarnation.
-        cold_left: Milliseconds for which it is still slow from its start.
+        cold_remaining: Milliseconds for which it is still slow after its start.
     """
 
     incarnation: Incarnation
