--- a/src/leadseam/fairness/merge.py
+++ b/src/leadseam/fairness/merge.py
@@ -12,43 +12,51 @@
 
 
 @dataclass(slots=True)
-class _Source:
+class _Sidecar:
+    """Rows of one sidecar.
+
+    Args:
+        incarnation: Its current incarnation.
+        rows: Latest row of each account in this incarnation.
+        earlier: Service of each account in earlier incarnations.
+    """
+
     incarnation: int
     rows: dict[str, ServiceRow] = field(default_factory=dict)
     earlier: dict[str, int] = field(default_factory=dict)
 
 
 class ServiceMerge:
-    """Rows by sidecar; what earlier incarnations of a sidecar served is kept."""
+    """Rows by sidecar, including the service of earlier incarnations of a sidecar."""
 
     def __init__(self) -> None:
-        self._sources: dict[str, _Source] = {}
+        self._sidecars: dict[str, _Sidecar] = {}
         self._offsets: dict[str, int] = {}
         self._sent: dict[str, dict[str, ServiceRow]] = {}
 
     def __repr__(self) -> str:
-        return f"ServiceMerge(sidecars={len(self._sources)})"
+        return f"ServiceMerge(sidecars={len(self._sidecars)})"
 
     def connect(self, sidecar: str, incarnation: int) -> None:
-        """Note a new connection; a new incarnation counts from zero again."""
+        """Record a new connection; a new incarnation counts from zero again."""
         self._sent.pop(sidecar, None)
-        source = self._sources.get(sidecar)
-        if source is None:
-            self._sources[sidecar] = _Source(incarnation)
-        elif source.incarnation != incarnation:
-            self._fold(source)
-            source.incarnation = incarnation
+        state = self._sidecars.get(sidecar)
+        if state is None:
+            self._sidecars[sidecar] = _Sidecar(incarnation)
+        elif state.incarnation != incarnation:
+            self._keep_served(state)
+            state.incarnation = incarnation
 
     def update(self, sidecar: str, rows: Iterable[ServiceRow]) -> None:
-        """Take changed rows of a connected sidecar."""
-        source = self._sources[sidecar]
+        """Merge changed rows of a connected sidecar."""
+        state = self._sidecars[sidecar]
         for row in rows:
-            source.rows[row.account] = row
+            state.rows[row.account] = row
             known = self._offsets.get(row.account, 0)
             self._offsets[row.account] = max(known, row.offset)
 
     def report(self, sidecar: str, accounts: Iterable[str]) -> tuple[ServiceRow, ...]:
-        """Return rows on the others' service that a sidecar does not have yet."""
+        """Return rows on the service of others that a sidecar has not received yet."""
         sent = self._sent.setdefault(sidecar, {})
         changed = []
         for account in accounts:
@@ -61,22 +69,22 @@
     def report_unsent(
         self, sidecar: str, accounts: Iterable[str]
     ) -> tuple[ServiceRow, ...]:
-        """Return rows of accounts that a connected sidecar has not heard of."""
+        """Return rows of accounts that were never sent to a connected sidecar."""
         sent = self._sent.setdefault(sidecar, {})
         return self.report(sidecar, [name for name in accounts if name not in sent])
 
     def _others(self, sidecar: str, account: str) -> ServiceRow:
         served = 0
         reserved = 0
-        for name, source in self._sources.items():
-            served += source.earlier.get(account, 0)
-            row = source.rows.get(account)
+        for name, state in self._sidecars.items():
+            served += state.earlier.get(account, 0)
+            row = state.rows.get(account)
             if name != sidecar and row is not None:
                 served += row.served
                 reserved += row.reserved
         return ServiceRow(account, served, reserved, self._offsets.get(account, 0))
 
-    def _fold(self, source: _Source) -> None:
-        for account, row in source.rows.items():
-            source.earlier[account] = source.earlier.get(account, 0) + row.served
-        source.rows = {}
+    def _keep_served(self, state: _Sidecar) -> None:
+        for account, row in state.rows.items():
+            state.earlier[account] = state.earlier.get(account, 0) + row.served
+        state.rows = {}
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -1,8 +1,8 @@
 """An entry's view of the registered upstreams, merged from several replicas. No I/O.
 
-Each replica reports the upstreams that it hears. An upstream is known for as long as
-one of them holds it. What a lost replica held is kept for a while, for its upstreams
-turn to another replica or it comes back empty.
+Each replica reports the upstreams that send it heartbeats. An upstream is kept while at
+least one replica lists it. The upstreams of a lost replica are kept for a while:
+they switch to another replica, or the replica returns with an empty table.
 """
 
 from __future__ import annotations
@@ -21,29 +21,35 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-KEPT_AFTER_LOSS: Millis = 12_000
-"""How long a lost replica's upstreams are kept: ten heartbeats of 1.2 s."""
-DOUBTED_HEARTBEATS = 3
-"""Heartbeats for which upstreams count as cold once their failure domain is taken back:
-they may have turned cold just before, and one heartbeat may be late."""
+LOST_REPLICA_TTL: Millis = 12_000
+"""Time for which a lost replica's upstreams are kept: ten heartbeats of 1.2 s."""
+COLD_HEARTBEATS_AFTER_RESTORE = 3
+"""Heartbeats for which the upstreams of a failure domain count as cold once its
+evacuation ends: they may have turned cold just before, and a heartbeat may be late."""
 
 
 @dataclass(slots=True)
-class _Known:
-    """An upstream, and until when each replica holds it; None without an end."""
+class _KnownUpstream:
+    """An upstream and the replicas that list it.
+
+    Args:
+        registration: Its latest registration.
+        cold_until: When it stops being cold; 0 if it is not cold.
+        held_until: Until when each replica counts as listing it; None for no limit.
+    """
 
     registration: Registration
     cold_until: Millis = 0
-    until: dict[str, Millis | None] = field(default_factory=dict)
+    held_until: dict[str, Millis | None] = field(default_factory=dict)
 
     @property
     def incarnation(self) -> Incarnation:
-        """Which start of the upstream it is."""
+        """Incarnation of the latest registration."""
         return self.registration.incarnation
 
 
 class UpstreamView:
-    """Upstreams known to an entry, the latest start of each.
+    """Upstreams known to an entry, with the latest incarnation of each.
 
     Args:
         regions: Region of each failure domain.
@@ -58,116 +64,127 @@
     ) -> None:
         self.evacuated: frozenset[str] = frozenset()
         self._regions = regions or {}
-        self._doubt = DOUBTED_HEARTBEATS * heartbeat_interval
+        self._restored_cold_time = COLD_HEARTBEATS_AFTER_RESTORE * heartbeat_interval
         self._evacuation_revision = 0
-        self._doubted: dict[str, Millis] = {}
-        self._last_cold: Millis = 0
-        self._known: dict[str, _Known] = {}
+        self._restored_cold_until: dict[str, Millis] = {}
+        self._all_warm_at: Millis = 0
+        self._upstreams: dict[str, _KnownUpstream] = {}
         self._departed = Departures()
         self._by_pool: dict[str, list[Registration]] | None = None
-        self._by_scope: dict[tuple[str, frozenset[str]], list[Registration]] = {}
-        self._slots: dict[str, tuple[int, int]] = {}
+        self._by_regions: dict[tuple[str, frozenset[str]], list[Registration]] = {}
+        self._slots_by_pool: dict[str, tuple[int, int]] = {}
         self._addresses = AddressTable()
 
     def __repr__(self) -> str:
-        return f"UpstreamView(known={len(self._known)}, {self._departed!r})"
+        return f"UpstreamView(known={len(self._upstreams)}, {self._departed!r})"
 
     def connected(self, replica: str, now: Millis) -> None:
-        """Note that a replica reports anew; what it held and omits ends later."""
-        self._end_later(replica, now)
+        """Record a new connection of a replica.
+
+        Upstreams that it listed before and does not list again expire later.
+        """
+        self._schedule_drop(replica, now)
 
     def disconnected(self, replica: str, now: Millis) -> None:
-        """Note that a replica no longer reports."""
-        self._end_later(replica, now)
+        """Record that a replica is disconnected; its upstreams expire later."""
+        self._schedule_drop(replica, now)
 
     def update(
         self, replica: str, rows: Iterable[Registration], now: Millis
     ) -> tuple[Incarnation, ...]:
-        """Take rows that a replica holds.
+        """Merge registrations that a replica lists.
 
         Returns:
-            Incarnations that are over, as a later start of theirs is known now.
+            Incarnations that were replaced by a later start of the same upstream.
         """
-        taken = [row for row in rows if row.incarnation not in self._departed]
-        over = [self._take(replica, row, now) for row in taken]
-        return tuple(one for one in over if one is not None)
+        accepted = [row for row in rows if row.incarnation not in self._departed]
+        replaced = [self._merge_row(replica, row, now) for row in accepted]
+        return tuple(one for one in replaced if one is not None)
 
     def expired(self, replica: str, incarnations: Iterable[Incarnation]) -> None:
-        """A replica no longer hears these."""
+        """Record that upstreams have expired at a replica.
+
+        An upstream is dropped unless another replica lists it.
+        """
         for incarnation in incarnations:
             known = self._get(incarnation)
             if known is not None:
-                known.until.pop(replica, None)
+                known.held_until.pop(replica, None)
                 self._drop_if_unheld(known)
 
     def left(self, incarnations: Iterable[Incarnation]) -> tuple[Incarnation, ...]:
-        """Take upstreams that leave for good; return those not known as such yet."""
-        fresh = tuple(one for one in incarnations if self._departed.add(one))
-        for incarnation in fresh:
-            known = self._known.get(incarnation.instance)
+        """Remove upstreams that leave for good; return those not recorded before."""
+        new = tuple(one for one in incarnations if self._departed.add(one))
+        for incarnation in new:
+            known = self._upstreams.get(incarnation.instance)
             if known is not None and known.incarnation in self._departed:
-                del self._known[incarnation.instance]
-                self._forget(known)
-        return fresh
+                del self._upstreams[incarnation.instance]
+                self._release_address(known)
+        return new
 
     def evacuate(self, revision: int, domains: Iterable[str], now: Millis) -> bool:
-        """Send nothing to the upstreams of some failure domains from now on.
+        """Replace the set of evacuated failure domains, which get no requests.
 
         Args:
-            revision: Revision of the evacuations; an older one changes nothing.
+            revision: Revision of the evacuations. Only a higher one than the last has
+                an effect.
             domains: All failure domains that are evacuated.
             now: Current time.
 
         Returns:
-            Whether that is news.
+            Whether the revision was new.
         """
         if revision <= self._evacuation_revision:
             return False
         self._evacuation_revision = revision
         before, self.evacuated = self.evacuated, frozenset(domains)
         for domain in before - self.evacuated:
-            self._doubted[domain] = now + self._doubt
-            self._last_cold = max(self._last_cold, self._doubted[domain])
+            self._restored_cold_until[domain] = now + self._restored_cold_time
+            self._all_warm_at = max(
+                self._all_warm_at, self._restored_cold_until[domain]
+            )
         self._by_pool = None
         return True
 
     def cold_until(self, row: Registration) -> Millis:
-        """Return until when an upstream is taken to be cold; 0 if it is not."""
-        known = self._known.get(row.incarnation.instance)
+        """Return when an upstream stops counting as cold; 0 if it is not cold."""
+        known = self._upstreams.get(row.incarnation.instance)
         if known is None or known.incarnation != row.incarnation:
             return 0
-        return max(known.cold_until, self._doubted.get(row.failure_domain, 0))
+        return max(
+            known.cold_until, self._restored_cold_until.get(row.failure_domain, 0)
+        )
 
     def all_warm(self, now: Millis) -> bool:
-        """Tell whether no upstream at all is cold: so it is nearly always."""
-        return now >= self._last_cold
+        """Return whether no upstream at all is cold, which is the usual case."""
+        return now >= self._all_warm_at
 
     def available_fraction(self, pools: Iterable[str]) -> float:
-        """Return the part of the places of some pools that is not evacuated."""
+        """Return the fraction of the slots of some pools that is not evacuated."""
         self._pools()
-        counts = [self._slots.get(pool, (0, 0)) for pool in pools]
-        total = sum(every for _, every in counts)
-        return sum(left for left, _ in counts) / total if total else 1.0
+        counts = [self._slots_by_pool.get(pool, (0, 0)) for pool in pools]
+        total = sum(slots for _, slots in counts)
+        return sum(available for available, _ in counts) / total if total else 1.0
 
     def has_left(self, incarnation: Incarnation) -> bool:
-        """Tell whether an upstream has announced its end."""
+        """Return whether an upstream has announced that it leaves."""
         return incarnation in self._departed
 
     def serves(self, incarnation: Incarnation) -> bool:
-        """Tell whether an incarnation is heard, and holds its address."""
+        """Return whether an incarnation is registered and holds its address."""
         known = self._get(incarnation)
         return known is not None and self._addresses.holds(known.registration)
 
     def answered(self, incarnation: Incarnation, now: Millis) -> None:
-        """Note that an upstream has answered a request that was meant for it."""
+        """Record that an upstream has answered a request that was meant for it."""
         if self._get(incarnation) is not None:
             self._addresses.answered(incarnation, now)
 
     def misdirected(self, incarnation: Incarnation) -> bool:
-        """Note that another incarnation answers at an upstream's address.
+        """Record that another incarnation answers at an upstream's address.
 
         Returns:
-            Whether another one is known there, which gets the work from now on.
+            Whether another one is registered there, which gets its requests from now.
         """
         known = self._get(incarnation)
         if known is None or not self._addresses.misdirected(known.registration):
@@ -176,104 +193,109 @@
         return True
 
     def sweep(self, now: Millis) -> None:
-        """Drop what nobody has held for `KEPT_AFTER_LOSS`."""
-        for known in list(self._known.values()):
-            for replica, until in list(known.until.items()):
-                if until is not None and now >= until:
-                    del known.until[replica]
+        """Drop upstreams that no replica has listed for `LOST_REPLICA_TTL`."""
+        for known in list(self._upstreams.values()):
+            for replica, held_until in list(known.held_until.items()):
+                if held_until is not None and now >= held_until:
+                    del known.held_until[replica]
             self._drop_if_unheld(known)
 
     def pool(
         self, name: str, regions: frozenset[str] | None = None
     ) -> Sequence[Registration]:
-        """Return the upstreams of a pool that take new work.
+        """Return the upstreams of a pool that accept new requests.
 
         Args:
-            name: The pool.
-            regions: Regions in which they have to be, or None for any.
+            name: Name of the pool.
+            regions: Allowed regions, or None for any.
         """
         rows = self._pools().get(name, ())
         if regions is None:
             return rows
         key = (name, regions)
-        if key not in self._by_scope:
-            self._by_scope[key] = [
+        if key not in self._by_regions:
+            self._by_regions[key] = [
                 row for row in rows if self._regions.get(row.failure_domain) in regions
             ]
-        return self._by_scope[key]
+        return self._by_regions[key]
 
     def _pools(self) -> dict[str, list[Registration]]:
-        """Return the upstreams that take new work by pool, grouped anew if need be."""
+        """Return the upstreams that accept new requests by pool.
+
+        The result is cached until an upstream or the evacuations change.
+        """
         if self._by_pool is None:
             self._by_pool = self._group()
-            self._by_scope.clear()
+            self._by_regions.clear()
         return self._by_pool
 
     def _group(self) -> dict[str, list[Registration]]:
         grouped: dict[str, list[Registration]] = {}
-        for known in self._known.values():
+        for known in self._upstreams.values():
             row = known.registration
             if row.ready and self._addresses.holds(row):
                 grouped.setdefault(row.pool, []).append(row)
-        stated = {pool: _with_starts(rows) for pool, rows in grouped.items()}
-        left = {pool: self._not_evacuated(rows) for pool, rows in stated.items()}
-        self._slots = {
-            pool: (_slots_of(left[pool]), _slots_of(rows))
-            for pool, rows in stated.items()
+        listed = {pool: _without_foreign_rows(rows) for pool, rows in grouped.items()}
+        available = {pool: self._not_evacuated(rows) for pool, rows in listed.items()}
+        self._slots_by_pool = {
+            pool: (_slots_of(available[pool]), _slots_of(rows))
+            for pool, rows in listed.items()
         }
-        return left
+        return available
 
     def _not_evacuated(self, rows: list[Registration]) -> list[Registration]:
         return [row for row in rows if row.failure_domain not in self.evacuated]
 
-    def _take(self, replica: str, row: Registration, now: Millis) -> Incarnation | None:
-        """Take a row; return the incarnation that it replaces, if any."""
-        over = None
-        known = self._known.get(row.instance)
+    def _merge_row(
+        self, replica: str, row: Registration, now: Millis
+    ) -> Incarnation | None:
+        """Merge a row; return the incarnation that it replaces, if any."""
+        replaced = None
+        known = self._upstreams.get(row.instance)
         if known is None:
-            known = self._known[row.instance] = _Known(row)
-            self._note_cold(known, now)
+            known = self._upstreams[row.instance] = _KnownUpstream(row)
+            self._update_cold_until(known, now)
             self._addresses.claim(row, now)
         elif row.incarnation.replaces(known.incarnation):
-            over = known.incarnation
+            replaced = known.incarnation
             self._addresses.succeed(known.registration, row)
-            known = self._known[row.instance] = _Known(row)
-            self._note_cold(known, now)
+            known = self._upstreams[row.instance] = _KnownUpstream(row)
+            self._update_cold_until(known, now)
         elif row.incarnation != known.incarnation:
-            # A replica that has not heard of the later start yet.
+            # The replica has not received the later start yet.
             return None
         elif row.sequence > known.registration.sequence:
             known.registration = row
-            self._note_cold(known, now)
-        known.until[replica] = None
+            self._update_cold_until(known, now)
+        known.held_until[replica] = None
         self._by_pool = None
-        return over
+        return replaced
 
-    def _note_cold(self, known: _Known, now: Millis) -> None:
-        left = known.registration.cold_remaining
-        known.cold_until = now + left if left else 0
-        self._last_cold = max(self._last_cold, known.cold_until)
+    def _update_cold_until(self, known: _KnownUpstream, now: Millis) -> None:
+        remaining = known.registration.cold_remaining
+        known.cold_until = now + remaining if remaining else 0
+        self._all_warm_at = max(self._all_warm_at, known.cold_until)
 
-    def _get(self, incarnation: Incarnation) -> _Known | None:
-        """Return what is known of an incarnation that is still the latest."""
-        known = self._known.get(incarnation.instance)
+    def _get(self, incarnation: Incarnation) -> _KnownUpstream | None:
+        """Return the record of an incarnation, or None if it is not the latest."""
+        known = self._upstreams.get(incarnation.instance)
         if known is None or known.incarnation != incarnation:
             return None
         return known
 
-    def _end_later(self, replica: str, now: Millis) -> None:
-        """Let all that a replica holds end in time, unless it reports it anew."""
-        until = now + KEPT_AFTER_LOSS
-        for known in self._known.values():
-            if known.until.get(replica, until) is None:
-                known.until[replica] = until
+    def _schedule_drop(self, replica: str, now: Millis) -> None:
+        """Let all upstreams of a replica expire, except those that it lists again."""
+        held_until = now + LOST_REPLICA_TTL
+        for known in self._upstreams.values():
+            if known.held_until.get(replica, held_until) is None:
+                known.held_until[replica] = held_until
 
-    def _drop_if_unheld(self, known: _Known) -> None:
-        if not known.until and self._get(known.incarnation) is known:
-            del self._known[known.incarnation.instance]
-            self._forget(known)
+    def _drop_if_unheld(self, known: _KnownUpstream) -> None:
+        if not known.held_until and self._get(known.incarnation) is known:
+            del self._upstreams[known.incarnation.instance]
+            self._release_address(known)
 
-    def _forget(self, known: _Known) -> None:
+    def _release_address(self, known: _KnownUpstream) -> None:
         self._addresses.drop(known.registration)
         self._by_pool = None
 
@@ -282,11 +304,11 @@
     return sum(row.slots for row in rows)
 
 
-def _with_starts(rows: list[Registration]) -> list[Registration]:
-    """Return the upstreams of a pool without those that only look like some.
+def _without_foreign_rows(rows: list[Registration]) -> list[Registration]:
+    """Return the rows of a pool without those that other software has written.
 
-    Either all upstreams of a pool state their start or none does, so the few that do
-    not are written by something else.
+    Either all upstreams of a pool report their start or none does, so a minority of
+    rows without a start does not come from the pool's upstreams.
     """
-    stated = [row for row in rows if row.incarnation.start]
-    return stated if 2 * len(stated) >= len(rows) else rows
+    listed = [row for row in rows if row.incarnation.start]
+    return listed if 2 * len(listed) >= len(rows) else rows
--- a/src/leadseam/wire/codec.py
+++ b/src/leadseam/wire/codec.py
@@ -1,4 +1,4 @@
-"""Frames on a link: a CBOR array of one or more messages."""
+"""Encoding of frames; a frame on a link is a CBOR array of messages."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
     try:
         return msgspec.convert(cbor2.loads(data), type_)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError) as exc:
-        raise WireError(f"cannot decode: {exc}") from exc
+        raise WireError(f"cannot decode CBOR value: {exc}") from exc
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedMessage:
-    """A message that goes to many peers, encoded once for all of them.
+    """A message for several peers, encoded once for all of them.
 
     Args:
         message: The message.
@@ -68,7 +68,7 @@
 
 
 def encode_message(message: AnyMessage) -> EncodedMessage:
-    """Encode a message that goes to many peers."""
+    """Encode a message once for several peers."""
     return EncodedMessage(message, encode(message))
 
 
@@ -77,14 +77,14 @@
     messages = tuple(messages)
     if not any(isinstance(one, EncodedMessage) for one in messages):
         return encode(messages)
-    items = [
+    encoded = [
         one.data if isinstance(one, EncodedMessage) else encode(one) for one in messages
     ]
-    return b"".join([_array_head(len(items)), *items])
+    return b"".join([_array_head(len(encoded)), *encoded])
 
 
 def _array_head(length: int) -> bytes:
-    """Return the head of a CBOR array of a length."""
+    """Return the head of a CBOR array with a number of items."""
     if length < 24:
         return bytes([0x80 | length])
     return b"\x99" + struct.pack(">H", length)
@@ -97,12 +97,12 @@
         WireError: If any message of the frame is malformed.
     """
     try:
-        return tuple(map(_message, cbor2.loads(data)))
+        return tuple(map(_decode_message, cbor2.loads(data)))
     except _DECODE_ERRORS as exc:
-        raise WireError(f"cannot decode: {exc!r}") from exc
+        raise WireError(f"cannot decode frame: {exc!r}") from exc
 
 
-def _message(fields: list[Any]) -> AnyMessage:
-    # Converting to the union itself would build its type anew on each call.
+def _decode_message(fields: list[Any]) -> AnyMessage:
+    # Converting to the union would build the union's type on each call.
     message: AnyMessage = msgspec.convert(fields, _BY_TAG[fields[0]])
     return message
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -1,4 +1,4 @@
-"""How many ends convict, by when they came."""
+"""Weight of early and late ends, and how many of them convict."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     assert (weight_of(row), convicts(row)) == (weight, convicted)
 
 
-def test_an_end_that_anybody_saw_early_is_early() -> None:
-    book = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
-    assert not book.convicts(DEADLY.fingerprint)
-    book.merge(make_row(1, 2))
-    assert book.weight(DEADLY.fingerprint) == 14
-    book.merge(make_row(3))
-    assert book.convicts(DEADLY.fingerprint)
+def test_an_end_is_early_if_any_report_says_so() -> None:
+    table = CrashTable([make_row(1, 2, 3, late=(1, 2, 3))])
+    assert not table.convicts(DEADLY.fingerprint)
+    table.merge(make_row(1, 2))
+    assert table.weight(DEADLY.fingerprint) == 14
+    table.merge(make_row(3))
+    assert table.convicts(DEADLY.fingerprint)
 
 
-def test_what_is_void_weighs_nothing() -> None:
+def test_void_ends_weigh_nothing() -> None:
     assert weight_of(make_row(1, 2, 3, void=(1, 2))) == 5
--- a/tests/crashes/test_fingerprint.py
+++ b/tests/crashes/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for the same."""
+"""Which requests have the same fingerprint."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     assert fingerprint(first, "bank", b"{}") == fingerprint(again, "bank", b"{}")
 
 
-def test_path_account_and_body_tell_requests_apart() -> None:
+def test_requests_differ_by_path_account_and_body() -> None:
     req = make_request()
     other = replace(req, target="/chat/2")
-    marks = {
+    fingerprints = {
         fingerprint(req, "bank", b"{}"),
         fingerprint(other, "bank", b"{}"),
         fingerprint(req, "shop", b"{}"),
         fingerprint(req, None, b"{}"),
         fingerprint(req, "bank", b"{ }"),
     }
-    assert len(marks) == 5
+    assert len(fingerprints) == 5
 
 
 def test_a_query_counts_only_where_there_is_no_body() -> None:
@@ -34,7 +34,7 @@
     assert fingerprint(first, "bank", b"") != fingerprint(again, "bank", b"")
 
 
-def test_callers_without_an_account_are_told_apart_by_their_key() -> None:
+def test_callers_without_an_account_differ_by_their_key() -> None:
     first = replace(make_request(), key="one")
     other = replace(make_request(), key="two")
     assert fingerprint(first, None, b"{}") != fingerprint(other, None, b"{}")
--- a/tests/crashes/test_suspects.py
+++ b/tests/crashes/test_suspects.py
@@ -1,4 +1,4 @@
-"""What speaks against a request, and what does not."""
+"""`Suspects`: what counts as evidence against a request, and what does not."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from leadseam.crashes.suspects import (
     MAX_UNDECIDED,
-    SIGN_OF_LIFE,
+    MIN_ANSWER_DELAY,
     UNDECIDED_LIMIT,
     Findings,
     Presence,
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def suspects() -> Suspects:
-    """An entry where an attempt at the first upstream broke at 0 ms."""
+    """Suspects of an entry where an attempt at the first upstream broke at 0 ms."""
     suspects = Suspects()
     assert suspects.record_break(DEADLY, upstream(1), 0, early=True)
     return suspects
@@ -36,10 +36,10 @@
 
 
 def test_an_upstream_that_answers_later_has_not_ended(suspects: Suspects) -> None:
-    suspects.answered(upstream(1), SIGN_OF_LIFE - 1)
+    suspects.answered(upstream(1), MIN_ANSWER_DELAY - 1)
     assert suspects.undecided
-    suspects.answered(upstream(1), SIGN_OF_LIFE)
-    assert suspects.ended(upstream(1), SIGN_OF_LIFE) == Findings()
+    suspects.answered(upstream(1), MIN_ANSWER_DELAY)
+    assert suspects.ended(upstream(1), MIN_ANSWER_DELAY) == Findings()
 
 
 def test_an_upstream_that_has_announced_its_end_is_no_evidence(
@@ -49,19 +49,19 @@
     assert not suspects.undecided
 
 
-def test_an_upstream_that_is_not_heard_any_more_has_ended(suspects: Suspects) -> None:
+def test_an_upstream_that_expires_has_ended(suspects: Suspects) -> None:
     assert suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT) == Findings()
     assert suspects.undecided
-    news = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
-    assert news == Findings(rows=(make_row(1),))
+    findings = suspects.review(lambda _: Presence.GONE, UNDECIDED_LIMIT)
+    assert findings == Findings(rows=(make_row(1),))
 
 
-def test_what_stays_undecided_is_forgotten(suspects: Suspects) -> None:
+def test_a_break_that_stays_undecided_is_dropped(suspects: Suspects) -> None:
     suspects.review(lambda _: Presence.SERVES, UNDECIDED_LIMIT + 1)
     assert not suspects.undecided
 
 
-def test_all_that_ran_there_is_suspected_and_an_answer_acquits(
+def test_all_requests_at_an_ended_upstream_are_suspects_until_answered(
     suspects: Suspects,
 ) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
@@ -71,23 +71,23 @@
     assert suspects.table.count(DEADLY.fingerprint) == 1
 
 
-def test_an_answer_acquits_of_ends_that_are_not_known_yet(suspects: Suspects) -> None:
+def test_an_answer_acquits_before_an_end_is_detected(suspects: Suspects) -> None:
     suspects.record_break(GOOD, upstream(1), 1, early=True)
     suspects.acquit(GOOD, 2)
     assert suspects.ended(upstream(1), 5).rows == (make_row(1),)
 
 
-def test_a_third_break_is_a_trial(suspects: Suspects) -> None:
+def test_a_third_break_would_convict(suspects: Suspects) -> None:
     suspects.merge_reports([make_row(7)], 0)
     assert not suspects.would_be_convicted(DEADLY)
     suspects.record_break(DEADLY, upstream(2), 1, early=True)
     assert suspects.would_be_convicted(DEADLY)
     assert not suspects.would_be_convicted(GOOD)
-    suspects.answered(upstream(2), 1 + SIGN_OF_LIFE)
+    suspects.answered(upstream(2), 1 + MIN_ANSWER_DELAY)
     assert not suspects.would_be_convicted(DEADLY)
 
 
-def test_what_others_have_seen_convicts_once(suspects: Suspects) -> None:
+def test_rows_of_other_entries_convict_once(suspects: Suspects) -> None:
     assert suspects.merge_reports([make_row(2, 3)], 0) == ()
     assert suspects.merge_reports([make_row(3, 4)], 0) == (DEADLY.fingerprint,)
     assert suspects.merge_reports([make_row(5)], 0) == ()
--- a/tests/membership/test_addresses.py
+++ b/tests/membership/test_addresses.py
@@ -1,46 +1,44 @@
-"""Incarnations that claim one address, some by a heartbeat that came late."""
+"""Incarnations that claim the same address, some by a delayed heartbeat."""
 
 from __future__ import annotations
 
 import msgspec
 
 from leadseam.incarnation import Incarnation
-from leadseam.membership.addresses import PROOF, AddressTable
+from leadseam.membership.addresses import PROOF_TTL, AddressTable
 from leadseam.membership.view import UpstreamView
 from tests.routing.samples import make_upstream
 
-SERVING = make_upstream(1)
-STALE = msgspec.structs.replace(
-    SERVING, incarnation=Incarnation("i-stale"), sequence=40
-)
+ACTIVE = make_upstream(1)
+STALE = msgspec.structs.replace(ACTIVE, incarnation=Incarnation("i-stale"), sequence=40)
 
 
 def instances(view: UpstreamView) -> set[str]:
-    """Return the incarnations that take new work."""
+    """Return the ids of the upstreams that accept new requests."""
     return {row.instance for row in view.pool("p")}
 
 
-def serving_view() -> UpstreamView:
+def active_view() -> UpstreamView:
     """Return a view with an upstream that answered at 1,000 ms."""
     view = UpstreamView()
-    view.update("a", [SERVING], 0)
+    view.update("a", [ACTIVE], 0)
     view.answered(Incarnation("i-1"), 1_000)
     return view
 
 
 def test_a_late_heartbeat_takes_no_address_from_one_that_answers() -> None:
-    view = serving_view()
-    view.update("b", [STALE], 1_000 + PROOF)
+    view = active_view()
+    view.update("b", [STALE], 1_000 + PROOF_TTL)
     assert instances(view) == {"i-1"}
-    # Nor does it later, when nothing was sent there for long.
+    # Nor does a later one, when no request was sent there for a long time.
     view.update("b", [msgspec.structs.replace(STALE, sequence=41)], 60_000)
     assert instances(view) == {"i-1"}
     view.expired("b", [Incarnation("i-stale")])
     assert instances(view) == {"i-1"}
 
 
-def test_a_late_word_of_leaving_concerns_its_own_incarnation_only() -> None:
-    view = serving_view()
+def test_a_late_departure_concerns_its_own_incarnation_only() -> None:
+    view = active_view()
     view.update("b", [msgspec.structs.replace(STALE, ready=False)], 1_200)
     view.left([Incarnation("i-stale")])
     assert instances(view) == {"i-1"}
@@ -48,45 +46,45 @@
     assert instances(view) == {"i-1"}
 
 
-def test_a_successor_has_the_address_at_once_if_nothing_was_answered_of_late() -> None:
-    view = serving_view()
-    view.update("a", [STALE], 1_000 + PROOF + 1)
+def test_a_successor_has_the_address_at_once_without_a_recent_answer() -> None:
+    view = active_view()
+    view.update("a", [STALE], 1_000 + PROOF_TTL + 1)
     assert instances(view) == {"i-stale"}
 
 
-def test_an_answer_for_another_gives_the_address_back() -> None:
+def test_a_misdirected_answer_moves_the_address() -> None:
     view = UpstreamView()
-    view.update("a", [SERVING], 0)
+    view.update("a", [ACTIVE], 0)
     view.update("b", [STALE], 0)
     assert instances(view) == {"i-stale"}
     assert view.misdirected(Incarnation("i-stale"))
     assert instances(view) == {"i-1"}
-    # Several requests were under way; only the first changes anything.
+    # Several requests were in flight; only the first one has an effect.
     assert not view.misdirected(Incarnation("i-stale"))
     assert instances(view) == {"i-1"}
-    # If that one is gone after all, it is turned back.
+    # If the new holder has ended after all, the address goes back.
     assert view.misdirected(Incarnation("i-1"))
     assert instances(view) == {"i-stale"}
 
 
-def test_one_alone_keeps_its_address_whatever_is_said() -> None:
-    view = serving_view()
+def test_a_sole_claimant_keeps_its_address() -> None:
+    view = active_view()
     assert not view.misdirected(Incarnation("i-1"))
     assert not view.misdirected(Incarnation("i-unknown"))
     view.answered(Incarnation("i-unknown"), 0)
     assert instances(view) == {"i-1"}
 
 
-def test_who_is_left_inherits_the_address_and_nothing_is_kept_of_the_others() -> None:
-    book = AddressTable()
-    book.claim(SERVING, 0)
-    book.answered(Incarnation("i-1"), 0)
-    book.claim(STALE, 10)
-    assert book.holds(SERVING)
-    assert not book.holds(STALE)
-    book.drop(SERVING)
-    assert book.holds(STALE)
-    book.drop(SERVING)
-    book.drop(STALE)
-    assert not book.holds(STALE)
-    assert repr(book) == "AddressTable(addresses=0)"
+def test_the_remaining_claimant_inherits_and_the_others_are_removed() -> None:
+    table = AddressTable()
+    table.claim(ACTIVE, 0)
+    table.answered(Incarnation("i-1"), 0)
+    table.claim(STALE, 10)
+    assert table.holds(ACTIVE)
+    assert not table.holds(STALE)
+    table.drop(ACTIVE)
+    assert table.holds(STALE)
+    table.drop(ACTIVE)
+    table.drop(STALE)
+    assert not table.holds(STALE)
+    assert repr(table) == "AddressTable(addresses=0)"
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""An entry's view over several replicas."""
+"""`UpstreamView`: an entry's view, merged from the reports of several replicas."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from leadseam.incarnation import Incarnation
-from leadseam.membership.view import KEPT_AFTER_LOSS, UpstreamView
+from leadseam.membership.view import LOST_REPLICA_TTL, UpstreamView
 from tests.routing.samples import make_upstream
 
 
 def instances(view: UpstreamView) -> set[str]:
-    """Return the incarnations that take new work."""
+    """Return the ids of the upstreams that accept new requests."""
     return {row.instance for row in view.pool("p")}
 
 
@@ -30,20 +30,20 @@
     view = UpstreamView()
     view.update("a", [make_upstream(1)], 0)
     view.disconnected("a", 100)
-    view.sweep(100 + KEPT_AFTER_LOSS - 1)
+    view.sweep(100 + LOST_REPLICA_TTL - 1)
     assert instances(view) == {"i-1"}
-    view.sweep(100 + KEPT_AFTER_LOSS)
+    view.sweep(100 + LOST_REPLICA_TTL)
     assert instances(view) == set()
 
 
-def test_a_replica_that_comes_back_empty_takes_nothing_away_at_once() -> None:
+def test_a_replica_that_returns_empty_removes_nothing_at_once() -> None:
     view = UpstreamView()
     view.update("a", [make_upstream(1)], 0)
     view.connected("a", 0)
     view.update("a", [], 0)
     assert instances(view) == {"i-1"}
     view.update("a", [make_upstream(1, sequence=2)], 0)
-    view.sweep(10 * KEPT_AFTER_LOSS)
+    view.sweep(10 * LOST_REPLICA_TTL)
     assert instances(view) == {"i-1"}
 
 
@@ -56,7 +56,7 @@
     assert instances(view) == {"i-2"}
 
 
-def test_an_address_that_is_handed_on_belongs_to_the_newer_incarnation() -> None:
+def test_a_reused_address_belongs_to_the_newer_incarnation() -> None:
     view = UpstreamView()
     old = make_upstream(1)
     view.update("a", [old], 0)
@@ -69,7 +69,10 @@
 
 
 class ViewMachine(RuleBasedStateMachine):
-    """Random reports: what left never returns, and held upstreams stay."""
+    """Applies random reports and checks two properties.
+
+    An incarnation that left never returns, and an upstream that a replica lists stays.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,7 +101,7 @@
         self.view.left([Incarnation(f"i-{number}")])
         self.left.add(f"i-{number}")
 
-    @rule(step=st.integers(1, 2 * KEPT_AFTER_LOSS))
+    @rule(step=st.integers(1, 2 * LOST_REPLICA_TTL))
     def wait(self, step: int) -> None:
         self.now += step
         self.view.sweep(self.now)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -165,7 +165,7 @@
     Variant(
         "idle accounts keep their credit",
         "fairness/picker.py",
-        "        self._ledger.raise_to(account, self._level)\n",
+        "        self._ledger.raise_level(account, self._level)\n",
         "        return\n",
         "tests/test_fairness.py",
     ),
@@ -254,7 +254,7 @@
         "membership/departures.py",
         "        return start is not None and incarnation.start <= start\n",
         "        return start is not None\n",
-        f"{RESTARTED}::test_one_that_left_comes_back_with_a_later_start",
+        f"{RESTARTED}::test_one_that_left_returns_with_a_later_start",
     ),
     Variant(
         "pools that nobody named are taken",
@@ -291,8 +291,7 @@
         "crashes/suspects.py",
         "                case Presence.GONE:\n",
         "                case Presence.GONE | Presence.SERVES:\n",
-        "tests/crashes/test_suspects.py"
-        "::test_an_upstream_that_is_not_heard_any_more_has_ended",
+        "tests/crashes/test_suspects.py::test_an_upstream_that_expires_has_ended",
     ),
     Variant(
         "each end weighs the same",
@@ -370,7 +369,7 @@
     Variant(
         "entries do not hear that an upstream turns cold",
         "membership/registry.py",
-        "        changed = changed or _cold_moved(row, registration, now)\n",
+        "        changed = changed or _cold_end_changed(row, registration, now)\n",
         "",
         "tests/platform/test_evacuation.py"
         "::test_a_server_that_turns_cold_gets_its_part_of_the_rate",
