--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -43,29 +43,29 @@
 PUMP_INTERVAL: Millis = 5
 """Least pause between two looks at all that waits: small against objectives of 250 ms,
 and at an overloaded entry it bounds the processor time of looking."""
-PAUSE_SPREAD = 10
-"""Part of a pause, one in so many, over which entries spread its end by chance: they do
+PAUSE_JITTER_DIVISOR = 10
+"""Part of a pause, one in so many, over which entries jitter its end by chance: they do
 not know of each other's pauses."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Sound:
+class _UsableUpstreams:
     """Upstreams of a scope that may be used, kept for all that look at once.
 
     Args:
-        at: When they were worked out.
-        of: Upstreams of the scope.
+        computed_at: When they were worked out.
+        candidates: Upstreams of the scope.
         rows: Those that are not paused and do not fail. If all fail, all that are not
             paused.
     """
 
-    at: Millis
-    of: Sequence[Registration]
+    computed_at: Millis
+    candidates: Sequence[Registration]
     rows: Sequence[Registration]
 
 
 @dataclass(frozen=True, slots=True)
-class _Wait:
+class _PlainWait:
     """A request for a plain pool may wait for room."""
 
 
@@ -115,7 +115,7 @@
             begin=self._balancer.begin,
         )
         self._pumping = False
-        self._sound: dict[Scope, _Sound] = {}
+        self._usable: dict[Scope, _UsableUpstreams] = {}
 
     def __repr__(self) -> str:
         return f"Placer(waiting={len(self._admission)}, {self._balancer!r})"
@@ -148,9 +148,9 @@
         """
         placement = self._place_at_once(admitted, tried, again=again)
         if isinstance(placement, EngineProfile):
-            placement = await self._wait_for_room(admitted, placement, tried)
+            placement = await self._wait_for_engine(admitted, placement, tried)
             reason = Reason.UPSTREAM_FULL
-        elif isinstance(placement, _Wait):
+        elif isinstance(placement, _PlainWait):
             placement = await self._wait_for_plain(admitted, tried)
             reason = Reason.UPSTREAM_FULL
         else:
@@ -181,10 +181,10 @@
 
     def pause(self, row: Registration, length: Millis) -> None:
         """Send nothing to an upstream for a while, as it asks."""
-        spread = self._rng.randint(0, length // PAUSE_SPREAD)
-        until = self._clock.now() + length + spread
+        jitter = self._rng.randint(0, length // PAUSE_JITTER_DIVISOR)
+        until = self._clock.now() + length + jitter
         self._pauses.asked(row.incarnation, until)
-        self._sound.clear()
+        self._usable.clear()
 
     def record_answer(self, row: Registration) -> None:
         """Note a good answer of an upstream, which may get more after a pause."""
@@ -235,7 +235,7 @@
 
     def _place_at_once(
         self, admitted: Admitted, tried: set[Incarnation], *, again: bool
-    ) -> Placement | EngineProfile | _Wait | None:
+    ) -> Placement | EngineProfile | _PlainWait | None:
         """Place a request that need not wait; else return its pool's profile."""
         rows = self._candidates(admitted.scope)
         pool = self._feed.configuration.pools.get(admitted.pool)
@@ -243,19 +243,19 @@
         now = self._clock.now()
         if profile is None:
             if again:
-                return self._balancer.least_loaded(_without(rows, tried), now)
-            return _Wait() if _without(rows, tried) else None
+                return self._balancer.least_loaded(_exclude_tried(rows, tried), now)
+            return _PlainWait() if _exclude_tried(rows, tried) else None
         if again:
             order = self._balancer.orders.order_for(admitted.scope, rows, admitted.req)
-            ranked = _without(order, tried)
+            ranked = _exclude_tried(order, tried)
             return self._balancer.place_anyway(ranked, admitted.req, now)
-        return profile if _without(rows, tried) else None
+        return profile if _exclude_tried(rows, tried) else None
 
     def _pick_plain(
         self, scope: Scope, tried: set[Incarnation], now: Millis
     ) -> Placement | None:
         """Return the upstream of a plain pool with the most room, if it has any."""
-        rows = _without(self._candidates(scope), tried)
+        rows = _exclude_tried(self._candidates(scope), tried)
         placement = self._balancer.least_loaded(rows, now)
         if placement is None:
             return None
@@ -279,7 +279,7 @@
         self._plain.enter(waiter, now)
         return await self._until_done(self._plain.withdraw, waiter, woken)
 
-    async def _wait_for_room(
+    async def _wait_for_engine(
         self, admitted: Admitted, profile: EngineProfile, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
@@ -340,12 +340,18 @@
         rows = self._upstreams(scope)
         if self._health.all_usable(now) and not self._pauses.any_paused(now):
             return rows
-        known = self._sound.get(scope)
-        if known is None or known.of is not rows or now - known.at > PUMP_INTERVAL:
-            known = self._sound[scope] = _Sound(now, rows, self._sound_of(rows, now))
-        return known.rows
+        cached = self._usable.get(scope)
+        if (
+            cached is None
+            or cached.candidates is not rows
+            or now - cached.computed_at > PUMP_INTERVAL
+        ):
+            cached = self._usable[scope] = _UsableUpstreams(
+                now, rows, self._find_usable(rows, now)
+            )
+        return cached.rows
 
-    def _sound_of(
+    def _find_usable(
         self, rows: Sequence[Registration], now: Millis
     ) -> Sequence[Registration]:
         """Return the upstreams that neither pause nor fail.
@@ -368,7 +374,7 @@
         self.place_waiting()
 
 
-def _without(
+def _exclude_tried(
     rows: Sequence[Registration], tried: set[Incarnation]
 ) -> Sequence[Registration]:
     """Return upstreams without those that were tried."""
