--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -16,7 +16,7 @@
 from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.placement import Placement
 from leadseam.routing.prompts import PromptTable
-from leadseam.routing.usage import MADE_TOKEN
+from leadseam.routing.usage import GENERATED_TOKEN_WEIGHT
 
 if TYPE_CHECKING:
     import random
@@ -286,7 +286,7 @@
 
 def expected_service_of_tokens(own: int, most_made: int) -> int:
     """Return the expected service of prompt tokens and of tokens to be generated."""
-    return own + MADE_TOKEN * min(most_made, EXPECTED_MADE)
+    return own + GENERATED_TOKEN_WEIGHT * min(most_made, EXPECTED_MADE)
 
 
 def own_tokens(req: RoutedRequest) -> int:
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -28,9 +28,9 @@
 """Time after which 0.37 of a service still counts. It makes a steady rate count as two
 seconds of it; the mean age of what counts is that of the 4 s in which the platform
 takes shares."""
-SHORT_PART = 0.95
+SHORT_SHARE_PART = 0.95
 """An account is short if it got less than this part of what it is due."""
-LEAD = 1.15
+EVEN_LEAD = 1.15
 """How far an account may be ahead of one that is short before the other goes first:
 well below 2, where the platform calls it unfair."""
 STOP_LEAD = 1.3
@@ -39,14 +39,14 @@
 SCARCITY_RATIO = 1.25
 """How much more must be asked for than served for engines to be taken as full: more
 than what waits for up to its objective while there is room for all."""
-GIVEN_PART = 0.75
+MIN_ACTUAL_PART = 0.75
 """Part of the stated capacity that engines have to give for shares to be taken of it.
-Down to here `LEAST_PART` of a stated share is at most 0.67 of what can be had, so the
+Down to here `MIN_SHARE_PART` of a stated share is at most 0.67 of what can be had, so the
 bounds on leads still keep accounts within a factor of two."""
-LEAST_PART = 0.5
+MIN_SHARE_PART = 0.5
 """Part of the fair share that an account gets without regard to others: one that has
 just begun to ask has got nothing yet."""
-MADE_TOKEN = 2
+GENERATED_TOKEN_WEIGHT = 2
 """Service of a generated token against one that is read: the platform's measure."""
 
 
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class _Decaying:
+class _DecayingSum:
     """A sum of service that fades with time.
 
     It does not drop out of a window, where what an account got in one second counted in
@@ -99,10 +99,10 @@
     at: Millis = 0
 
     def add(self, service: int, now: Millis) -> None:
-        self.value = self.until(now) + service
+        self.value = self.value_at(now) + service
         self.at = now
 
-    def until(self, now: Millis) -> float:
+    def value_at(self, now: Millis) -> float:
         """Return what is left of it."""
         if not self.value:
             return 0.0
@@ -111,8 +111,8 @@
 
 @dataclass(slots=True)
 class _Account:
-    served: _Decaying = field(default_factory=_Decaying)
-    asked: _Decaying = field(default_factory=_Decaying)
+    served: _DecayingSum = field(default_factory=_DecayingSum)
+    requested: _DecayingSum = field(default_factory=_DecayingSum)
 
 
 class UsageTable:
@@ -129,7 +129,7 @@
 
     def record_requested(self, account: str, service: int, now: Millis) -> None:
         """Count a request that arrived."""
-        self._account(account).asked.add(service, now)
+        self._account(account).requested.add(service, now)
 
     def record_served(self, account: str, service: int, now: Millis) -> None:
         """Count a request that was sent to an upstream."""
@@ -137,8 +137,8 @@
 
     def recent_service(self, account: str, now: Millis) -> int:
         """Return the service that an account got of late, as far as is known."""
-        others = self._others.get(account) if self._knows_others(now) else None
-        own = round(self._account(account).served.until(now))
+        others = self._others.get(account) if self._has_current_totals(now) else None
+        own = round(self._account(account).served.value_at(now))
         return own + (others.served if others is not None else 0)
 
     def standing(self, account: str, now: Millis) -> Standing:
@@ -147,7 +147,7 @@
         Where the totals are too old nobody is held back by them: engines still refuse
         what they have no room for, and an account may long have got nothing.
         """
-        if not self._knows_others(now):
+        if not self._has_current_totals(now):
             return Standing.WITHIN
         level = self.recent_service(account, now)
         return self.shares.standing(level)
@@ -160,10 +160,10 @@
         """Return the own rows for a report."""
         rows = []
         for name, account in list(self._own.items()):
-            served = round(account.served.until(now))
-            asked = round(account.asked.until(now))
-            if served or asked:
-                rows.append(UsageRow(name, served, asked))
+            served = round(account.served.value_at(now))
+            requested = round(account.requested.value_at(now))
+            if served or requested:
+                rows.append(UsageRow(name, served, requested))
             else:
                 del self._own[name]
         return tuple(rows)
@@ -185,20 +185,20 @@
             now: Current time.
         """
         self._totals_at = now
-        mine = {row.account: row for row in own.usage} if own is not None else {}
+        own_rows = {row.account: row for row in own.usage} if own is not None else {}
         self._others = {
-            row.account: _minus(row, mine.get(row.account)) for row in sums.usage
+            row.account: _subtract(row, own_rows.get(row.account)) for row in sums.usage
         }
-        self.shares = shares_of(sums.usage, capacity)
+        self.shares = compute_shares(sums.usage, capacity)
 
-    def _knows_others(self, now: Millis) -> bool:
+    def _has_current_totals(self, now: Millis) -> bool:
         return self._totals_at is not None and now - self._totals_at <= MAX_TOTALS_AGE
 
     def _account(self, name: str) -> _Account:
         return self._own.setdefault(name, _Account())
 
 
-def shares_of(rows: Sequence[UsageRow], capacity: int) -> Shares:
+def compute_shares(rows: Sequence[UsageRow], capacity: int) -> Shares:
     """Return the shares for what accounts asked for and got.
 
     Args:
@@ -207,21 +207,21 @@
             state it; 0 if they do not.
     """
     demands = [max(row.asked, row.served) for row in rows]
-    given = given_capacity(rows, capacity)
+    actual = actual_capacity(rows, capacity)
     # Unequal to the level below where engines give more than is stated: an account
     # within this share must not be refused for what others get beyond it.
-    stated = fair_level(demands, min(capacity or given, given))
-    level = fair_level(demands, given)
+    stated = fair_level(demands, min(capacity or actual, actual))
+    level = fair_level(demands, actual)
     stop = lead_level(rows, level, STOP_LEAD)
-    if given < capacity:
+    if actual < capacity:
         # The share is a guess there: what accounts got, and less is got once some stop.
         stop = max(stop, STOP_LEAD * stated)
     return Shares(
-        stated=stated, even=min(level, lead_level(rows, level, LEAD)), stop=stop
+        stated=stated, even=min(level, lead_level(rows, level, EVEN_LEAD)), stop=stop
     )
 
 
-def given_capacity(rows: Sequence[UsageRow], capacity: int) -> int:
+def actual_capacity(rows: Sequence[UsageRow], capacity: int) -> int:
     """Return the service that upstreams give in `DECAY_TIME`, as far as is known.
 
     They may give more than is stated, or far less: engines are gone, their places are
@@ -235,10 +235,10 @@
         capacity: What the operators state; 0 if nothing.
     """
     served = sum(row.served for row in rows)
-    if served >= capacity * GIVEN_PART:
+    if served >= capacity * MIN_ACTUAL_PART:
         return max(served, capacity)
-    asked = sum(max(row.asked, row.served) for row in rows)
-    return served if asked > SCARCITY_RATIO * served else capacity
+    requested = sum(max(row.asked, row.served) for row in rows)
+    return served if requested > SCARCITY_RATIO * served else capacity
 
 
 def fair_level(demands: Iterable[int], capacity: int) -> float:
@@ -280,14 +280,14 @@
     short = [
         row.served
         for row in rows
-        if row.asked >= level and row.served < SHORT_PART * level
+        if row.asked >= level and row.served < SHORT_SHARE_PART * level
     ]
     if not short:
         return float("inf")
-    return max(lead * min(short), LEAST_PART * level)
+    return max(lead * min(short), MIN_SHARE_PART * level)
 
 
-def _minus(row: UsageRow, own: UsageRow | None) -> UsageRow:
+def _subtract(row: UsageRow, own: UsageRow | None) -> UsageRow:
     if own is None:
         return row
     return UsageRow(
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -238,7 +238,7 @@
     Variant(
         "the stated capacity is believed",
         "routing/usage.py",
-        "    return served if asked > SCARCITY_RATIO * served else capacity\n",
+        "    return served if requested > SCARCITY_RATIO * served else capacity\n",
         "    return capacity\n",
         f"{SHARES}::test_floods_get_alike_where_engines_give_less_than_is_stated",
     ),
