--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -116,8 +116,8 @@
 
     def _longest_wait(self, waiter: Waiter) -> Millis:
         """Return how long a request may wait and still be in time, if it is alone."""
-        alone = self.balancer.alone(waiter.scope.pool, waiter.req)
-        in_time = waiter.objective * ENTITLED_PART - alone
+        idle_first_token = self.balancer.idle_first_token(waiter.scope.pool, waiter.req)
+        in_time = waiter.objective * ENTITLED_PART - idle_first_token
         return round(max(in_time, waiter.objective * MIN_WAIT_PART))
 
     def _may_wait(self, waiter: Waiter, now: Millis) -> bool:
@@ -165,7 +165,7 @@
         rows = self.candidates(scope)
         if len(rows) > MAX_LOOKED:
             return None
-        return self.balancer.with_room(rows, objective * ENTITLED_PART, now)
+        return self.balancer.with_capacity(rows, objective * ENTITLED_PART, now)
 
     def _lowest_level(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -30,7 +30,7 @@
 
 MEMORY_PART = 0.92
 """Part of an engine's memory that is filled on purpose; lengths are guesses."""
-EXPECTED_MADE = 250
+EXPECTED_GENERATED = 250
 """Tokens that an answer is expected to have, where only the bound is known."""
 REREAD_WEIGHT = 30.0
 """Weight of shared prompt tokens that are read once more, against others: reading them
@@ -77,17 +77,17 @@
             self._part = part.tokens
             self._holders = balancer.prompts.holders(part.identity, now)
 
-    def rules_out(self, row: Registration, place: int, best: _Scored | None) -> bool:
+    def rules_out(self, row: Registration, position: int, best: _Scored | None) -> bool:
         """Tell whether an engine cannot be the best, by its estimate alone.
 
         One that does not hold the part that decides the order would read it, at a
         weight that grows with its place. So of many engines only the first few and
         those that hold the part are looked at.
         """
-        if place == 0 or not self._part or row.incarnation in self._holders:
+        if position == 0 or not self._part or row.incarnation in self._holders:
             return False
         estimate = self._estimates.engine(row)
-        weight = 1 + reread_weight(place)
+        weight = 1 + reread_weight(position)
         least = estimate.base + weight * self._part / estimate.rate
         return least > self.limit or (best is not None and least >= best.cost)
 
@@ -148,7 +148,7 @@
 
         return Placement(min(rows, key=key), Load(requests=1), 0)
 
-    def with_room(
+    def with_capacity(
         self, rows: Sequence[Registration], limit: float, now: Millis
     ) -> frozenset[Incarnation]:
         """Return the engines that may have room for some request.
@@ -187,12 +187,12 @@
         """
         search = _Search(self, req, limit, now)
         best: _Scored | None = None
-        for place, row in enumerate(ranked):
+        for position, row in enumerate(ranked):
             if among is not None and row.incarnation not in among:
                 continue
-            if search.rules_out(row, place, best):
+            if search.rules_out(row, position, best):
                 continue
-            scored = self._scored_if_room(row, place, search, profile)
+            scored = self._score_if_open(row, position, search, profile)
             if scored is None:
                 continue
             if ahead is not None and scored.ahead > ahead:
@@ -201,7 +201,7 @@
                 best = scored
         return best.placement if best is not None else None
 
-    def alone(self, pool: str, req: RoutedRequest) -> float:
+    def idle_first_token(self, pool: str, req: RoutedRequest) -> float:
         """Return the milliseconds to a first token at an engine with nothing else.
 
         Args:
@@ -210,20 +210,20 @@
         """
         return self.estimates.pool(pool).millis(own_tokens(req))
 
-    def place_anyway(
+    def place_over_limits(
         self, ranked: Sequence[Registration], req: RoutedRequest, now: Millis
     ) -> Placement | None:
         """Return the best engine for a request that goes on, room or not."""
         scored = [
-            self._score(row, req, now, place=place)
-            for place, row in enumerate(ranked)
+            self._score(row, req, now, position=position)
+            for position, row in enumerate(ranked)
             if self._allows(row, now)
         ]
         best = min(scored, key=lambda one: one.cost, default=None)
         return best.placement if best is not None else None
 
-    def _scored_if_room(
-        self, row: Registration, place: int, search: _Search, profile: EngineProfile
+    def _score_if_open(
+        self, row: Registration, position: int, search: _Search, profile: EngineProfile
     ) -> _Scored | None:
         """Score an engine, or return None if it has no room for the request."""
         if not self._is_open(row, search.limit, search.now):
@@ -231,10 +231,10 @@
         filled = self.loads.total(row.incarnation, search.now).memory + search.memory
         if filled > profile.memory_tokens * MEMORY_PART:
             return None
-        scored = self._score(row, search.req, search.now, place=place)
+        scored = self._score(row, search.req, search.now, position=position)
         # A prompt that takes too long even alone is sent where nothing waits.
-        alone = scored.placement.unread == scored.placement.load.unread
-        if scored.wait > search.limit and not alone:
+        is_alone = scored.placement.unread == scored.placement.load.unread
+        if scored.wait > search.limit and not is_alone:
             return None
         if scored.shared and scored.cost > search.limit:
             return None
@@ -249,34 +249,34 @@
         return not total.unread or waited <= limit
 
     def _score(
-        self, row: Registration, req: RoutedRequest, now: Millis, *, place: int
+        self, row: Registration, req: RoutedRequest, now: Millis, *, position: int
     ) -> _Scored:
-        home = place == 0
+        home = position == 0
         own, shared = self.prompts.unread(row.incarnation, req.parts, now, home=home)
         total = self.loads.total(row.incarnation, now)
         unread = total.unread + own
         estimate = self.estimates.engine(row)
         wait = estimate.millis(unread)
-        penalty = reread_weight(place) * shared / estimate.rate
+        penalty = reread_weight(position) * shared / estimate.rate
         load = Load(requests=1, unread=own, memory=expected_memory(req))
         cost = wait + penalty + RUNNING_COST * total.requests
-        placement = Placement(row, load, unread, shared, place)
+        placement = Placement(row, load, unread, shared, position)
         return _Scored(placement, shared, total.unread / estimate.rate, wait, cost)
 
 
-def reread_weight(place: int) -> float:
+def reread_weight(position: int) -> float:
     """Return the weight of shared tokens read once more, by an engine's place."""
-    return REREAD_WEIGHT * (1 + RANK_STEP * place)
+    return REREAD_WEIGHT * (1 + RANK_STEP * position)
 
 
 def expected_memory(req: RoutedRequest) -> int:
     """Return the tokens of memory that a request is expected to hold for itself."""
-    made = min(req.tokens_out, EXPECTED_MADE)
+    generated = min(req.tokens_out, EXPECTED_GENERATED)
     if not req.parts:
-        return req.tokens_in + made
+        return req.tokens_in + generated
     shared = sum(part.tokens for part in req.parts[:-1])
     # Several running requests share these; half is what each brings on average.
-    return req.tokens_in - shared // 2 + made
+    return req.tokens_in - shared // 2 + generated
 
 
 def expected_service(req: RoutedRequest) -> int:
@@ -284,9 +284,9 @@
     return expected_service_of_tokens(own_tokens(req), req.tokens_out)
 
 
-def expected_service_of_tokens(own: int, most_made: int) -> int:
+def expected_service_of_tokens(own: int, max_generated: int) -> int:
     """Return the expected service of prompt tokens and of tokens to be generated."""
-    return own + GENERATED_TOKEN_WEIGHT * min(most_made, EXPECTED_MADE)
+    return own + GENERATED_TOKEN_WEIGHT * min(max_generated, EXPECTED_GENERATED)
 
 
 def own_tokens(req: RoutedRequest) -> int:
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -74,7 +74,7 @@
 
     Args:
         feed: Configuration and registered upstreams.
-        health: Which upstreams to leave alone.
+        health: Which upstreams to leave idle_first_token.
         clock: Source of time.
         rng: Source of random numbers, for ties.
         entry: Name of this entry.
@@ -248,7 +248,7 @@
         if again:
             order = self._balancer.orders.order_for(admitted.scope, rows, admitted.req)
             ranked = _exclude_tried(order, tried)
-            return self._balancer.place_anyway(ranked, admitted.req, now)
+            return self._balancer.place_over_limits(ranked, admitted.req, now)
         return profile if _exclude_tried(rows, tried) else None
 
     def _pick_plain(
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -96,8 +96,8 @@
     for _ in range(4):
         room.enter("a")
     waiter = room.enter("a", 100)
-    alone = FIRST_BASE + 100 / FIRST_RATE
-    assert waiter.refuse_at == 100 + round(OBJECTIVE * ENTITLED_PART - alone)
+    idle_first_token = FIRST_BASE + 100 / FIRST_RATE
+    assert waiter.refuse_at == 100 + round(OBJECTIVE * ENTITLED_PART - idle_first_token)
     room.admission.pump(waiter.refuse_at - 1)
     assert not waiter.done
     room.admission.pump(waiter.refuse_at)
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -61,8 +61,8 @@
     for row in ROWS:
         balancer.begin(Placement(row, Load(requests=4), 0))
     assert balancer.place(ranked_for(ROWS, CHAT), CHAT, PROFILE, 400, 0) is None
-    assert balancer.place_anyway(ranked_for(ROWS, CHAT), CHAT, 0) is not None
-    assert balancer.place_anyway([], CHAT, 0) is None
+    assert balancer.place_over_limits(ranked_for(ROWS, CHAT), CHAT, 0) is not None
+    assert balancer.place_over_limits([], CHAT, 0) is None
 
 
 def test_memory_and_what_is_to_be_read_bound_an_engine() -> None:
@@ -141,7 +141,7 @@
         balancer.loads.begin(row.incarnation, Load(*load))
     ranked = ranked_for(ROWS, CHAT)
     # The set is worked out for the longest limit of those that wait.
-    among = balancer.with_room(ROWS, 680, 0)
+    among = balancer.with_capacity(ROWS, 680, 0)
     every = balancer.place(ranked, CHAT, PROFILE, limit, 0)
     some = balancer.place(ranked, CHAT, PROFILE, limit, 0, among=among)
     assert some == every
