--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis
-from leadseam.routing.engine_order import MAX_LOOKED
+from leadseam.routing.engine_order import MAX_CANDIDATES
 from leadseam.routing.spare_capacity import SpareRoom
 from leadseam.routing.usage import Standing
 
@@ -27,7 +27,7 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-ENTITLED_PART = 0.85
+FIRST_TOKEN_PART = 0.85
 """Part of the objective that the expected first token may take."""
 MIN_WAIT_PART = 0.22
 """Part of the objective that a request waits at least, also one whose prompt is too
@@ -105,8 +105,8 @@
     def enter(self, waiter: Waiter, now: Millis) -> None:
         """Take a request; it is woken at once if there is room and no other's turn."""
         waiter.refuse_at = waiter.arrived + self._longest_wait(waiter)
-        turn = self.recent_service(waiter.account, now) <= self._lowest_level(now)
-        placement = self._place(waiter, now) if turn else None
+        is_next = self.recent_service(waiter.account, now) <= self._lowest_level(now)
+        placement = self._place(waiter, now) if is_next else None
         self._waiting.append(waiter)
         if placement is not None:
             self._finish(waiter, placement)
@@ -117,7 +117,7 @@
     def _longest_wait(self, waiter: Waiter) -> Millis:
         """Return how long a request may wait and still be in time, if it is alone."""
         idle_first_token = self.balancer.idle_first_token(waiter.scope.pool, waiter.req)
-        in_time = waiter.objective * ENTITLED_PART - idle_first_token
+        in_time = waiter.objective * FIRST_TOKEN_PART - idle_first_token
         return round(max(in_time, waiter.objective * MIN_WAIT_PART))
 
     def _may_wait(self, waiter: Waiter, now: Millis) -> bool:
@@ -139,12 +139,12 @@
             return
         self._sort(now)
         # Most looks find engines full: then one look at them serves all that wait.
-        room: dict[tuple[Scope, Millis], frozenset[Incarnation] | None] = {}
+        open_engines: dict[tuple[Scope, Millis], frozenset[Incarnation] | None] = {}
         for waiter in list(self._waiting):
             key = (waiter.scope, waiter.objective)
-            if key not in room:
-                room[key] = self._with_room(*key, now)
-            placement = self._place(waiter, now, among=room[key])
+            if key not in open_engines:
+                open_engines[key] = self._with_capacity(*key, now)
+            placement = self._place(waiter, now, among=open_engines[key])
             if placement is not None:
                 self._finish(waiter, placement)
             elif now >= waiter.refuse_at or not self.candidates(waiter.scope):
@@ -158,14 +158,14 @@
         }
         self._waiting.sort(key=lambda one: (levels[one.account], one.arrived))
 
-    def _with_room(
+    def _with_capacity(
         self, scope: Scope, objective: Millis, now: Millis
     ) -> frozenset[Incarnation] | None:
         """Return the engines that may have room, or None if there are too many."""
         rows = self.candidates(scope)
-        if len(rows) > MAX_LOOKED:
+        if len(rows) > MAX_CANDIDATES:
             return None
-        return self.balancer.with_capacity(rows, objective * ENTITLED_PART, now)
+        return self.balancer.with_capacity(rows, objective * FIRST_TOKEN_PART, now)
 
     def _lowest_level(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
@@ -191,13 +191,13 @@
     ) -> Placement | None:
         if among is not None and not among:
             return None
-        self._rank(waiter)
+        self._update_ranking(waiter)
         if not waiter.ranked:
             return None
         ahead = self._ahead(waiter, now)
         if ahead is None:
             return None
-        left = waiter.arrived + waiter.objective * ENTITLED_PART - now
+        left = waiter.arrived + waiter.objective * FIRST_TOKEN_PART - now
         return self.balancer.place(
             waiter.ranked,
             waiter.req,
@@ -227,7 +227,7 @@
     def _has_spare(self, waiter: Waiter, now: Millis) -> bool:
         return self._spare.there_is(waiter.scope, now)
 
-    def _rank(self, waiter: Waiter) -> None:
+    def _update_ranking(self, waiter: Waiter) -> None:
         """Order the engines that a request may use anew, if they have changed."""
         rows = self.candidates(waiter.scope)
         if rows is not waiter.rows and rows != waiter.rows:
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.engine_order import MAX_LOOKED, EngineOrders
+from leadseam.routing.engine_order import MAX_CANDIDATES, EngineOrders
 from leadseam.routing.estimate import EstimateTable
 from leadseam.routing.load import Load, LoadTable
 from leadseam.routing.placement import Placement
@@ -136,8 +136,8 @@
         self, rows: Sequence[Registration], now: Millis
     ) -> Placement | None:
         """Return the upstream with the least in flight for its slots, or None."""
-        if len(rows) > MAX_LOOKED:
-            rows = self._rng.sample(rows, MAX_LOOKED)
+        if len(rows) > MAX_CANDIDATES:
+            rows = self._rng.sample(rows, MAX_CANDIDATES)
         rows = [row for row in rows if self._allows(row, now)]
         if not rows:
             return None
--- a/src/leadseam/routing/engine_order.py
+++ b/src/leadseam/routing/engine_order.py
@@ -21,13 +21,13 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-MAX_ORDERS = 4_096
+MAX_CACHED_ORDERS = 4_096
 """Orders kept for a pool: some 2 MB."""
-FIRST_LOOKED = 64
+RANKED_CANDIDATES = 64
 """Engines that a request looks at in the order of its prompt, in a large pool."""
-OTHERS_LOOKED = 32
+SAMPLED_CANDIDATES = 32
 """Further engines of a large pool that it looks at, drawn for each request."""
-MAX_LOOKED = FIRST_LOOKED + OTHERS_LOOKED
+MAX_CANDIDATES = RANKED_CANDIDATES + SAMPLED_CANDIDATES
 """Engines of a pool up to which all are looked at."""
 
 
@@ -53,11 +53,11 @@
         """
         affinity = affinity_key(req)
         if affinity is None:
-            return _drawn(rows, req, MAX_LOOKED)
+            return _sample(rows, req, MAX_CANDIDATES)
         first = self._first(scope, rows, affinity)
-        if len(rows) <= MAX_LOOKED:
+        if len(rows) <= MAX_CANDIDATES:
             return first
-        return [*first, *_drawn(rows, req, OTHERS_LOOKED)]
+        return [*first, *_sample(rows, req, SAMPLED_CANDIDATES)]
 
     def _first(
         self, scope: Scope, rows: Sequence[Registration], affinity: str
@@ -71,7 +71,7 @@
         if order is None:
             order = orders[affinity] = _ranked(rows, affinity)
         orders.move_to_end(affinity)
-        if len(orders) > MAX_ORDERS:
+        if len(orders) > MAX_CACHED_ORDERS:
             orders.popitem(last=False)
         return order
 
@@ -81,7 +81,7 @@
 ) -> Sequence[Registration]:
     """Return engines in the order in which all entries prefer them for a prompt.
 
-    Of more than `MAX_LOOKED` only the first ones are returned.
+    Of more than `MAX_CANDIDATES` only the first ones are returned.
     """
     affinity = affinity_key(req)
     if affinity is None:
@@ -95,12 +95,12 @@
     def weight(row: Registration) -> int:
         return rank(affinity, row)
 
-    if len(rows) <= MAX_LOOKED:
+    if len(rows) <= MAX_CANDIDATES:
         return sorted(rows, key=weight, reverse=True)
-    return heapq.nlargest(FIRST_LOOKED, rows, key=weight)
+    return heapq.nlargest(RANKED_CANDIDATES, rows, key=weight)
 
 
-def _drawn(
+def _sample(
     rows: Sequence[Registration], req: RoutedRequest, count: int
 ) -> Sequence[Registration]:
     """Return some engines that differ from request to request, all if they are few."""
--- a/src/leadseam/routing/spare_capacity.py
+++ b/src/leadseam/routing/spare_capacity.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.engine_order import MAX_LOOKED
+from leadseam.routing.engine_order import MAX_CANDIDATES
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
@@ -59,7 +59,7 @@
     def there_is(self, scope: Scope, now: Millis) -> bool:
         """Tell whether the engines of a scope have room to spare."""
         rows = self._candidates(scope)
-        if len(rows) <= MAX_LOOKED:
+        if len(rows) <= MAX_CANDIDATES:
             return self._look(rows, now)
         known = self._known.get(scope)
         if known is None or not 0 <= now - known.at < KEPT:
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -7,7 +7,7 @@
 
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import (
-    ENTITLED_PART,
+    FIRST_TOKEN_PART,
     MAX_READING_AHEAD,
     MIN_WAIT_PART,
     Admission,
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Room:
+class AdmissionHarness:
     """An admission to one engine, with levels set by hand."""
 
     levels: dict[str, int] = field(default_factory=dict)
@@ -73,55 +73,57 @@
 
 
 def test_requests_go_at_once_while_there_is_room() -> None:
-    room = Room()
-    waiters = [room.enter("a") for _ in range(5)]
+    harness = AdmissionHarness()
+    waiters = [harness.enter("a") for _ in range(5)]
     assert [waiter.done for waiter in waiters] == [True] * 4 + [False]
-    assert len(room.admission) == 1
+    assert len(harness.admission) == 1
 
 
 def test_the_account_with_the_least_service_goes_first() -> None:
-    room = Room(levels={"menus": 1_000, "pay": 10})
-    running = [room.enter("menus") for _ in range(4)]
-    room.enter("menus")
-    room.enter("pay", 1)
-    room.woken.clear()
-    room.leave(running[0], 2)
-    assert room.woken == ["pay"]
-    room.leave(running[1], 3)
-    assert room.woken == ["pay", "menus"]
+    harness = AdmissionHarness(levels={"menus": 1_000, "pay": 10})
+    running = [harness.enter("menus") for _ in range(4)]
+    harness.enter("menus")
+    harness.enter("pay", 1)
+    harness.woken.clear()
+    harness.leave(running[0], 2)
+    assert harness.woken == ["pay"]
+    harness.leave(running[1], 3)
+    assert harness.woken == ["pay", "menus"]
 
 
 def test_what_finds_no_room_is_refused_once_it_cannot_be_in_time() -> None:
-    room = Room()
+    harness = AdmissionHarness()
     for _ in range(4):
-        room.enter("a")
-    waiter = room.enter("a", 100)
+        harness.enter("a")
+    waiter = harness.enter("a", 100)
     idle_first_token = FIRST_BASE + 100 / FIRST_RATE
-    assert waiter.refuse_at == 100 + round(OBJECTIVE * ENTITLED_PART - idle_first_token)
-    room.admission.pump(waiter.refuse_at - 1)
+    assert waiter.refuse_at == 100 + round(
+        OBJECTIVE * FIRST_TOKEN_PART - idle_first_token
+    )
+    harness.admission.pump(waiter.refuse_at - 1)
     assert not waiter.done
-    room.admission.pump(waiter.refuse_at)
+    harness.admission.pump(waiter.refuse_at)
     assert waiter.done
     assert waiter.placement is None
 
 
 def test_a_prompt_too_long_for_the_objective_waits_for_a_slot_only_shortly() -> None:
-    room = Room()
+    harness = AdmissionHarness()
     for _ in range(4):
-        room.enter("a")
-    waiter = room.enter("a", 100, prompt=50_000)
+        harness.enter("a")
+    waiter = harness.enter("a", 100, prompt=50_000)
     assert waiter.refuse_at == 100 + round(OBJECTIVE * MIN_WAIT_PART)
     assert waiter.refuse_at < 100 + OBJECTIVE / 4
 
 
 def test_the_engines_queue_is_kept_short_for_all() -> None:
-    room = Room()
-    room.read(MAX_READING_AHEAD + 1)
-    waiter = room.enter("a")
+    harness = AdmissionHarness()
+    harness.read(MAX_READING_AHEAD + 1)
+    waiter = harness.enter("a")
     # It could be in time behind 270 ms of reading; who is short might come meanwhile.
     assert not waiter.done
-    room.balancer.loads.read(ENGINE.incarnation, 100)
-    room.admission.pump(5)
+    harness.balancer.loads.read(ENGINE.incarnation, 100)
+    harness.admission.pump(5)
     assert waiter.placement is not None
 
 
@@ -134,38 +136,38 @@
         (Standing.AHEAD, 0, True, False),
         (Standing.STOPPED, 0, False, False),
     ):
-        room = Room(standings={"a": standing})
-        room.read(ahead)
-        waiter = room.enter("a")
+        harness = AdmissionHarness(standings={"a": standing})
+        harness.read(ahead)
+        waiter = harness.enter("a")
         assert (waiter.placement is not None, not waiter.done) == (placed, waits)
 
 
 def test_an_account_ahead_of_others_leaves_time_for_them() -> None:
-    room = Room(standings={"menus": Standing.AHEAD})
-    room.read(20)
-    over = room.enter("menus")
+    harness = AdmissionHarness(standings={"menus": Standing.AHEAD})
+    harness.read(20)
+    over = harness.enter("menus")
     assert over.done
     assert over.placement is None
-    assert room.enter("pay").placement is not None
+    assert harness.enter("pay").placement is not None
 
 
 def test_an_idle_engine_takes_an_account_ahead_of_others() -> None:
-    room = Room(standings={"menus": Standing.AHEAD})
-    assert room.enter("menus").placement is not None
+    harness = AdmissionHarness(standings={"menus": Standing.AHEAD})
+    assert harness.enter("menus").placement is not None
 
 
 def test_a_caller_that_is_gone_waits_no_more() -> None:
-    room = Room()
-    running = [room.enter("a") for _ in range(4)]
-    gone = room.enter("b")
-    room.admission.withdraw(gone)
-    assert len(room.admission) == 0
-    room.leave(running[0])
-    assert room.balancer.loads.own(ENGINE.incarnation).requests == 3
+    harness = AdmissionHarness()
+    running = [harness.enter("a") for _ in range(4)]
+    gone = harness.enter("b")
+    harness.admission.withdraw(gone)
+    assert len(harness.admission) == 0
+    harness.leave(running[0])
+    assert harness.balancer.loads.own(ENGINE.incarnation).requests == 3
 
 
 def test_an_account_that_must_stop_gets_no_room() -> None:
-    room = Room(standings={"ahead": Standing.STOPPED})
-    waiter = room.enter("ahead")
+    harness = AdmissionHarness(standings={"ahead": Standing.STOPPED})
+    waiter = harness.enter("ahead")
     assert (waiter.done, waiter.placement) == (True, None)
-    assert room.enter("behind").placement is not None
+    assert harness.enter("behind").placement is not None
--- a/tests/routing/test_placing_cost.py
+++ b/tests/routing/test_placing_cost.py
@@ -25,8 +25,8 @@
 from leadseam.routing.balance import Balancer, _Search
 from leadseam.routing.dialect import PromptPart, RoutedRequest
 from leadseam.routing.engine_order import (
-    FIRST_LOOKED,
-    MAX_LOOKED,
+    MAX_CANDIDATES,
+    RANKED_CANDIDATES,
     EngineOrders,
     ranked_for,
 )
@@ -133,18 +133,18 @@
         req, objective = make_prompt(rng, number)
         req = replace(req, request_id=f"r-{number}")
         order = balancer.orders.order_for(Scope("p"), rows, req)
-        assert len(order) == MAX_LOOKED
-        assert list(order[:FIRST_LOOKED]) == list(ranked_for(rows, req))
-        looked |= {rows.index(row) for row in order[FIRST_LOOKED:]}
+        assert len(order) == MAX_CANDIDATES
+        assert list(order[:RANKED_CANDIDATES]) == list(ranked_for(rows, req))
+        looked |= {rows.index(row) for row in order[RANKED_CANDIDATES:]}
         with mock.patch.object(balancer, "_is_open", wraps=balancer._is_open) as asked:
             balancer.place(order, req, PROFILE, 0.85 * objective, number)
-        assert asked.call_count <= MAX_LOOKED
+        assert asked.call_count <= MAX_CANDIDATES
     # Those beside the order differ, so that no idle engine is passed over for long.
     assert len(looked) > 1_500
     kept = [len(order) for order in balancer.orders._orders[Scope("p")].values()]
-    assert set(kept) == {FIRST_LOOKED}
+    assert set(kept) == {RANKED_CANDIDATES}
     plain = balancer.orders.order_for(Scope("p"), rows, make_request())
-    assert len(plain) == MAX_LOOKED
+    assert len(plain) == MAX_CANDIDATES
 
 
 def test_least_loaded_of_many_is_drawn_from_some() -> None:
@@ -154,4 +154,4 @@
         balancer.loads, "total", wraps=balancer.loads.total
     ) as asked:
         assert balancer.least_loaded(rows, 0) is not None
-    assert asked.call_count == MAX_LOOKED
+    assert asked.call_count == MAX_CANDIDATES
--- a/tests/routing/test_spare_capacity.py
+++ b/tests/routing/test_spare_capacity.py
@@ -1,4 +1,4 @@
-"""Room to spare: who gets it, and that nobody who is short loses by it.
+"""AdmissionHarness to spare: who gets it, and that nobody who is short loses by it.
 
 On a day of floods nine in ten refusals were of accounts beyond their share while 20
 engines of 64 places read a fifth of what they can: an account whose callers use one
@@ -9,13 +9,13 @@
 
 import pytest
 
-from leadseam.routing.engine_order import MAX_LOOKED, ranked_for
+from leadseam.routing.engine_order import MAX_CANDIDATES, ranked_for
 from leadseam.routing.load import Load
 from leadseam.routing.scope import Scope
 from leadseam.routing.spare_capacity import KEPT, SpareRoom, has_spare_room
 from leadseam.routing.usage import Standing
 from tests.routing.samples import make_request, make_upstream
-from tests.routing.test_admission import Room
+from tests.routing.test_admission import AdmissionHarness
 
 IDLE = (64, Load())
 READING = (64, Load(requests=1, unread=900))
@@ -48,7 +48,7 @@
         looks.append(now)
         return Load()
 
-    rows = [make_upstream(number) for number in range(MAX_LOOKED + 1)]
+    rows = [make_upstream(number) for number in range(MAX_CANDIDATES + 1)]
     room = SpareRoom(lambda _: rows, total)
     for now in (0, 1, KEPT - 1, KEPT, KEPT + 1):
         assert room.there_is(Scope("p"), now)
@@ -67,13 +67,13 @@
 
 def test_who_is_ahead_may_stand_behind_reading_while_others_are_idle() -> None:
     # Three engines, one of which reads what this prompt's parts are held by.
-    room = Room(standings={"a": Standing.AHEAD, "s": Standing.STOPPED})
+    harness = AdmissionHarness(standings={"a": Standing.AHEAD, "s": Standing.STOPPED})
     rows = [make_upstream(number) for number in (1, 2, 3)]
-    room.admission.candidates = lambda _: rows
-    room.admission.__post_init__()
+    harness.admission.candidates = lambda _: rows
+    harness.admission.__post_init__()
     home = ranked_for(rows, make_request("system", "own"))[0]
-    room.balancer.loads.begin(home.incarnation, Load(requests=1, unread=2_000))
-    placed = room.enter("a").placement
+    harness.balancer.loads.begin(home.incarnation, Load(requests=1, unread=2_000))
+    placed = harness.enter("a").placement
     assert placed is not None
     assert placed.upstream is home
-    assert room.enter("s").placement is None
+    assert harness.enter("s").placement is None
