--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -17,7 +17,7 @@
 from leadseam.routing.pauses import PauseBook
 from leadseam.routing.plain_queue import (
     MAX_PER_SLOT,
-    WAIT_PART,
+    MAX_WAIT_PART,
     PlainQueue,
     PlainWaiter,
 )
@@ -273,7 +273,7 @@
             scope=admitted.scope,
             tried=tried,
             arrived=now,
-            refuse_at=now + round(admitted.route.latency_objective * WAIT_PART),
+            refuse_at=now + round(admitted.route.latency_objective * MAX_WAIT_PART),
             wake=woken.set,
         )
         self._plain.enter(waiter, now)
--- a/src/leadseam/routing/plain_queue.py
+++ b/src/leadseam/routing/plain_queue.py
@@ -26,7 +26,7 @@
 MAX_PER_SLOT = 3.0
 """Requests under way at an upstream for each of its slots, up to which it has room. The
 loads of other entries are some 100 ms old, and slots must not stand empty meanwhile."""
-WAIT_PART = 0.25
+MAX_WAIT_PART = 0.25
 """Part of the objective that a request waits at most: the upstream's queue and its work
 take the rest, and a caller that is refused so early may still come back in time."""
 DECAY_TIME: Millis = 2_000
@@ -59,13 +59,13 @@
 
 
 @dataclass(slots=True)
-class _Sent:
+class _DecayingCount:
     """Requests of an account that were sent of late; they fade."""
 
     count: float = 0.0
     at: Millis = 0
 
-    def until(self, now: Millis) -> float:
+    def value_at(self, now: Millis) -> float:
         return self.count * exp(-max(now - self.at, 0) / DECAY_TIME)
 
 
@@ -83,7 +83,7 @@
     pick: Callable[[Scope, set[Incarnation], Millis], Placement | None]
     begin: Callable[[Placement], None]
     _waiting: list[PlainWaiter] = field(default_factory=list)
-    _sent: dict[tuple[str, str], _Sent] = field(default_factory=dict)
+    _sent: dict[tuple[str, str], _DecayingCount] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -92,7 +92,7 @@
         """Take a request; it is placed at once if there is room and no other's turn."""
         self._waiting.append(waiter)
         if self._is_next(waiter, now):
-            self._try(waiter, now)
+            self._try_place(waiter, now)
 
     def withdraw(self, waiter: PlainWaiter) -> None:
         """Forget a request whose caller is gone."""
@@ -104,7 +104,7 @@
         """Send what has room, who got least first, and refuse what waited too long."""
         full: set[Scope] = set()
         for waiter in sorted(self._waiting, key=lambda one: self._order(one, now)):
-            if waiter.scope not in full and not self._try(waiter, now):
+            if waiter.scope not in full and not self._try_place(waiter, now):
                 full.add(waiter.scope)
             if waiter.done:
                 continue
@@ -120,13 +120,15 @@
             if one.scope == waiter.scope
         )
 
-    def _try(self, waiter: PlainWaiter, now: Millis) -> bool:
+    def _try_place(self, waiter: PlainWaiter, now: Millis) -> bool:
         placement = self.pick(waiter.scope, waiter.tried, now)
         if placement is None:
             return False
         self.begin(placement)
-        sent = self._sent.setdefault((waiter.scope.pool, waiter.account), _Sent())
-        sent.count = sent.until(now) + 1
+        sent = self._sent.setdefault(
+            (waiter.scope.pool, waiter.account), _DecayingCount()
+        )
+        sent.count = sent.value_at(now) + 1
         sent.at = now
         self._finish(waiter, placement)
         return True
@@ -142,4 +144,4 @@
 
     def _level(self, waiter: PlainWaiter, now: Millis) -> float:
         sent = self._sent.get((waiter.scope.pool, waiter.account))
-        return sent.until(now) if sent is not None else 0.0
+        return sent.value_at(now) if sent is not None else 0.0
--- a/tests/routing/test_plain_queue.py
+++ b/tests/routing/test_plain_queue.py
@@ -15,8 +15,8 @@
 class Pool:
     """A pool with some room, and the order in which it was given."""
 
-    def __init__(self, room: int = 0) -> None:
-        self.room = room
+    def __init__(self, capacity: int = 0) -> None:
+        self.capacity = capacity
         self.order: list[str] = []
         self.upstreams = [PLACEMENT.upstream]
         self.queue = PlainQueue(
@@ -24,12 +24,12 @@
         )
 
     def _pick(self, scope: Scope, *_: object) -> Placement | None:
-        return PLACEMENT if self.room and scope == SCOPE else None
+        return PLACEMENT if self.capacity and scope == SCOPE else None
 
     def _begin(self, _: Placement) -> None:
-        self.room -= 1
+        self.capacity -= 1
 
-    def come(
+    def arrive(
         self, account: str, now: int, *, wait: int = 50, scope: Scope = SCOPE
     ) -> PlainWaiter:
         """Let a request come in."""
@@ -46,56 +46,56 @@
 
 
 def test_what_finds_room_is_sent_at_once() -> None:
-    pool = Pool(room=1)
-    assert pool.come("a", 0).placement == PLACEMENT
-    assert not pool.come("a", 0).done
+    pool = Pool(capacity=1)
+    assert pool.arrive("a", 0).placement == PLACEMENT
+    assert not pool.arrive("a", 0).done
     assert len(pool.queue) == 1
 
 
 def test_who_got_least_of_late_goes_first() -> None:
-    pool = Pool(room=3)
+    pool = Pool(capacity=3)
     for _ in range(3):
-        pool.come("flood", 0)
+        pool.arrive("flood", 0)
     pool.order.clear()
-    pool.come("flood", 1)
-    pool.come("small", 2)
-    pool.room = 1
+    pool.arrive("flood", 1)
+    pool.arrive("small", 2)
+    pool.capacity = 1
     pool.queue.pump(5)
     assert pool.order == ["small"]
-    pool.room = 1
+    pool.capacity = 1
     pool.queue.pump(10)
     assert pool.order == ["small", "flood"]
 
 
 def test_a_newcomer_does_not_overtake_one_that_got_less() -> None:
-    pool = Pool(room=1)
-    pool.come("flood", 0)
+    pool = Pool(capacity=1)
+    pool.arrive("flood", 0)
     pool.order.clear()
-    waiting = pool.come("small", 1)
-    pool.room = 1
-    assert not pool.come("flood", 2).done
+    waiting = pool.arrive("small", 1)
+    pool.capacity = 1
+    assert not pool.arrive("flood", 2).done
     assert not waiting.done
     pool.queue.pump(5)
     assert pool.order == ["small"]
 
 
 def test_what_got_long_ago_fades() -> None:
-    pool = Pool(room=2)
-    pool.come("early", 0)
-    pool.come("early", 0)
-    pool.room = 1
-    pool.come("late", 20_000)
+    pool = Pool(capacity=2)
+    pool.arrive("early", 0)
+    pool.arrive("early", 0)
+    pool.capacity = 1
+    pool.arrive("late", 20_000)
     pool.order.clear()
-    pool.come("late", 20_001)
-    pool.come("early", 20_002)
-    pool.room = 1
+    pool.arrive("late", 20_001)
+    pool.arrive("early", 20_002)
+    pool.capacity = 1
     pool.queue.pump(20_010)
     assert pool.order == ["early"]
 
 
 def test_it_is_refused_after_its_wait_and_not_before() -> None:
     pool = Pool()
-    waiter = pool.come("a", 0)
+    waiter = pool.arrive("a", 0)
     pool.queue.pump(49)
     assert not waiter.done
     pool.queue.pump(50)
@@ -106,7 +106,7 @@
 
 def test_it_is_refused_at_once_when_no_upstream_is_left() -> None:
     pool = Pool()
-    waiter = pool.come("a", 0)
+    waiter = pool.arrive("a", 0)
     pool.upstreams = []
     pool.queue.pump(5)
     assert waiter.done
@@ -114,17 +114,17 @@
 
 
 def test_a_full_pool_keeps_nobody_else_waiting() -> None:
-    pool = Pool(room=1)
-    other = pool.come("a", 0, scope=Scope("other"))
-    assert pool.come("a", 1).placement == PLACEMENT
+    pool = Pool(capacity=1)
+    other = pool.arrive("a", 0, scope=Scope("other"))
+    assert pool.arrive("a", 1).placement == PLACEMENT
     assert not other.done
 
 
 def test_a_caller_that_leaves_is_forgotten() -> None:
     pool = Pool()
-    waiter = pool.come("a", 0)
+    waiter = pool.arrive("a", 0)
     pool.queue.withdraw(waiter)
-    pool.room = 1
+    pool.capacity = 1
     pool.queue.pump(5)
     assert waiter.placement is None
-    assert pool.room == 1
+    assert pool.capacity == 1
