--- a/src/leadseam/routing/engine_order.py
+++ b/src/leadseam/routing/engine_order.py
@@ -54,12 +54,12 @@
         affinity = affinity_key(req)
         if affinity is None:
             return _sample(rows, req, MAX_CANDIDATES)
-        first = self._first(scope, rows, affinity)
+        first = self._cached_order(scope, rows, affinity)
         if len(rows) <= MAX_CANDIDATES:
             return first
         return [*first, *_sample(rows, req, SAMPLED_CANDIDATES)]
 
-    def _first(
+    def _cached_order(
         self, scope: Scope, rows: Sequence[Registration], affinity: str
     ) -> Sequence[Registration]:
         known = self._rows.get(scope)
@@ -69,7 +69,7 @@
         orders = self._orders[scope]
         order = orders.get(affinity)
         if order is None:
-            order = orders[affinity] = _ranked(rows, affinity)
+            order = orders[affinity] = _by_weight(rows, affinity)
         orders.move_to_end(affinity)
         if len(orders) > MAX_CACHED_ORDERS:
             orders.popitem(last=False)
@@ -86,14 +86,14 @@
     affinity = affinity_key(req)
     if affinity is None:
         return rows
-    return _ranked(rows, affinity)
+    return _by_weight(rows, affinity)
 
 
-def _ranked(rows: Sequence[Registration], affinity: str) -> Sequence[Registration]:
+def _by_weight(rows: Sequence[Registration], affinity: str) -> Sequence[Registration]:
     """Return engines by rendezvous weight, only the first ones of many."""
 
     def weight(row: Registration) -> int:
-        return rank(affinity, row)
+        return rendezvous_weight(affinity, row)
 
     if len(rows) <= MAX_CANDIDATES:
         return sorted(rows, key=weight, reverse=True)
@@ -121,6 +121,6 @@
     return req.parts[max(len(req.parts) - 2, 0)].identity
 
 
-def rank(affinity: str, row: Registration) -> int:
+def rendezvous_weight(affinity: str, row: Registration) -> int:
     """Return the rendezvous weight of an upstream for a key."""
     return xxhash.xxh3_64_intdigest(f"{affinity}/{row.ip}:{row.port}".encode())
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -12,7 +12,7 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.balance import Balancer, expected_memory, expected_service
 from leadseam.routing.dialect import PromptPart
-from leadseam.routing.engine_order import affinity_key, rank, ranked_for
+from leadseam.routing.engine_order import affinity_key, ranked_for, rendezvous_weight
 from leadseam.routing.load import Load
 from leadseam.routing.placement import Placement
 from tests.routing.samples import make_request, make_upstream
@@ -84,7 +84,7 @@
 
 def test_shared_parts_read_once_more_weigh_more_than_a_short_wait() -> None:
     balancer = make_balancer()
-    home = max(ROWS, key=lambda row: rank("subject", row))
+    home = max(ROWS, key=lambda row: rendezvous_weight("subject", row))
     balancer.begin(Placement(home, Load(requests=1, unread=8_000), 8_000))
     placement = balancer.place(ranked_for(ROWS, CHAT), CHAT, PROFILE, 400, 0)
     assert placement is not None
@@ -92,7 +92,7 @@
     balancer.begin(Placement(home, Load(requests=1, unread=1_000), 9_000))
     placement = balancer.place(ranked_for(ROWS, CHAT), CHAT, PROFILE, 400, 0)
     assert placement is not None
-    second = sorted(ROWS, key=lambda row: rank("subject", row))[-2]
+    second = sorted(ROWS, key=lambda row: rendezvous_weight("subject", row))[-2]
     assert placement.upstream == second
 
 
@@ -100,7 +100,7 @@
     balancer = make_balancer()
     part = PromptPart("subject", 2_000)
     req = replace(CHAT, parts=(part, PromptPart("own", 100)))
-    home = max(ROWS, key=lambda row: rank("subject", row))
+    home = max(ROWS, key=lambda row: rendezvous_weight("subject", row))
     balancer.begin(Placement(home, Load(requests=4), 0))
     assert balancer.place(ranked_for(ROWS, req), req, PROFILE, 400, 0) is None
     placement = balancer.place(ranked_for(ROWS, CHAT), CHAT, PROFILE, 400, 0)
