--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -14,13 +14,13 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-FIRST_RATE = 50.0
+INITIAL_RATE = 50.0
 """Prompt tokens a millisecond that are assumed before anything was measured."""
-FIRST_BASE = 45.0
+INITIAL_BASE = 45.0
 """Milliseconds to a first token with nothing to read, assumed before a measurement."""
-LEAST_UNREAD = 2_000
+MIN_UNREAD_FOR_RATE = 2_000
 """Tokens ahead below which an answer tells the base rather than the rate."""
-WEIGHT = 0.05
+MEASUREMENT_WEIGHT = 0.05
 """Weight of a new measurement; some twenty answers change the estimate."""
 MIN_RATE = 5.0
 MAX_RATE = 500.0
@@ -38,8 +38,8 @@
         base: Milliseconds to a first token with nothing to read.
     """
 
-    rate: float = FIRST_RATE
-    base: float = FIRST_BASE
+    rate: float = INITIAL_RATE
+    base: float = INITIAL_BASE
 
     def millis(self, unread: int) -> float:
         """Return the expected time to the first token behind so many prompt tokens."""
@@ -53,13 +53,15 @@
                 included.
             millis: Time to its first token.
         """
-        if unread < LEAST_UNREAD:
-            self.base += WEIGHT * (millis - self.base)
+        if unread < MIN_UNREAD_FOR_RATE:
+            self.base += MEASUREMENT_WEIGHT * (millis - self.base)
             return
         reading = max(millis - self.base, 1.0)
         rate = min(max(unread / reading, MIN_RATE), MAX_RATE)
         # The mean of the inverse, for waiting times add up and rates do not.
-        self.rate = 1 / (1 / self.rate + WEIGHT * (1 / rate - 1 / self.rate))
+        self.rate = 1 / (
+            1 / self.rate + MEASUREMENT_WEIGHT * (1 / rate - 1 / self.rate)
+        )
 
 
 class EstimateTable:
@@ -87,10 +89,10 @@
         if engine is None:
             engine = FirstTokenEstimate(pool.rate, pool.base)
             self._engines[row.incarnation] = engine
-            self._bound()
+            self._evict_oldest()
         engine.add_measurement(unread, millis)
         pool.add_measurement(unread, millis)
 
-    def _bound(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._engines) > MAX_ENGINES:
             del self._engines[next(iter(self._engines))]
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -15,7 +15,7 @@
 )
 from leadseam.routing.balance import Balancer
 from leadseam.routing.dialect import PromptPart
-from leadseam.routing.estimate import FIRST_BASE, FIRST_RATE
+from leadseam.routing.estimate import INITIAL_BASE, INITIAL_RATE
 from leadseam.routing.load import Load
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import Standing
@@ -45,7 +45,7 @@
 
     def read(self, millis: int) -> None:
         """Give the engine so much to read that it takes some milliseconds."""
-        load = Load(requests=1, unread=round(millis * FIRST_RATE))
+        load = Load(requests=1, unread=round(millis * INITIAL_RATE))
         self.balancer.loads.begin(ENGINE.incarnation, load)
 
     def enter(self, account: str, now: int = 0, *, prompt: int = 100) -> Waiter:
@@ -96,7 +96,7 @@
     for _ in range(4):
         harness.enter("a")
     waiter = harness.enter("a", 100)
-    idle_first_token = FIRST_BASE + 100 / FIRST_RATE
+    idle_first_token = INITIAL_BASE + 100 / INITIAL_RATE
     assert waiter.refuse_at == 100 + round(
         OBJECTIVE * FIRST_TOKEN_PART - idle_first_token
     )
