--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -22,7 +22,7 @@
 
 MAX_TOTALS_AGE: Millis = 1_000
 """Age beyond which totals are ignored: five of their longest intervals."""
-KEPT_REPORTS = 64
+MAX_KEPT_REPORTS = 64
 """Own reports kept to be taken off the totals that contain them: 3 s of them."""
 
 
@@ -57,7 +57,7 @@
         )
 
 
-NOTHING = Load()
+NO_LOAD = Load()
 
 
 class LoadTable:
@@ -67,9 +67,9 @@
         self._own: dict[Incarnation, Load] = {}
         self._others: dict[int, Load] = {}
         self._others_at: Millis = -MAX_TOTALS_AGE
-        self._reports: deque[LoadReport] = deque(maxlen=KEPT_REPORTS)
+        self._reports: deque[LoadReport] = deque(maxlen=MAX_KEPT_REPORTS)
         self._sequence = 0
-        self._sums: dict[Incarnation, Load] = {}
+        self._cached_totals: dict[Incarnation, Load] = {}
         self._stale = True
 
     def __repr__(self) -> str:
@@ -77,8 +77,8 @@
 
     def begin(self, incarnation: Incarnation, load: Load) -> None:
         """Count a request that is sent."""
-        self._sums.pop(incarnation, None)
-        self._own[incarnation] = self._own.get(incarnation, NOTHING).plus(load)
+        self._cached_totals.pop(incarnation, None)
+        self._own[incarnation] = self._own.get(incarnation, NO_LOAD).plus(load)
 
     def read(self, incarnation: Incarnation, unread: int) -> None:
         """Note that an upstream has read a prompt."""
@@ -86,27 +86,27 @@
 
     def end(self, incarnation: Incarnation, load: Load) -> None:
         """Take off a request that has ended."""
-        self._sums.pop(incarnation, None)
-        left = self._own.get(incarnation, NOTHING).minus(load)
-        if left == NOTHING:
+        self._cached_totals.pop(incarnation, None)
+        left = self._own.get(incarnation, NO_LOAD).minus(load)
+        if left == NO_LOAD:
             self._own.pop(incarnation, None)
         else:
             self._own[incarnation] = left
 
     def own(self, incarnation: Incarnation) -> Load:
         """Return what this entry has in flight at an upstream."""
-        return self._own.get(incarnation, NOTHING)
+        return self._own.get(incarnation, NO_LOAD)
 
     def total(self, incarnation: Incarnation, now: Millis) -> Load:
         """Return what all entries have in flight there, as far as is known."""
         stale = now - self._others_at > MAX_TOTALS_AGE
         if stale is not self._stale:
             self._stale = stale
-            self._sums.clear()
-        known = self._sums.get(incarnation)
-        if known is None:
-            known = self._sums[incarnation] = self._sum(incarnation)
-        return known
+            self._cached_totals.clear()
+        cached = self._cached_totals.get(incarnation)
+        if cached is None:
+            cached = self._cached_totals[incarnation] = self._compute_total(incarnation)
+        return cached
 
     def report(self, usage: Iterable[UsageRow]) -> LoadReport:
         """Return a report of the own counts."""
@@ -132,23 +132,23 @@
         Returns:
             The own report that they contain, or None if it is not kept any more.
         """
-        own = self._report_at(included)
-        mine = {row.upstream: _load(row) for row in own.rows} if own else {}
+        own = self._find_report(included)
+        own_rows = {row.upstream: _load(row) for row in own.rows} if own else {}
         self._others = {
-            row.upstream: _load(row).minus(mine.get(row.upstream, NOTHING))
+            row.upstream: _load(row).minus(own_rows.get(row.upstream, NO_LOAD))
             for row in sums.rows
         }
         self._others_at = now
-        self._sums.clear()
+        self._cached_totals.clear()
         return own
 
-    def _sum(self, incarnation: Incarnation) -> Load:
+    def _compute_total(self, incarnation: Incarnation) -> Load:
         own = self.own(incarnation)
         if self._stale:
             return own
-        return own.plus(self._others.get(incarnation.digest(), NOTHING))
+        return own.plus(self._others.get(incarnation.digest(), NO_LOAD))
 
-    def _report_at(self, sequence: int) -> LoadReport | None:
+    def _find_report(self, sequence: int) -> LoadReport | None:
         for report in self._reports:
             if report.sequence == sequence:
                 return report
