--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -13,7 +13,7 @@
 
 from leadseam.clock import Millis
 from leadseam.routing.engine_order import MAX_CANDIDATES
-from leadseam.routing.spare_capacity import SpareRoom
+from leadseam.routing.spare_capacity import SpareCapacity
 from leadseam.routing.usage import Standing
 
 if TYPE_CHECKING:
@@ -91,11 +91,11 @@
     standing: Callable[[str, Millis], Standing]
     recent_service: Callable[[str, Millis], int]
     _waiting: list[Waiter] = field(default_factory=list)
-    _spare: SpareRoom = field(init=False)
+    _spare: SpareCapacity = field(init=False)
 
     def __post_init__(self) -> None:
         loads = self.balancer.loads
-        self._spare = SpareRoom(
+        self._spare = SpareCapacity(
             self.candidates, lambda row, now: loads.total(row.incarnation, now)
         )
 
@@ -225,7 +225,7 @@
                 return None
 
     def _has_spare(self, waiter: Waiter, now: Millis) -> bool:
-        return self._spare.there_is(waiter.scope, now)
+        return self._spare.has_spare(waiter.scope, now)
 
     def _update_ranking(self, waiter: Waiter) -> None:
         """Order the engines that a request may use anew, if they have changed."""
--- a/src/leadseam/routing/spare_capacity.py
+++ b/src/leadseam/routing/spare_capacity.py
@@ -4,7 +4,7 @@
 another reason than engines, as when all its callers use one busy entry; while engines
 stand idle nobody gains if others are held back. Those that are far ahead of one that is
 short stay stopped. The load that this answers: floods that come through few entries,
-before engines with many places.
+before engines with many slots.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-SPARE_PART = 0.5
-"""Part of the places, and of the engines with something to read, below which there is
+MAX_USED_PART = 0.5
+"""Part of the slots, and of the engines with something to read, below which there is
 room to spare: what accounts beyond their share take then leaves as much to others."""
-KEPT: Millis = 50
+CACHE_TIME: Millis = 50
 """Time for which an answer on a large pool is kept: the shortest interval of shared
 loads."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _CachedAnswer:
     at: Millis
     spare: bool
 
 
-class SpareRoom:
+class SpareCapacity:
     """Looks at the loads of all engines of a scope, now and then.
 
     Args:
@@ -51,31 +51,33 @@
     ) -> None:
         self._candidates = candidates
         self._total = total
-        self._known: dict[Scope, _Known] = {}
+        self._cached: dict[Scope, _CachedAnswer] = {}
 
     def __repr__(self) -> str:
-        return f"SpareRoom({self._known!r})"
+        return f"SpareCapacity({self._cached!r})"
 
-    def there_is(self, scope: Scope, now: Millis) -> bool:
+    def has_spare(self, scope: Scope, now: Millis) -> bool:
         """Tell whether the engines of a scope have room to spare."""
         rows = self._candidates(scope)
         if len(rows) <= MAX_CANDIDATES:
-            return self._look(rows, now)
-        known = self._known.get(scope)
-        if known is None or not 0 <= now - known.at < KEPT:
-            known = self._known[scope] = _Known(now, self._look(rows, now))
-        return known.spare
+            return self._check(rows, now)
+        cached = self._cached.get(scope)
+        if cached is None or not 0 <= now - cached.at < CACHE_TIME:
+            cached = self._cached[scope] = _CachedAnswer(now, self._check(rows, now))
+        return cached.spare
 
-    def _look(self, rows: Sequence[Registration], now: Millis) -> bool:
-        return has_spare_room((row.slots, self._total(row, now)) for row in rows)
+    def _check(self, rows: Sequence[Registration], now: Millis) -> bool:
+        return has_spare_capacity((row.slots, self._total(row, now)) for row in rows)
 
 
-def has_spare_room(engines: Iterable[tuple[int, Load]]) -> bool:
-    """Tell whether engines have room to spare, by their places and loads."""
-    places = taken = count = reading = 0
+def has_spare_capacity(engines: Iterable[tuple[int, Load]]) -> bool:
+    """Tell whether engines have room to spare, by their slots and loads."""
+    total_slots = taken = count = engines_reading = 0
     for slots, load in engines:
-        places += slots
+        total_slots += slots
         taken += load.requests
         count += 1
-        reading += load.unread > 0
-    return taken < SPARE_PART * places and reading < SPARE_PART * count
+        engines_reading += load.unread > 0
+    return (
+        taken < MAX_USED_PART * total_slots and engines_reading < MAX_USED_PART * count
+    )
--- a/tests/routing/test_spare_capacity.py
+++ b/tests/routing/test_spare_capacity.py
@@ -12,7 +12,11 @@
 from leadseam.routing.engine_order import MAX_CANDIDATES, ranked_for
 from leadseam.routing.load import Load
 from leadseam.routing.scope import Scope
-from leadseam.routing.spare_capacity import KEPT, SpareRoom, has_spare_room
+from leadseam.routing.spare_capacity import (
+    CACHE_TIME,
+    SpareCapacity,
+    has_spare_capacity,
+)
 from leadseam.routing.usage import Standing
 from tests.routing.samples import make_request, make_upstream
 from tests.routing.test_admission import AdmissionHarness
@@ -38,31 +42,31 @@
 def test_room_is_spare_below_half_of_places_and_of_reading(
     engines: list[tuple[int, Load]], spare: bool
 ) -> None:
-    assert has_spare_room(engines) is spare
+    assert has_spare_capacity(engines) is spare
 
 
 def test_a_large_pool_is_looked_at_now_and_then() -> None:
-    looks: list[int] = []
+    checks: list[int] = []
 
     def total(_: object, now: int) -> Load:
-        looks.append(now)
+        checks.append(now)
         return Load()
 
     rows = [make_upstream(number) for number in range(MAX_CANDIDATES + 1)]
-    room = SpareRoom(lambda _: rows, total)
-    for now in (0, 1, KEPT - 1, KEPT, KEPT + 1):
-        assert room.there_is(Scope("p"), now)
-    assert len(looks) == 2 * len(rows)
-    assert room.there_is(Scope("q"), KEPT + 1)
-    assert len(looks) == 3 * len(rows)
+    capacity = SpareCapacity(lambda _: rows, total)
+    for now in (0, 1, CACHE_TIME - 1, CACHE_TIME, CACHE_TIME + 1):
+        assert capacity.has_spare(Scope("p"), now)
+    assert len(checks) == 2 * len(rows)
+    assert capacity.has_spare(Scope("q"), CACHE_TIME + 1)
+    assert len(checks) == 3 * len(rows)
 
 
 def test_a_small_pool_is_looked_at_each_time() -> None:
     load = Load()
-    room = SpareRoom(lambda _: [make_upstream(1)], lambda _row, _now: load)
-    assert room.there_is(Scope("p"), 0)
+    capacity = SpareCapacity(lambda _: [make_upstream(1)], lambda _row, _now: load)
+    assert capacity.has_spare(Scope("p"), 0)
     load = Load(requests=1, unread=5)
-    assert not room.there_is(Scope("p"), 0)
+    assert not capacity.has_spare(Scope("p"), 0)
 
 
 def test_who_is_ahead_may_stand_behind_reading_while_others_are_idle() -> None:
