--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -71,10 +71,10 @@
         self.memory = expected_memory(req)
         self._estimates = balancer.estimates
         self._holders: frozenset[Incarnation] = frozenset()
-        self._part = 0
+        self._shared_tokens = 0
         if len(req.parts) > 1:
             part = req.parts[-2]
-            self._part = part.tokens
+            self._shared_tokens = part.tokens
             self._holders = balancer.prompts.holders(part.identity, now)
 
     def rules_out(self, row: Registration, position: int, best: _Scored | None) -> bool:
@@ -84,11 +84,11 @@
         weight that grows with its place. So of many engines only the first few and
         those that hold the part are looked at.
         """
-        if position == 0 or not self._part or row.incarnation in self._holders:
+        if position == 0 or not self._shared_tokens or row.incarnation in self._holders:
             return False
         estimate = self._estimates.engine(row)
         weight = 1 + reread_weight(position)
-        least = estimate.base + weight * self._part / estimate.rate
+        least = estimate.base + weight * self._shared_tokens / estimate.rate
         return least > self.limit or (best is not None and least >= best.cost)
 
 
--- a/src/leadseam/routing/cold_budget.py
+++ b/src/leadseam/routing/cold_budget.py
@@ -24,12 +24,12 @@
 WINDOW: Millis = 1_250
 """Span in which an entry keeps to its part. The rate is counted over 1,000 ms where
 requests arrive; the rest is for those that are held up on their way."""
-CROWDED = 1.25
+MAX_ENTRIES_PER_RATE = 1.25
 """Entries for each request a second of the rate, beyond which not all may send one."""
-DRAWN_PART = 0.6
+SELECTED_PART = 0.6
 """Mean number of drawn entries, as a part of the rate. The number is binomial: with a
 rate of 21 more than 36 of 347 entries are drawn less than once in a million times."""
-DRAW_RANGE = 2**64
+HASH_RANGE = 2**64
 
 
 class ColdBudget:
@@ -67,11 +67,11 @@
         rate = self._rate_of(row.pool)
         if rate <= 0:
             return True
-        part = self._part(row, rate, now)
-        if not part:
+        allowance = self._allowance(row, rate, now)
+        if not allowance:
             return False
         sent = self._sent.get(row.incarnation)
-        return sent is None or _count_since(sent, now - WINDOW) < part
+        return sent is None or _count_since(sent, now - WINDOW) < allowance
 
     def begin(self, row: Registration, now: Millis) -> None:
         """Count a request that is sent to an upstream, cold or not."""
@@ -83,18 +83,18 @@
             sent.popleft()
         sent.append(now)
 
-    def _part(self, row: Registration, rate: float, now: Millis) -> int:
+    def _allowance(self, row: Registration, rate: float, now: Millis) -> int:
         """Return the requests that this entry may send in one window."""
         entries = self._entries(now)
         if not entries:
             return 0
-        if entries <= CROWDED * rate:
+        if entries <= MAX_ENTRIES_PER_RATE * rate:
             return max(int(rate / entries), 1)
-        return int(self._is_drawn(row, DRAWN_PART * rate / entries))
+        return int(self._is_selected(row, SELECTED_PART * rate / entries))
 
-    def _is_drawn(self, row: Registration, probability: float) -> bool:
+    def _is_selected(self, row: Registration, probability: float) -> bool:
         key = f"{self._entry}/{row.incarnation}".encode()
-        return xxhash.xxh3_64_intdigest(key) < probability * DRAW_RANGE
+        return xxhash.xxh3_64_intdigest(key) < probability * HASH_RANGE
 
 
 def _count_since(sent: deque[Millis], since: Millis) -> int:
