--- a/src/leadseam/routing/retry_budget.py
+++ b/src/leadseam/routing/retry_budget.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from leadseam.clock import Millis
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Part of the budget that is used. Entries count windows of their own, whose ends do
 not coincide, and the number of entries is known with a delay."""
 
@@ -68,7 +68,7 @@
         """
         window = self._window(pool, now)
         slack = self._limits.slack / max(entries, 1)
-        allowed = SAFETY * (self._limits.ratio * len(window.requests) + slack)
+        allowed = SAFETY_FACTOR * (self._limits.ratio * len(window.requests) + slack)
         if len(window.repeats) + 1 > allowed:
             return False
         window.repeats.append(now)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -52,6 +52,6 @@
             repeats.append(now)
     for end in repeats:
         start = end - LIMITS.window
-        made = sum(start <= at <= end for at in repeats)
-        asked = sum(start <= at <= end for at in requests)
-        assert made <= LIMITS.ratio * asked + LIMITS.slack
+        sent = sum(start <= at <= end for at in repeats)
+        received = sum(start <= at <= end for at in requests)
+        assert sent <= LIMITS.ratio * received + LIMITS.slack
