--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -18,8 +18,8 @@
     from leadseam.routing.usage import UsageTable
 
 INTERVAL: Millis = 1_000
-"""Pause between two lines: fairness is judged second by second."""
-MOST_ACCOUNTS = 8
+"""Pause between two lines: fairness is judged second by counts."""
+MAX_ACCOUNTS = 8
 """Accounts on a line, so that it stays below some 1.5 KB: those refused most often, and
 then those that asked for most."""
 
@@ -27,16 +27,16 @@
 
 
 @dataclass(slots=True)
-class _Second:
+class _AccountCounts:
     """What became of an account's requests since the last line; service in tokens."""
 
-    asked: int = 0
+    requested: int = 0
     placed: int = 0
     refused: Counter[str] = field(default_factory=Counter)
 
 
 class AccountLog:
-    """Counts by client account, written and begun anew each second.
+    """Counts by client account, written and begun anew each counts.
 
     Args:
         usage: Standings and shares, named on the lines.
@@ -46,22 +46,22 @@
     def __init__(self, usage: UsageTable, clock: Clock) -> None:
         self._usage = usage
         self._clock = clock
-        self._accounts: dict[str, _Second] = {}
+        self._accounts: dict[str, _AccountCounts] = {}
 
     def __repr__(self) -> str:
         return f"AccountLog(accounts={len(self._accounts)})"
 
     def record_requested(self, account: str, service: int) -> None:
         """Count a request that arrived."""
-        self._second(account).asked += service
+        self._counts(account).requested += service
 
     def record_placed(self, account: str, service: int) -> None:
         """Count a request that was sent to an upstream."""
-        self._second(account).placed += service
+        self._counts(account).placed += service
 
     def record_refusal(self, account: str, reason: Reason) -> None:
         """Count a request that did not run."""
-        self._second(account).refused[reason.value] += 1
+        self._counts(account).refused[reason.value] += 1
 
     async def run(self) -> None:
         """Write until cancelled."""
@@ -78,7 +78,7 @@
             accounts,
             key=lambda name: (
                 -accounts[name].refused.total(),
-                -accounts[name].asked,
+                -accounts[name].requested,
                 name,
             ),
         )
@@ -90,24 +90,24 @@
             "even_level": _level(shares.even),
             "stop_level": _level(shares.stop),
             "accounts": [
-                self._row(name, accounts[name], now) for name in names[:MOST_ACCOUNTS]
+                self._row(name, accounts[name], now) for name in names[:MAX_ACCOUNTS]
             ],
-            "others": max(len(names) - MOST_ACCOUNTS, 0),
+            "others": max(len(names) - MAX_ACCOUNTS, 0),
         }
         log.info("accounts refused", extra=extra)
 
-    def _row(self, name: str, second: _Second, now: Millis) -> dict[str, object]:
+    def _row(self, name: str, counts: _AccountCounts, now: Millis) -> dict[str, object]:
         return {
             "account": name,
-            "asked": second.asked,
-            "placed": second.placed,
-            "refused": dict(second.refused),
+            "asked": counts.requested,
+            "placed": counts.placed,
+            "refused": dict(counts.refused),
             "served_of_late": self._usage.recent_service(name, now),
             "standing": self._usage.standing(name, now).name.lower(),
         }
 
-    def _second(self, account: str) -> _Second:
-        return self._accounts.setdefault(account, _Second())
+    def _counts(self, account: str) -> _AccountCounts:
+        return self._accounts.setdefault(account, _AccountCounts())
 
 
 def _level(level: float) -> int | None:
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -7,7 +7,7 @@
 
 from leadseam.clock import ManualClock
 from leadseam.outcome import Reason
-from leadseam.routing.account_log import MOST_ACCOUNTS, AccountLog
+from leadseam.routing.account_log import MAX_ACCOUNTS, AccountLog
 from leadseam.routing.usage import UsageTable
 from leadseam.wire.feed import LoadSums, UsageRow
 
@@ -15,8 +15,8 @@
     import pytest
 
 
-def written(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
-    """Return the fields of the lines."""
+def log_records(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
+    """Return the fields of the account_log."""
     return [vars(record) for record in caplog.records]
 
 
@@ -27,14 +27,14 @@
     usage = UsageTable()
     rows = (UsageRow("menus", 900, 2_000), UsageRow("pay", 100, 1_000))
     usage.apply_sums(LoadSums((), rows), None, capacity=1_000, now=100)
-    lines = AccountLog(usage, ManualClock(140))
-    lines.record_requested("menus", 300)
-    lines.record_placed("menus", 200)
-    lines.record_refusal("menus", Reason.UPSTREAM_FULL)
-    lines.record_refusal("menus", Reason.ENTRY_BUSY)
-    lines.write()
-    lines.write()
-    (line,) = written(caplog)
+    account_log = AccountLog(usage, ManualClock(140))
+    account_log.record_requested("menus", 300)
+    account_log.record_placed("menus", 200)
+    account_log.record_refusal("menus", Reason.UPSTREAM_FULL)
+    account_log.record_refusal("menus", Reason.ENTRY_BUSY)
+    account_log.write()
+    account_log.write()
+    (line,) = log_records(caplog)
     assert line["message"] == "accounts refused"
     assert (line["sums_age_ms"], line["stated_level"]) == (40, 500)
     assert line["accounts"] == [
@@ -53,22 +53,22 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageTable(), ManualClock())
-    lines.record_requested("menus", 300)
-    lines.write()
-    assert written(caplog) == []
+    account_log = AccountLog(UsageTable(), ManualClock())
+    account_log.record_requested("menus", 300)
+    account_log.write()
+    assert log_records(caplog) == []
 
 
 def test_a_line_names_a_bounded_number_of_accounts(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    lines = AccountLog(UsageTable(), ManualClock())
-    for number in range(MOST_ACCOUNTS + 3):
+    account_log = AccountLog(UsageTable(), ManualClock())
+    for number in range(MAX_ACCOUNTS + 3):
         for _ in range(number + 1):
-            lines.record_refusal(f"a{number}", Reason.UPSTREAM_FULL)
-    lines.write()
-    (line,) = written(caplog)
+            account_log.record_refusal(f"a{number}", Reason.UPSTREAM_FULL)
+    account_log.write()
+    (line,) = log_records(caplog)
     assert [row["account"] for row in line["accounts"]][:2] == ["a10", "a9"]
-    assert (len(line["accounts"]), line["others"]) == (MOST_ACCOUNTS, 3)
+    assert (len(line["accounts"]), line["others"]) == (MAX_ACCOUNTS, 3)
     assert (line["sums_age_ms"], line["stop_level"]) == (-1, None)
