--- a/src/leadseam/routing/prompts.py
+++ b/src/leadseam/routing/prompts.py
@@ -10,10 +10,10 @@
     from leadseam.incarnation import Incarnation
     from leadseam.routing.dialect import PromptPart
 
-REMEMBERED: Millis = 20_000
+RETENTION: Millis = 20_000
 """How long a part is taken to be held after it was sent; engines drop what was unused
 longest, so parts in steady use stay."""
-MAX_PARTS = 20_000
+MAX_KEPT_PARTS = 20_000
 """Parts remembered, by any engine: 5 to 8 MB, as most are held by one or two."""
 
 
@@ -35,7 +35,7 @@
         for part in parts:
             self._sent.setdefault(part.identity, {})[incarnation] = now
             self._sent.move_to_end(part.identity)
-        while len(self._sent) > MAX_PARTS:
+        while len(self._sent) > MAX_KEPT_PARTS:
             self._sent.popitem(last=False)
 
     def holders(self, identity: str, now: Millis) -> frozenset[Incarnation]:
@@ -43,7 +43,7 @@
         sent = self._sent.get(identity)
         if sent is None:
             return frozenset()
-        old = [one for one, at in sent.items() if now - at >= REMEMBERED]
+        old = [one for one, at in sent.items() if now - at >= RETENTION]
         for incarnation in old:
             del sent[incarnation]
         return frozenset(sent)
@@ -82,4 +82,4 @@
     def _holds(self, incarnation: Incarnation, part: PromptPart, now: Millis) -> bool:
         sent = self._sent.get(part.identity)
         at = sent.get(incarnation) if sent is not None else None
-        return at is not None and now - at < REMEMBERED
+        return at is not None and now - at < RETENTION
