--- a/src/leadseam/routing/pump.py
+++ b/src/leadseam/routing/pump.py
@@ -50,14 +50,14 @@
         Raises:
             Exception: What `on_data` raised.
         """
-        self._conn.listener = self._move
+        self._conn.listener = self._forward
         try:
-            self._move()
+            self._forward()
             await self._stopped
         finally:
             self._conn.listener = None
 
-    def _move(self) -> None:
+    def _forward(self) -> None:
         """Pass on what has come in."""
         if self._stopped.done():
             return
--- a/tests/routing/test_pump.py
+++ b/tests/routing/test_pump.py
@@ -1,4 +1,4 @@
-"""Events moved from one connection to another without a task in between."""
+"""Events start_pump from one connection to another without a task in between."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from leadseam.routing.pump import Pump
 
 
-class Moved:
+class PumpHarness:
     """A pump with both of its ends in the test's hands."""
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self.conn = UpstreamConnection(loop)
         self.caller = BaseProtocol(loop)
         self.body = StreamReader(cast("ResponseHandler", self.conn), 2**16, loop=loop)
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         pump = Pump(self.body, self.conn, self.caller, self.take)
         self.running = asyncio.create_task(pump.run())
 
@@ -31,67 +31,67 @@
         """Note what was passed on."""
         if data == b"bad":
             raise ValueError("bad")
-        self.got.append(data)
+        self.received.append(data)
 
     def feed(self, data: bytes) -> None:
         """Let bytes come in as the connection does."""
         self.body.feed_data(data)
-        self.tell()
+        self.notify()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Tell the pump that something has come in."""
         assert self.conn.listener is not None
         self.conn.listener()
 
 
-async def moved() -> Moved:
+async def start_pump() -> PumpHarness:
     """Return a pump that has begun to run."""
-    pump = Moved()
+    pump = PumpHarness()
     while pump.conn.listener is None:
         await asyncio.sleep(0)
     return pump
 
 
 async def test_bytes_go_on_before_any_task_runs() -> None:
-    pump = await moved()
+    pump = await start_pump()
     pump.feed(b"one")
     pump.feed(b"two")
-    assert pump.got == [b"one", b"two"]
+    assert pump.received == [b"one", b"two"]
     assert not pump.running.done()
     pump.body.feed_eof()
-    pump.tell()
+    pump.notify()
     await pump.running
     assert pump.conn.listener is None
 
 
 async def test_it_stops_when_the_caller_is_behind() -> None:
-    pump = await moved()
+    pump = await start_pump()
     pump.caller.pause_writing()
     pump.feed(b"one")
     await pump.running
-    assert pump.got == [b"one"]
+    assert pump.received == [b"one"]
     assert not pump.body.at_eof()
 
 
 async def test_a_broken_body_is_told_after_all_that_came_before() -> None:
-    pump = await moved()
+    pump = await start_pump()
     pump.feed(b"one")
     pump.body.set_exception(aiohttp.ClientPayloadError("reset"))
-    pump.tell()
+    pump.notify()
     with pytest.raises(aiohttp.ClientPayloadError):
         await pump.running
-    assert pump.got == [b"one"]
+    assert pump.received == [b"one"]
 
 
 async def test_a_fault_of_the_receiver_reaches_the_task() -> None:
-    pump = await moved()
+    pump = await start_pump()
     pump.feed(b"bad")
     with pytest.raises(ValueError, match="bad"):
         await pump.running
 
 
 async def test_nothing_is_heard_after_a_cancellation() -> None:
-    pump = await moved()
+    pump = await start_pump()
     pump.running.cancel()
     with pytest.raises(asyncio.CancelledError):
         await pump.running
