--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -25,7 +25,7 @@
         req: The request.
         balancer: Where it is counted.
         clock: Source of time.
-        on_room: Called when the upstream may have room for another request.
+        on_capacity: Called when the upstream may have room for another request.
     """
 
     def __init__(
@@ -34,15 +34,15 @@
         req: RoutedRequest,
         balancer: Balancer,
         clock: Clock,
-        on_room: Callable[[], None],
+        on_capacity: Callable[[], None],
     ) -> None:
         self._placement = placement
         self._req = req
         self._balancer = balancer
         self._clock = clock
-        self._on_room = on_room
+        self._on_capacity = on_capacity
         self._sent: Millis = clock.now()
-        self._read = False
+        self._answered = False
 
     def __repr__(self) -> str:
         return f"Flight({self._req.request_id} at {self.upstream.incarnation})"
@@ -67,9 +67,9 @@
 
     def first_byte(self) -> None:
         """Note that the upstream has begun to answer; only the first call counts."""
-        if self._read:
+        if self._answered:
             return
-        self._read = True
+        self._answered = True
         now = self._clock.now()
         incarnation = self.upstream.incarnation
         self._balancer.loads.read(incarnation, self._placement.load.unread)
@@ -77,17 +77,17 @@
         self._balancer.estimates.add_measurement(
             self.upstream, self._placement.unread, now - self._sent
         )
-        self._on_room()
+        self._on_capacity()
 
     def ended_early(self) -> bool:
         """Tell whether the attempt ends now soon after its send, with no answer."""
         limit = EARLY_LIMIT_OF_PROMPTS if self._req.parts else EARLY_LIMIT
-        return not self._read and self._clock.now() - self._sent <= limit
+        return not self._answered and self._clock.now() - self._sent <= limit
 
     def end(self) -> None:
         """Note that the attempt has ended."""
         load = self._placement.load
-        if self._read:
+        if self._answered:
             load = Load(requests=load.requests, memory=load.memory)
         self._balancer.loads.end(self.upstream.incarnation, load)
-        self._on_room()
+        self._on_capacity()
