--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -1,4 +1,4 @@
-"""Finds the upstream for each attempt; requests for engines may wait for room here."""
+"""Chooses the upstream for each attempt and holds requests until one has capacity."""
 
 from __future__ import annotations
 
@@ -41,22 +41,24 @@
 _W = TypeVar("_W", Waiter, PlainWaiter)
 
 PUMP_INTERVAL: Millis = 5
-"""Least pause between two looks at all that waits: small against objectives of 250 ms,
-and at an overloaded entry it bounds the processor time of looking."""
+"""Minimum interval between two passes over the waiting requests. It is small against
+objectives of 250 ms, and it bounds the processor time of these passes at an overloaded
+entry."""
 PAUSE_JITTER_DIVISOR = 10
-"""Part of a pause, one in so many, over which entries jitter its end by chance: they do
-not know of each other's pauses."""
+"""A pause is extended by a random time of up to this fraction (1/10) of its length.
+Entries do not know of each other's pauses; the jitter keeps them from resuming at the
+same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class _UsableUpstreams:
-    """Upstreams of a scope that may be used, kept for all that look at once.
+    """Cached usable upstreams of a scope, shared by requests placed at the same time.
 
     Args:
-        computed_at: When they were worked out.
-        candidates: Upstreams of the scope.
-        rows: Those that are not paused and do not fail. If all fail, all that are not
-            paused.
+        computed_at: When the rows were computed.
+        candidates: All upstreams of the scope.
+        rows: The upstreams that are neither paused nor failing. If all of them fail,
+            all that are not paused.
     """
 
     computed_at: Millis
@@ -66,17 +68,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _PlainWait:
-    """A request for a plain pool may wait for room."""
+    """Signals that a request for a plain pool has to wait for capacity."""
 
 
 class Placer:
-    """Places the requests of one entry, by the loads of all entries.
+    """Places the requests of one entry, based on the loads of all entries.
 
     Args:
         feed: Configuration and registered upstreams.
-        health: Which upstreams to leave idle_first_token.
+        health: Which upstreams are excluded because they fail.
         clock: Source of time.
-        rng: Source of random numbers, for ties.
+        rng: Source of random numbers, for ties and jitter.
         entry: Name of this entry.
     """
 
@@ -121,30 +123,32 @@
         return f"Placer(waiting={len(self._admission)}, {self._balancer!r})"
 
     def record_request(self, account: str, req: RoutedRequest, now: Millis) -> None:
-        """Count a request of a client account, placed later or not."""
+        """Count a request of a client account, whether it is placed later or not."""
         self.record_requested_service(account, expected_service(req), now)
 
     def record_requested_service(self, account: str, service: int, now: Millis) -> None:
-        """Count a request of a client account by the service that it would take."""
+        """Count the service that a request of a client account is expected to take."""
         self._usage.record_requested(account, service, now)
         self.account_log.record_requested(account, service)
 
     def standing(self, account: str, now: Millis) -> Standing:
-        """Return what a client account may claim."""
+        """Return the standing of a client account, which limits what it may claim."""
         return self._usage.standing(account, now)
 
     async def place(
         self, admitted: Admitted, tried: set[Incarnation], *, again: bool
     ) -> Flight | Reason:
-        """Find the upstream for an attempt; it may wait for room the first time.
+        """Find the upstream for an attempt.
+
+        A first attempt may wait until an upstream has capacity. A retry does not wait.
 
         Args:
             admitted: The request.
-            tried: Incarnations not to be used.
-            again: Whether the request was sent somewhere before.
+            tried: Incarnations that must not be used.
+            again: Whether the request was already sent to an upstream.
 
         Returns:
-            The request in flight, or why it is refused.
+            The request in flight, or the reason why it is refused.
         """
         placement = self._place_at_once(admitted, tried, again=again)
         if isinstance(placement, EngineProfile):
@@ -170,9 +174,10 @@
         )
 
     def may_send(self, row: Registration) -> bool:
-        """Tell whether a request may still be written to the upstream it is placed at.
+        """Return whether a request may still be written to its chosen upstream.
 
-        It may have waited for its turn, or for a connection, since that was decided.
+        Between the placement and the write the request may have waited for its turn or
+        for a connection, and the upstream may have left, paused or been evacuated.
         """
         view = self._feed.view
         if view.has_left(row.incarnation) or row.failure_domain in view.evacuated:
@@ -180,22 +185,22 @@
         return not self._pauses.is_paused(row.incarnation, self._clock.now())
 
     def pause(self, row: Registration, length: Millis) -> None:
-        """Send nothing to an upstream for a while, as it asks."""
+        """Send nothing to an upstream for the time that it requested."""
         jitter = self._rng.randint(0, length // PAUSE_JITTER_DIVISOR)
         until = self._clock.now() + length + jitter
         self._pauses.asked(row.incarnation, until)
         self._usable.clear()
 
     def record_answer(self, row: Registration) -> None:
-        """Note a good answer of an upstream, which may get more after a pause."""
+        """Record a good answer, after which a paused upstream may get more requests."""
         if self._pauses.answered(row, self._clock.now()):
             self._pump_soon()
 
     def pause_left(self, scope: Scope) -> Millis:
-        """Return the time until an upstream of a scope is used again, if all pause.
+        """Return the time until the first pause in a scope ends, if all are paused.
 
         Returns:
-            Milliseconds; 0 if there is none, or one that is not paused.
+            Milliseconds; 0 if the scope has no upstream, or one that is not paused.
         """
         now = self._clock.now()
         if not self._pauses.any_paused(now):
@@ -204,30 +209,35 @@
         return max(min(ends, default=0) - now, 0)
 
     def paused_count(self) -> int:
-        """Return the number of upstreams that are paused."""
+        """Return the number of paused upstreams."""
         return self._pauses.count(self._clock.now())
 
     def sweep(self) -> None:
-        """Forget what is over."""
+        """Remove expired pauses."""
         self._pauses.sweep(self._clock.now())
 
     def place_waiting(self) -> None:
-        """Look at all that waits now, whatever its timers say."""
+        """Try to place all waiting requests now, without waiting for a timer."""
         now = self._clock.now()
         self._admission.pump(now)
         self._plain.pump(now)
 
     def load_report(self) -> LoadReport:
-        """Return this entry's counts for the other entries."""
+        """Return this entry's load and usage counts for the other entries."""
         return self._balancer.loads.report(self._usage.rows(self._clock.now()))
 
     def apply_sums(self, included: int, sums: LoadSums) -> None:
-        """Take the counts of all entries, with the own report of a number in them."""
+        """Apply the fleet-wide sums.
+
+        Args:
+            included: Sequence number of the own report that the sums contain.
+            sums: Counts of all entries.
+        """
         now = self._clock.now()
         own = self._balancer.loads.apply_sums(included, sums, now)
         cfg = self._feed.configuration
         engines = [name for name, pool in cfg.pools.items() if pool.engine is not None]
-        # What is evacuated makes no tokens, so nobody may count on a share of it.
+        # Evacuated engines generate no tokens, so shares exclude their capacity.
         rate = cfg.limits.tokens_per_s * self._feed.view.part_left(engines)
         capacity = round(rate * DECAY_TIME / MILLIS_PER_SECOND)
         self._usage.apply_sums(sums, own, capacity=capacity, now=now)
@@ -236,7 +246,13 @@
     def _place_at_once(
         self, admitted: Admitted, tried: set[Incarnation], *, again: bool
     ) -> Placement | EngineProfile | _PlainWait | None:
-        """Place a request that need not wait; else return its pool's profile."""
+        """Place a request that does not have to wait.
+
+        Returns:
+            The placement of a retry. For a first attempt that has candidates, the
+            engine profile of its pool, or `_PlainWait` for a plain pool. None if no
+            upstream may be used.
+        """
         rows = self._candidates(admitted.scope)
         pool = self._feed.configuration.pools.get(admitted.pool)
         profile = pool.engine if pool is not None else None
@@ -254,7 +270,7 @@
     def _pick_plain(
         self, scope: Scope, tried: set[Incarnation], now: Millis
     ) -> Placement | None:
-        """Return the upstream of a plain pool with the most room, if it has any."""
+        """Return the least loaded upstream of a plain pool, or None if it is full."""
         rows = _exclude_tried(self._candidates(scope), tried)
         placement = self._balancer.least_loaded(rows, now)
         if placement is None:
@@ -290,7 +306,8 @@
             scope=admitted.scope,
             profile=profile,
             objective=admitted.route.latency_objective,
-            # Not when it was read: it may have waited for a first configuration.
+            # Not the time when the request was read: it may have waited for the first
+            # configuration since.
             arrived=now,
             tried=tried,
             wake=woken.set,
@@ -301,7 +318,7 @@
     async def _until_done(
         self, withdraw: Callable[[_W], None], waiter: _W, woken: asyncio.Event
     ) -> Placement | None:
-        """Wait until a request is placed or refused, or its caller is gone."""
+        """Wait until a request is placed or refused, or its caller has disconnected."""
         if not waiter.done:
             self._pump_soon()
             delay = seconds(max(waiter.refuse_at - self._clock.now(), 0))
@@ -335,7 +352,7 @@
         return self._feed.view.pool(scope.pool, scope.regions)
 
     def _candidates(self, scope: Scope) -> Sequence[Registration]:
-        """Return the upstreams of a scope that may be used."""
+        """Return the usable upstreams of a scope, cached for `PUMP_INTERVAL`."""
         now = self._clock.now()
         rows = self._upstreams(scope)
         if self._health.all_usable(now) and not self._pauses.any_paused(now):
@@ -354,10 +371,10 @@
     def _find_usable(
         self, rows: Sequence[Registration], now: Millis
     ) -> Sequence[Registration]:
-        """Return the upstreams that neither pause nor fail.
+        """Return the upstreams that are neither paused nor failing.
 
-        Those that fail are a guess, and get work if there are no others. A pause is the
-        upstream's own word, and always kept.
+        A failure is this entry's guess, so failing upstreams are used if there are no
+        others. A pause was requested by the upstream itself and is always respected.
         """
         pauses, health = self._pauses, self._health
         awake = [row for row in rows if not pauses.is_paused(row.incarnation, now)]
@@ -377,7 +394,7 @@
 def _exclude_tried(
     rows: Sequence[Registration], tried: set[Incarnation]
 ) -> Sequence[Registration]:
-    """Return upstreams without those that were tried."""
+    """Return the upstreams that have not been tried."""
     if not tried:
         return rows
     return [row for row in rows if row.incarnation not in tried]
