--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -1,9 +1,10 @@
-"""The choice of an upstream. No I/O.
+"""Scores upstreams and picks one for each request. No I/O.
 
-Engines: the one with the earliest expected first token among those with room, where
-shared prompt parts that would have to be read once more count several times. All
-entries take the engine that rendezvous hashing ranks first for the shared parts to hold
-them. Other pools: the least in flight.
+For an engine pool, the balancer picks the engine with the earliest expected first token
+among those with capacity. Shared prompt parts that would have to be read again are
+weighted several times. All entries assume that the engine ranked first by rendezvous
+hashing holds the shared parts. For other pools, it picks the upstream with the fewest
+requests in flight per slot.
 """
 
 from __future__ import annotations
@@ -29,22 +30,33 @@
     from leadseam.wire.feed import Registration
 
 MEMORY_PART = 0.92
-"""Part of an engine's memory that is filled on purpose; lengths are guesses."""
+"""Fraction of an engine's memory that may be filled. The rest is a margin, because the
+lengths of answers are estimates."""
 EXPECTED_GENERATED = 250
-"""Tokens that an answer is expected to have, where only the bound is known."""
+"""Expected number of generated tokens, where only the upper bound is known."""
 REREAD_WEIGHT = 30.0
-"""Weight of shared prompt tokens that are read once more, against others: reading them
-takes room of all and drives other parts out of memory."""
+"""Weight of a shared prompt token that is read again, relative to other tokens. Reading
+it again takes capacity from all requests and evicts other parts from memory."""
 RANK_STEP = 0.4
-"""How much more each further engine in the order of a prompt's shared parts costs, so
-that entries which cannot use the first one agree on the second."""
+"""Increase of the weight per position in the engine order of a prompt. It makes entries
+that cannot use the first engine agree on the second."""
 RUNNING_COST = 0.5
-"""Milliseconds that a request in flight counts for: each makes the others a little
-slower, and among engines with nothing to read the least loaded one should be taken."""
+"""Cost in milliseconds of each request in flight. Each request slows the others a
+little, and among engines with nothing to read the least loaded one should be picked."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Scored:
+    """A possible placement and its cost.
+
+    Args:
+        placement: The placement.
+        shared: Shared prompt tokens that would have to be read again.
+        ahead: Expected milliseconds of reading ahead of the request.
+        wait: Expected milliseconds to the first token.
+        cost: Weighted cost in milliseconds; the lowest is picked.
+    """
+
     placement: Placement
     shared: int
     ahead: float
@@ -53,10 +65,10 @@
 
 
 class _Search:
-    """The search for one request's engine, and which engines need no look.
+    """The search for one request's engine, with a bound that skips engines unscored.
 
     Args:
-        balancer: Estimates, and which parts engines hold.
+        balancer: Source of the estimates and of the parts that engines hold.
         req: The request.
         limit: Milliseconds that the first token may take.
         now: Current time.
@@ -78,11 +90,11 @@
             self._holders = balancer.prompts.holders(part.identity, now)
 
     def rules_out(self, row: Registration, position: int, best: _Scored | None) -> bool:
-        """Tell whether an engine cannot be the best, by its estimate alone.
+        """Return whether the estimate alone shows that an engine cannot be the best.
 
-        One that does not hold the part that decides the order would read it, at a
-        weight that grows with its place. So of many engines only the first few and
-        those that hold the part are looked at.
+        An engine that does not hold the last shared part, which decides the order,
+        would have to read it, at a weight that grows with its position. So only the
+        first few of many engines and those that hold the part are scored.
         """
         if position == 0 or not self._shared_tokens or row.incarnation in self._holders:
             return False
@@ -101,11 +113,12 @@
 
 
 class Balancer:
-    """Knows loads and picks upstreams.
+    """Tracks the loads of upstreams and picks an upstream for each request.
 
     Args:
         rng: Source of random numbers, for ties.
-        allows: Tells whether an upstream may get one more request now. Defaults to yes.
+        allows: Returns whether an upstream may get one more request now. By default it
+            always may.
         on_begin: Called with the upstream of each request that is sent.
     """
 
@@ -128,14 +141,17 @@
         return f"Balancer({self.loads!r})"
 
     def begin(self, placement: Placement) -> None:
-        """Count a request that is sent."""
+        """Count a request that is sent to its upstream."""
         self.loads.begin(placement.upstream.incarnation, placement.load)
         self._on_begin(placement.upstream)
 
     def least_loaded(
         self, rows: Sequence[Registration], now: Millis
     ) -> Placement | None:
-        """Return the upstream with the least in flight for its slots, or None."""
+        """Return the upstream with the fewest requests per slot, or None if there is none.
+
+        Of a large pool only a random sample is compared.
+        """
         if len(rows) > MAX_CANDIDATES:
             rows = self._rng.sample(rows, MAX_CANDIDATES)
         rows = [row for row in rows if self._allows(row, now)]
@@ -151,11 +167,11 @@
     def with_capacity(
         self, rows: Sequence[Registration], limit: float, now: Millis
     ) -> frozenset[Incarnation]:
-        """Return the engines that may have room for some request.
+        """Return the engines that may have capacity for some request.
 
         Args:
             rows: Engines of one pool.
-            limit: Most milliseconds that a first token may take.
+            limit: Maximum milliseconds that a first token may take.
             now: Current time.
         """
         return frozenset(
@@ -173,17 +189,17 @@
         ahead: Millis | None = None,
         among: frozenset[Incarnation] | None = None,
     ) -> Placement | None:
-        """Return the best engine with room, or None.
+        """Return the best engine with capacity, or None.
 
         Args:
             ranked: Engines that may be used, in the order of `EngineOrders`.
             req: The request.
             profile: What is stated about the engines.
-            limit: Milliseconds that the first token may take.
+            limit: Maximum milliseconds that the first token may take.
             now: Current time.
-            ahead: Most milliseconds that the engine may have to read before it, or
-                None if only the first token's time counts.
-            among: Engines that may have room, if that is known already.
+            ahead: Maximum milliseconds of reading that may be ahead of the request at
+                the engine, or None if only the time of the first token counts.
+            among: Engines that may have capacity, if already computed.
         """
         search = _Search(self, req, limit, now)
         best: _Scored | None = None
@@ -202,7 +218,7 @@
         return best.placement if best is not None else None
 
     def idle_first_token(self, pool: str, req: RoutedRequest) -> float:
-        """Return the milliseconds to a first token at an engine with nothing else.
+        """Return the expected milliseconds to a first token at an idle engine.
 
         Args:
             pool: Pool of the engine, which holds the shared parts.
@@ -213,7 +229,7 @@
     def place_over_limits(
         self, ranked: Sequence[Registration], req: RoutedRequest, now: Millis
     ) -> Placement | None:
-        """Return the best engine for a request that goes on, room or not."""
+        """Return the best engine for a retried request, even if none has capacity."""
         scored = [
             self._score(row, req, now, position=position)
             for position, row in enumerate(ranked)
@@ -225,14 +241,15 @@
     def _score_if_open(
         self, row: Registration, position: int, search: _Search, profile: EngineProfile
     ) -> _Scored | None:
-        """Score an engine, or return None if it has no room for the request."""
+        """Return the score of an engine, or None if it lacks capacity for the request."""
         if not self._is_open(row, search.limit, search.now):
             return None
         filled = self.loads.total(row.incarnation, search.now).memory + search.memory
         if filled > profile.memory_tokens * MEMORY_PART:
             return None
         scored = self._score(row, search.req, search.now, position=position)
-        # A prompt that takes too long even alone is sent where nothing waits.
+        # A prompt that exceeds the limit even on an idle engine may go to an engine
+        # that has nothing else to read.
         is_alone = scored.placement.unread == scored.placement.load.unread
         if scored.wait > search.limit and not is_alone:
             return None
@@ -241,7 +258,7 @@
         return scored
 
     def _is_open(self, row: Registration, limit: float, now: Millis) -> bool:
-        """Tell whether an engine has a slot, and time for a first token."""
+        """Return whether an engine has a free slot and its reading is within the limit."""
         total = self.loads.total(row.incarnation, now)
         if total.requests >= row.slots or not self._allows(row, now):
             return False
@@ -265,30 +282,35 @@
 
 
 def reread_weight(position: int) -> float:
-    """Return the weight of shared tokens read once more, by an engine's place."""
+    """Return the weight of shared tokens read again, by the engine's position."""
     return REREAD_WEIGHT * (1 + RANK_STEP * position)
 
 
 def expected_memory(req: RoutedRequest) -> int:
-    """Return the tokens of memory that a request is expected to hold for itself."""
+    """Return the tokens of engine memory that a request is expected to occupy."""
     generated = min(req.tokens_out, EXPECTED_GENERATED)
     if not req.parts:
         return req.tokens_in + generated
     shared = sum(part.tokens for part in req.parts[:-1])
-    # Several running requests share these; half is what each brings on average.
+    # Several running requests share these tokens; on average each adds half of them.
     return req.tokens_in - shared // 2 + generated
 
 
 def expected_service(req: RoutedRequest) -> int:
-    """Return the service that a request is expected to take, for its account."""
+    """Return the service, in tokens, that a request is expected to take."""
     return expected_service_of_tokens(own_tokens(req), req.tokens_out)
 
 
 def expected_service_of_tokens(own: int, max_generated: int) -> int:
-    """Return the expected service of prompt tokens and of tokens to be generated."""
+    """Return the service expected for own prompt tokens and for generated tokens.
+
+    Args:
+        own: Prompt tokens that have to be read.
+        max_generated: Upper bound of the tokens to generate.
+    """
     return own + GENERATED_TOKEN_WEIGHT * min(max_generated, EXPECTED_GENERATED)
 
 
 def own_tokens(req: RoutedRequest) -> int:
-    """Return the prompt tokens that no other request shares."""
+    """Return the prompt tokens that the request shares with no other."""
     return req.parts[-1].tokens if req.parts else req.tokens_in
--- a/tests/routing/test_balance.py
+++ b/tests/routing/test_balance.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream."""
+"""Picking an upstream for a request."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return Balancer(random.Random(1))
 
 
-def test_the_part_before_the_requests_own_decides() -> None:
+def test_the_last_shared_part_is_the_affinity_key() -> None:
     assert affinity_key(make_request()) is None
     assert affinity_key(make_request("own")) == "own"
     assert affinity_key(CHAT) == "subject"
@@ -39,12 +39,12 @@
     assert first is not None
     assert second is not None
     assert first.upstream == second.upstream
-    # The shared parts are taken to be there; only the request's own is read.
+    # The engine is assumed to hold the shared parts; only the own part is read.
     assert first.unread == 100
     assert first.load == Load(requests=1, unread=100, memory=300 - 100 + 50)
 
 
-def test_an_engine_without_a_slot_hands_over_to_the_next() -> None:
+def test_an_engine_without_a_free_slot_is_followed_by_the_next() -> None:
     balancer = make_balancer()
     chosen = []
     for _ in range(5):
@@ -56,7 +56,7 @@
     assert chosen[4] != chosen[0]
 
 
-def test_no_room_is_no_placement_but_a_request_that_goes_on_finds_one() -> None:
+def test_full_engines_are_used_only_by_a_retried_request() -> None:
     balancer = make_balancer()
     for row in ROWS:
         balancer.begin(Placement(row, Load(requests=4), 0))
@@ -65,7 +65,7 @@
     assert balancer.place_over_limits([], CHAT, 0) is None
 
 
-def test_memory_and_what_is_to_be_read_bound_an_engine() -> None:
+def test_memory_and_unread_tokens_limit_an_engine() -> None:
     full = make_balancer()
     full.begin(Placement(ROWS[0], Load(requests=1, memory=9_200), 0))
     assert full.place(ROWS[:1], CHAT, PROFILE, 400, 0) is None
@@ -75,14 +75,14 @@
     assert busy.place(ROWS[:1], CHAT, PROFILE, 500, 0) is not None
 
 
-def test_a_prompt_too_long_for_the_objective_goes_where_nothing_is_read() -> None:
+def test_a_prompt_too_long_for_the_objective_goes_to_an_idle_engine() -> None:
     balancer = make_balancer()
     long_prompt = msgspec.structs.replace(PROFILE, memory_tokens=1_000_000)
     req = make_request("own")
     assert balancer.place(ROWS[:1], req, long_prompt, 1, 0) is not None
 
 
-def test_shared_parts_read_once_more_weigh_more_than_a_short_wait() -> None:
+def test_reading_shared_parts_again_costs_more_than_a_short_wait() -> None:
     balancer = make_balancer()
     home = max(ROWS, key=lambda row: rendezvous_weight("subject", row))
     balancer.begin(Placement(home, Load(requests=1, unread=8_000), 8_000))
@@ -108,7 +108,7 @@
     assert placement.upstream != home
 
 
-def test_other_work_goes_where_least_is_in_flight_for_the_slots() -> None:
+def test_plain_requests_go_to_the_upstream_with_the_fewest_requests_per_slot() -> None:
     balancer = make_balancer()
     for row in ROWS[:4]:
         balancer.begin(Placement(row, Load(requests=1), 0))
@@ -140,7 +140,7 @@
     for row, load in zip(ROWS, loads, strict=True):
         balancer.loads.begin(row.incarnation, Load(*load))
     ranked = ranked_for(ROWS, CHAT)
-    # The set is worked out for the longest limit of those that wait.
+    # The set is computed for the longest limit of all waiting requests.
     among = balancer.with_capacity(ROWS, 680, 0)
     every = balancer.place(ranked, CHAT, PROFILE, limit, 0)
     some = balancer.place(ranked, CHAT, PROFILE, limit, 0, among=among)
--- a/tests/routing/test_placing_cost.py
+++ b/tests/routing/test_placing_cost.py
@@ -1,13 +1,13 @@
-"""What it takes to find an engine must not grow with the number of engines.
+"""The cost of placing a request must not grow with the number of engines.
 
-On a fleet of 39 engines an entry looked at every engine for every request. A request
-took 2.8 ms of an entry's processor time at 20 engines and 3.6 at 39, and 3.0 at 39
-since few are looked at. An entry that many callers shared had none left for callers,
-and refused accounts that were within their share.
+When an entry scored every engine for every request, a request took 2.8 ms of processor
+time at 20 engines and 3.6 ms at 39; with few engines scored it takes 3.0 ms at 39. An
+entry shared by many callers ran out of processor time and refused accounts that were
+within their share.
 
-Before: 32, 140 and 568 engines scored for a request at 39, 156 and 624 of them. After:
-0.86, 0.94 and 0.95 on the mean, for the first look is at the engine that holds its
-shared parts, and one without a slot is not scored.
+Engines scored per request at 39, 156 and 624 engines: 32, 140 and 568 before, and 0.86,
+0.94 and 0.95 on average now. The engine that holds the shared parts is scored first,
+and engines without a free slot are not scored.
 """
 
 from __future__ import annotations
@@ -41,13 +41,14 @@
     for number in range(1, 625)
 ]
 KINDS = ((5_382, 6_610, 384, 400), (198, 628, 288, 250), (568, 1_800, 24, 250))
-"""Shared and own tokens, tokens made, objective in ms: notes, answers and tags."""
+"""Shared tokens, own tokens, generated tokens and objective in ms of three kinds of
+requests: notes, answers and tags."""
 MIX = (176, 131, 416)
-"""Requests of each kind a second."""
+"""Requests per second of each kind."""
 
 
 def make_prompt(rng: random.Random, number: int) -> tuple[RoutedRequest, int]:
-    """Return a request of the mix and its objective."""
+    """Return a random request of the mix, and its objective."""
     shared, own, made, objective = rng.choices(KINDS, MIX)[0]
     subject = f"subject-{shared}-{rng.randrange(400)}"
     parts = (
@@ -110,7 +111,7 @@
         assert pruned == every
 
 
-def test_an_order_is_worked_out_once_while_the_engines_stay_the_same() -> None:
+def test_an_order_is_cached_while_the_engines_stay_the_same() -> None:
     orders = EngineOrders()
     req = make_request("system", "subject", "own")
     first = orders.order_for(Scope("p"), ROWS[:39], req)
@@ -119,15 +120,16 @@
     assert orders.order_for(Scope("p"), ROWS[:38], req) == ranked_for(ROWS[:38], req)
 
 
-def test_a_request_looks_at_few_engines_of_a_large_pool() -> None:
-    # At 3,001 engines placing took 6.9 ms, working out an order 3.9 and a look at all
-    # that waits 7.9, on a box of 0.387 cores; a kept order took 24 KB.
+def test_a_request_considers_few_engines_of_a_large_pool() -> None:
+    # When all 3,001 engines were considered, placing a request took 6.9 ms, computing
+    # an order 3.9 ms and a pass over the waiting requests 7.9 ms, on a box of 0.387
+    # cores; a cached order took 24 KB.
     rows = [
         msgspec.structs.replace(make_upstream(number), slots=SLOTS)
         for number in range(3_001)
     ]
     balancer = Balancer(random.Random(1))
-    looked: set[int] = set()
+    sampled: set[int] = set()
     rng = random.Random(1)
     for number in range(200):
         req, objective = make_prompt(rng, number)
@@ -135,23 +137,26 @@
         order = balancer.orders.order_for(Scope("p"), rows, req)
         assert len(order) == MAX_CANDIDATES
         assert list(order[:RANKED_CANDIDATES]) == list(ranked_for(rows, req))
-        looked |= {rows.index(row) for row in order[RANKED_CANDIDATES:]}
-        with mock.patch.object(balancer, "_is_open", wraps=balancer._is_open) as asked:
+        sampled |= {rows.index(row) for row in order[RANKED_CANDIDATES:]}
+        with mock.patch.object(
+            balancer, "_is_open", wraps=balancer._is_open
+        ) as checked:
             balancer.place(order, req, PROFILE, 0.85 * objective, number)
-        assert asked.call_count <= MAX_CANDIDATES
-    # Those beside the order differ, so that no idle engine is passed over for long.
-    assert len(looked) > 1_500
+        assert checked.call_count <= MAX_CANDIDATES
+    # The sampled engines differ between requests, so no idle engine is skipped for
+    # long.
+    assert len(sampled) > 1_500
     kept = [len(order) for order in balancer.orders._orders[Scope("p")].values()]
     assert set(kept) == {RANKED_CANDIDATES}
     plain = balancer.orders.order_for(Scope("p"), rows, make_request())
     assert len(plain) == MAX_CANDIDATES
 
 
-def test_least_loaded_of_many_is_drawn_from_some() -> None:
+def test_least_loaded_compares_a_sample_of_a_large_pool() -> None:
     rows = [make_upstream(number) for number in range(3_001)]
     balancer = Balancer(random.Random(1))
     with mock.patch.object(
         balancer.loads, "total", wraps=balancer.loads.total
-    ) as asked:
+    ) as checked:
         assert balancer.least_loaded(rows, 0) is not None
-    assert asked.call_count == MAX_CANDIDATES
+    assert checked.call_count == MAX_CANDIDATES
