--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -1,11 +1,11 @@
-"""Service that client accounts got and asked for of late, fleet-wide. No I/O.
-
-Service is counted in tokens: one for a prompt token that has to be read, two for one
-that is made. An account's fair share is max-min: accounts that ask for less than an
-even part get all of it, and what they leave is divided among the others. There are two
-such shares: of the capacity that the operators state, which an account can count on as
-long as engines give it, and of what the engines really give, which may be twice as much
-or a third.
+"""Service that client accounts recently requested and received, fleet-wide. No I/O.
+
+Service is counted in tokens: a prompt token that has to be read counts one, a generated
+token two. Fair shares are max-min: an account that requests less than an equal part
+gets all that it requests, and the remainder is divided among the others. There are two
+such shares. One is of the capacity that the operators state; an account can rely on it
+as long as the engines provide it. The other is of what the engines actually provide,
+which may be twice the stated capacity or a third of it.
 """
 
 from __future__ import annotations
@@ -25,52 +25,54 @@
     from leadseam.wire.feed import LoadReport, LoadSums
 
 DECAY_TIME: Millis = 2_000
-"""Time after which 0.37 of a service still counts. It makes a steady rate count as two
-seconds of it; the mean age of what counts is that of the 4 s in which the platform
-takes shares."""
+"""Time constant of the exponential decay: after it 0.37 of a service still counts. A
+steady rate counts as two seconds of that rate. The mean age of the counted service
+equals that of the 4 s window in which the platform measures shares."""
 SHORT_SHARE_PART = 0.95
-"""An account is short if it got less than this part of what it is due."""
+"""An account is short if it received less than this fraction of its fair share."""
 EVEN_LEAD = 1.15
-"""How far an account may be ahead of one that is short before the other goes first:
-well below 2, where the platform calls it unfair."""
+"""Ratio by which an account may be ahead of a short one before that one goes first. It
+is well below 2, which the platform counts as unfair."""
 STOP_LEAD = 1.3
-"""How far an account may be ahead of one that is short at all. The platform compares
-spans of six seconds, and counts lag; so it is well below 2 too."""
+"""Ratio by which an account may be ahead of a short one before it gets no service at
+all. It is well below 2 as well, because the platform compares periods of six seconds
+and the counts lag."""
 SCARCITY_RATIO = 1.25
-"""How much more must be asked for than served for engines to be taken as full: more
-than what waits for up to its objective while there is room for all."""
+"""Ratio of requested to received service above which engines are considered full. It
+exceeds the ratio that requests waiting up to their objective cause while there is
+capacity for all."""
 MIN_ACTUAL_PART = 0.75
-"""Part of the stated capacity that engines have to give for shares to be taken of it.
-Down to here `MIN_SHARE_PART` of a stated share is at most 0.67 of what can be had, so the
-bounds on leads still keep accounts within a factor of two."""
+"""Fraction of the stated capacity that the engines must provide for shares to be based
+on it. At this fraction `MIN_SHARE_PART` of a stated share is at most 0.67 of the actual
+share, so the bounds on leads still keep accounts within a factor of two."""
 MIN_SHARE_PART = 0.5
-"""Part of the fair share that an account gets without regard to others: one that has
-just begun to ask has got nothing yet."""
+"""Fraction of the fair share that an account gets regardless of others. A short account
+that has just started has received nothing yet, and must not stop the others."""
 GENERATED_TOKEN_WEIGHT = 2
-"""Service of a generated token against one that is read: the platform's measure."""
+"""Service of a generated token relative to a read one, as the platform measures it."""
 
 
 class Standing(Enum):
-    """What a client account may claim now, by the service that it got of late."""
+    """What a client account may claim now, by the service that it recently received."""
 
     WITHIN = auto()
-    """Within its share of the capacity that the operators state."""
+    """Within its share of the stated capacity."""
     EVEN = auto()
-    """Beyond that, and not ahead of the others."""
+    """Beyond its stated share, and not ahead of the others."""
     AHEAD = auto()
-    """Beyond that, and ahead of what the others get."""
+    """Beyond its stated share, and ahead of the others."""
     STOPPED = auto()
-    """So far ahead of one that is short that it gets nothing."""
+    """So far ahead of a short account that it gets no service."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """Service of late up to which accounts have a standing; infinite for all.
+    """Upper bounds of recent service for each standing; infinite if there is no bound.
 
     Args:
-        stated: Share of the capacity that the operators state.
+        stated: Share of the capacity stated by the operators.
         even: Service beyond which an account is ahead of the others.
-        stop: Service beyond which an account gets nothing.
+        stop: Service beyond which an account gets no service.
     """
 
     stated: float = float("inf")
@@ -78,7 +80,7 @@
     stop: float = float("inf")
 
     def standing(self, level: int) -> Standing:
-        """Return what an account may claim that got so much."""
+        """Return the standing of an account with this much recent service."""
         if level <= self.stated:
             return Standing.WITHIN
         if level > self.stop:
@@ -88,11 +90,11 @@
 
 @dataclass(slots=True)
 class _DecayingSum:
-    """A sum of service that fades with time.
+    """A sum of service that decays exponentially with time.
 
-    It does not drop out of a window, where what an account got in one second counted in
-    full for four and then not at all: one far ahead was stopped for three seconds, and
-    all that were stopped together went on together.
+    With a sliding window, the service of one second counted in full for four seconds
+    and then not at all: an account far ahead was stopped for three seconds, and all
+    accounts that were stopped together resumed together.
     """
 
     value: float = 0.0
@@ -103,7 +105,7 @@
         self.at = now
 
     def value_at(self, now: Millis) -> float:
-        """Return what is left of it."""
+        """Return the decayed sum at a time."""
         if not self.value:
             return 0.0
         return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)
@@ -116,7 +118,7 @@
 
 
 class UsageTable:
-    """Service by account of late, fading with `DECAY_TIME`."""
+    """Recent service by account, decaying with `DECAY_TIME`."""
 
     def __init__(self) -> None:
         self._own: dict[str, _Account] = {}
@@ -128,24 +130,27 @@
         return f"UsageTable(accounts={len(self._own)}, {self.shares!r})"
 
     def record_requested(self, account: str, service: int, now: Millis) -> None:
-        """Count a request that arrived."""
+        """Count the service of a request that arrived."""
         self._account(account).requested.add(service, now)
 
     def record_served(self, account: str, service: int, now: Millis) -> None:
-        """Count a request that was sent to an upstream."""
+        """Count the service of a request that was sent to an upstream."""
         self._account(account).served.add(service, now)
 
     def recent_service(self, account: str, now: Millis) -> int:
-        """Return the service that an account got of late, as far as is known."""
+        """Return the service that an account recently received, as far as is known.
+
+        The part of the other entries counts only while the totals are current.
+        """
         others = self._others.get(account) if self._has_current_totals(now) else None
         own = round(self._account(account).served.value_at(now))
         return own + (others.served if others is not None else 0)
 
     def standing(self, account: str, now: Millis) -> Standing:
-        """Return what an account may claim.
+        """Return the standing of an account.
 
-        Where the totals are too old nobody is held back by them: engines still refuse
-        what they have no room for, and an account may long have got nothing.
+        Outdated totals hold back no account: by now it may have received nothing for a
+        long time, and engines still refuse what exceeds their capacity.
         """
         if not self._has_current_totals(now):
             return Standing.WITHIN
@@ -153,11 +158,11 @@
         return self.shares.standing(level)
 
     def sums_age(self, now: Millis) -> Millis:
-        """Return the age of the sums gone by, or -1 before the first."""
+        """Return the age of the sums in use, or -1 before the first."""
         return now - self._totals_at if self._totals_at is not None else -1
 
     def rows(self, now: Millis) -> tuple[UsageRow, ...]:
-        """Return the own rows for a report."""
+        """Return this entry's usage rows for its load report."""
         rows = []
         for name, account in list(self._own.items()):
             served = round(account.served.value_at(now))
@@ -176,12 +181,12 @@
         capacity: int,
         now: Millis,
     ) -> None:
-        """Take the sums of all entries and work out the fair share.
+        """Apply the sums of all entries and compute the fair shares.
 
         Args:
-            sums: The sums.
-            own: The own report that they contain, or None.
-            capacity: Service that all upstreams give in `DECAY_TIME`; 0 if unknown.
+            sums: The sums of all entries.
+            own: The own report that the sums contain, or None.
+            capacity: Stated service of all upstreams in `DECAY_TIME`; 0 if unknown.
             now: Current time.
         """
         self._totals_at = now
@@ -199,22 +204,23 @@
 
 
 def compute_shares(rows: Sequence[UsageRow], capacity: int) -> Shares:
-    """Return the shares for what accounts asked for and got.
+    """Compute the shares from the service that accounts requested and received.
 
     Args:
         rows: The sums of all entries.
-        capacity: Service that all upstreams give in `DECAY_TIME` as the operators
-            state it; 0 if they do not.
+        capacity: Service of all upstreams in `DECAY_TIME` as stated by the operators;
+            0 if none is stated.
     """
     demands = [max(row.asked, row.served) for row in rows]
     actual = actual_capacity(rows, capacity)
-    # Unequal to the level below where engines give more than is stated: an account
-    # within this share must not be refused for what others get beyond it.
+    # Differs from the level below where engines provide more than is stated: an account
+    # within its stated share must not be refused because others get more than theirs.
     stated = fair_level(demands, min(capacity or actual, actual))
     level = fair_level(demands, actual)
     stop = lead_level(rows, level, STOP_LEAD)
     if actual < capacity:
-        # The share is a guess there: what accounts got, and less is got once some stop.
+        # The actual capacity is then estimated from the received service, which drops
+        # once some accounts are stopped.
         stop = max(stop, STOP_LEAD * stated)
     return Shares(
         stated=stated, even=min(level, lead_level(rows, level, EVEN_LEAD)), stop=stop
@@ -222,17 +228,17 @@
 
 
 def actual_capacity(rows: Sequence[UsageRow], capacity: int) -> int:
-    """Return the service that upstreams give in `DECAY_TIME`, as far as is known.
+    """Return the service that upstreams provide in `DECAY_TIME`, as far as is known.
 
-    They may give more than is stated, or far less: engines are gone, their places are
-    taken by long answers, or shared parts of prompts are read again. Were shares taken
-    of what is stated then, every account would be within its share, and nothing would
-    order those that come through different entries. Less is believed only while much
-    of what is asked for is not served.
+    They may provide more than is stated, or far less: engines are gone, their slots are
+    taken by long answers, or shared parts of prompts are read again. If shares were
+    then based on the stated capacity, every account would be within its share, and
+    accounts that come through different entries would not be ordered. Less than the
+    stated capacity is assumed only while much of the requested service is not received.
 
     Args:
-        rows: What accounts asked for and got.
-        capacity: What the operators state; 0 if nothing.
+        rows: What accounts requested and received.
+        capacity: Capacity stated by the operators; 0 if none is stated.
     """
     served = sum(row.served for row in rows)
     if served >= capacity * MIN_ACTUAL_PART:
@@ -242,14 +248,16 @@
 
 
 def fair_level(demands: Iterable[int], capacity: int) -> float:
-    """Return the max-min level: no demand gets more, and together they fit.
+    """Return the max-min fair level.
+
+    If no demand gets more than the level, all of them fit in the capacity.
 
     Args:
-        demands: What each account asks for.
-        capacity: What there is.
+        demands: Service that each account requests.
+        capacity: Available service.
 
     Returns:
-        The level; infinite if everything fits.
+        The level; infinite if all demands fit without a limit.
     """
     ordered = sorted(demands)
     left = float(capacity)
@@ -262,18 +270,18 @@
 
 
 def lead_level(rows: Iterable[UsageRow], level: float, lead: float) -> float:
-    """Return the service beyond which accounts leave room to those that are short.
+    """Return the service beyond which accounts leave capacity to short ones.
 
-    An account may be short though engines have room for it, as when all its callers use
-    one busy entry; others would take that room in the meantime.
+    An account may be short although engines have capacity for it, for example when all
+    its callers use one busy entry; others would take that capacity in the meantime.
 
     Args:
-        rows: What each account asked for and got.
+        rows: What each account requested and received.
         level: The max-min level; infinite if there is enough for all.
-        lead: How far others may be ahead of an account that is short.
+        lead: Ratio by which others may be ahead of a short account.
 
     Returns:
-        The level; infinite if no account is short that asks for its whole share.
+        The level; infinite if no account that requests its whole share is short.
     """
     if level == float("inf"):
         return level
--- a/tests/routing/test_usage.py
+++ b/tests/routing/test_usage.py
@@ -1,4 +1,4 @@
-"""Service of late, and fair shares."""
+"""Recent service of accounts, and fair shares."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     totals = LoadSums((), (*own.usage, UsageRow("pay", 250, 300)))
     table.apply_sums(totals, own, capacity=1_000, now=0)
     assert table.recent_service("menus", 0) == 900
-    # The two shares are 700 of the stated 1,000, and 850 of the 1,200 given.
+    # The share is 700 of the stated 1,000, and 850 of the 1,200 actually provided.
     assert table.standing("menus", 0) is Standing.AHEAD
     assert table.standing("pay", 0) is Standing.WITHIN
     assert table.standing("menus", 20 * DECAY_TIME) is Standing.WITHIN
@@ -68,7 +68,7 @@
         135,
         18,
     ]
-    # A steady rate counts as so much of it as passes in the memory.
+    # A steady rate counts as what it amounts to in `DECAY_TIME`.
     for at in range(0, 20_000, 10):
         table.record_served("chat", 30, at)
     assert table.recent_service("chat", 20_000) == pytest.approx(
@@ -76,7 +76,7 @@
     )
 
 
-def test_who_is_far_ahead_gets_work_again_before_what_it_got_is_forgotten() -> None:
+def test_a_stopped_account_is_served_again_before_its_service_has_decayed() -> None:
     table = UsageTable()
     shares = Shares(stated=400, even=460, stop=520)
     for at in (0, 100, 200):
@@ -92,7 +92,7 @@
     }
 
 
-def test_who_is_beyond_the_stated_share_may_still_be_even_with_others() -> None:
+def test_an_account_beyond_its_stated_share_may_be_even_with_others() -> None:
     rows = (
         UsageRow("large", served=700, asked=3_000),
         UsageRow("other", served=720, asked=3_000),
@@ -100,13 +100,13 @@
     )
     table = UsageTable()
     table.apply_sums(LoadSums((), rows), None, capacity=1_000, now=0)
-    # Shares: 460 of the stated 1,000; 710 of the 1,500 that engines gave.
+    # The share is 460 of the stated 1,000, and 710 of the 1,500 actually provided.
     assert table.standing("large", 0) is Standing.EVEN
     assert table.standing("other", 0) is Standing.AHEAD
     assert table.standing("small", 0) is Standing.WITHIN
 
 
-def test_nothing_is_stated_where_operators_say_nothing() -> None:
+def test_shares_follow_received_service_without_a_stated_capacity() -> None:
     rows = (UsageRow("a", served=700, asked=900), UsageRow("b", served=100, asked=900))
     table = UsageTable()
     table.apply_sums(LoadSums((), rows), None, capacity=0, now=0)
@@ -114,7 +114,7 @@
     assert table.standing("b", 0) is Standing.WITHIN
 
 
-def test_accounts_leave_room_to_one_that_is_short() -> None:
+def test_accounts_leave_capacity_to_a_short_one() -> None:
     ahead = UsageRow("ahead", served=480, asked=1_000)
     behind = UsageRow("behind", served=300, asked=900)
     small = UsageRow("small", served=10, asked=20)
@@ -123,25 +123,25 @@
     assert lead_level((ahead, behind), float("inf"), 1.3) == float("inf")
 
 
-def test_an_account_that_has_just_begun_stops_nobody() -> None:
+def test_an_account_that_has_just_started_stops_no_other() -> None:
     ahead = UsageRow("ahead", served=450, asked=1_000)
-    newcomer = UsageRow("newcomer", served=0, asked=900)
+    newcomer = UsageRow("begun", served=0, asked=900)
     assert lead_level((ahead, newcomer), 500.0, 1.3) == 250.0
 
 
-def test_one_that_is_far_ahead_of_a_short_one_stops() -> None:
+def test_an_account_far_ahead_of_a_short_one_is_stopped() -> None:
     table = UsageTable()
     rows = (
         UsageRow("ahead", served=470, asked=1_000),
         UsageRow("behind", served=300, asked=900),
     )
     table.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
-    # The fair level is 450; 1.5 times what the short one got is 450 too.
+    # The fair level is 450; the stop level is 1.3 times the 300 of the short account.
     assert table.standing("ahead", 0) is Standing.STOPPED
     assert table.standing("behind", 0) is Standing.WITHIN
 
 
-def test_nobody_stops_within_the_stated_share() -> None:
+def test_no_account_is_stopped_within_its_stated_share() -> None:
     table = UsageTable()
     rows = (
         UsageRow("ahead", served=470, asked=1_000),
@@ -158,7 +158,7 @@
 )
 
 
-def test_less_than_is_stated_is_believed_while_much_is_not_served() -> None:
+def test_less_than_the_stated_capacity_is_assumed_while_much_is_not_served() -> None:
     assert actual_capacity(FLOOD, 550) == 550
     assert actual_capacity(FLOOD, 730) == 730
     assert actual_capacity(FLOOD, 734) == 550
@@ -168,13 +168,13 @@
     assert actual_capacity(served, 5_000) == 5_000
 
 
-def test_the_stated_share_cannot_be_counted_on_where_engines_give_half_of_it() -> None:
+def test_shares_shrink_where_engines_provide_half_of_the_stated_capacity() -> None:
     shares = compute_shares(FLOOD, 1_100)
-    # 530 are left to two that ask for more.
+    # 530 are left to the two accounts that request more than their share.
     assert shares.stated == 265
     assert shares.standing(470) is Standing.STOPPED
     assert shares.standing(60) is Standing.WITHIN
-    # A short account stops nobody before it is ahead of its own share by the lead.
+    # No account is stopped before it is ahead of its own share by the lead.
     assert shares.standing(300) is Standing.AHEAD
     assert shares.stop == pytest.approx(1.3 * 265)
 
