--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -148,7 +148,7 @@
     def least_loaded(
         self, rows: Sequence[Registration], now: Millis
     ) -> Placement | None:
-        """Return the upstream with the fewest requests per slot, or None if there is none.
+        """Return the upstream with the fewest requests per slot, or None.
 
         Of a large pool only a random sample is compared.
         """
@@ -241,7 +241,7 @@
     def _score_if_open(
         self, row: Registration, position: int, search: _Search, profile: EngineProfile
     ) -> _Scored | None:
-        """Return the score of an engine, or None if it lacks capacity for the request."""
+        """Score an engine, or return None if it lacks capacity for the request."""
         if not self._is_open(row, search.limit, search.now):
             return None
         filled = self.loads.total(row.incarnation, search.now).memory + search.memory
@@ -258,7 +258,7 @@
         return scored
 
     def _is_open(self, row: Registration, limit: float, now: Millis) -> bool:
-        """Return whether an engine has a free slot and its reading is within the limit."""
+        """Return whether an engine has a free slot and can answer within the limit."""
         total = self.loads.total(row.incarnation, now)
         if total.requests >= row.slots or not self._allows(row, now):
             return False
