--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -1,9 +1,10 @@
-"""Requests that wait for an engine, and which of them goes next. No I/O.
+"""Queues requests that wait for an engine and admits them in fair order. No I/O.
 
-A request goes to an engine only while that engine has room: a slot, memory, and so
-little to read that the first token is in time. Else it waits here, where accounts can
-still be told apart, and is refused early if no room is found. Of those that wait, the
-account with the least service of late goes first.
+A request is sent to an engine only while that engine has capacity: a free slot, free
+memory, and so little to read that the first token is in time. Otherwise it waits here,
+where requests can still be ordered by account, and is refused early if no capacity
+becomes free. Of the waiting requests, those of the account with the least recent
+service go first.
 """
 
 from __future__ import annotations
@@ -28,16 +29,16 @@
     from leadseam.wire.feed import Registration
 
 FIRST_TOKEN_PART = 0.85
-"""Part of the objective that the expected first token may take."""
+"""Fraction of the objective within which the first token must be expected."""
 MIN_WAIT_PART = 0.22
-"""Part of the objective that a request waits at least, also one whose prompt is too
-long for the objective: it may find an engine with nothing to read."""
+"""Fraction of the objective that any request may wait. It also applies to a prompt that
+is too long for the objective, which may find an engine with nothing to read."""
 MAX_READING_AHEAD: Millis = 100
-"""Reading that may be ahead of a request at an engine. The rest waits here, where those
-that are short go first and none stands behind a long prompt by chance."""
+"""Maximum reading ahead of a request at an engine. Further requests wait here, where
+short accounts go first and no request is queued behind a long prompt by chance."""
 MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0
-"""The same for an account beyond its share of the stated capacity: it gets an engine
-that has nothing else to read, while there is no room to spare."""
+"""The same bound for an account beyond its share of the stated capacity. Unless there
+is spare capacity, it only gets an engine that has nothing else to read."""
 
 
 @dataclass(slots=True)
@@ -46,18 +47,18 @@
 
     Args:
         req: The request.
-        account: Client account that pays, or an empty text.
-        scope: Where it may go.
-        profile: What is stated about the pool's engines.
-        objective: Milliseconds from `arrived` in which the first token is in time.
-        arrived: When it could first be placed.
-        tried: Incarnations not to be used.
-        wake: Called once it is placed or refused.
-        refuse_at: When it is refused if it still waits.
+        account: Client account of the request, or an empty string.
+        scope: Pool and regions that it may be sent to.
+        profile: Stated properties of the pool's engines.
+        objective: Milliseconds after `arrived` in which the first token is due.
+        arrived: Time when it could first be placed.
+        tried: Incarnations that must not be used.
+        wake: Called once when it is placed or refused.
+        refuse_at: Time when it is refused if it still waits.
         done: Whether it no longer waits.
-        rows: Engines that were candidates when `ranked` was worked out.
-        ranked: Those that may be used, in order of preference.
-        placement: Where it was placed, counted there already; None if refused.
+        rows: Candidate engines from which `ranked` was computed.
+        ranked: Engines that it may use, in order of preference.
+        placement: Its placement, already counted at the upstream; None if refused.
     """
 
     req: RoutedRequest
@@ -81,9 +82,9 @@
 
     Args:
         balancer: Loads and estimates.
-        candidates: Returns the upstreams of a scope that may be used.
-        standing: Returns what an account may claim.
-        recent_service: Returns the service that an account got of late.
+        candidates: Returns the usable upstreams of a scope.
+        standing: Returns the standing of an account.
+        recent_service: Returns the service that an account recently received.
     """
 
     balancer: Balancer
@@ -103,7 +104,11 @@
         return len(self._waiting)
 
     def enter(self, waiter: Waiter, now: Millis) -> None:
-        """Take a request; it is woken at once if there is room and no other's turn."""
+        """Add a request.
+
+        It is placed at once if there is capacity and no waiting account has less recent
+        service. It is refused at once if its account may not wait.
+        """
         waiter.refuse_at = waiter.arrived + self._longest_wait(waiter)
         is_next = self.recent_service(waiter.account, now) <= self._lowest_level(now)
         placement = self._place(waiter, now) if is_next else None
@@ -111,34 +116,36 @@
         if placement is not None:
             self._finish(waiter, placement)
         elif not self._may_wait(waiter, now):
-            # Others that wait have a better claim to any room until the wait is over.
+            # Other waiting requests take precedence for any capacity that becomes free
+            # before this one would be refused.
             self._finish(waiter, None)
 
     def _longest_wait(self, waiter: Waiter) -> Millis:
-        """Return how long a request may wait and still be in time, if it is alone."""
+        """Return how long a request may wait and still be in time on an idle engine."""
         idle_first_token = self.balancer.idle_first_token(waiter.scope.pool, waiter.req)
         in_time = waiter.objective * FIRST_TOKEN_PART - idle_first_token
         return round(max(in_time, waiter.objective * MIN_WAIT_PART))
 
     def _may_wait(self, waiter: Waiter, now: Millis) -> bool:
-        """Tell whether a request has a claim to room that becomes free."""
+        """Return whether a request may wait for capacity that becomes free."""
         if not waiter.account:
             return True
         standing = self.standing(waiter.account, now)
         return standing in (Standing.WITHIN, Standing.EVEN)
 
     def withdraw(self, waiter: Waiter) -> None:
-        """Forget a request whose caller is gone."""
+        """Remove a request whose caller has disconnected."""
         if not waiter.done:
             waiter.done = True
             self._waiting.remove(waiter)
 
     def pump(self, now: Millis) -> None:
-        """Send what has room, in order of service, and refuse what waited too long."""
+        """Place waiting requests, least recent service first, and refuse late ones."""
         if not self._waiting:
             return
         self._sort(now)
-        # Most looks find engines full: then one look at them serves all that wait.
+        # Most passes find the engines full. One check of the engines then serves all
+        # waiting requests with the same scope and objective.
         open_engines: dict[tuple[Scope, Millis], frozenset[Incarnation] | None] = {}
         for waiter in list(self._waiting):
             key = (waiter.scope, waiter.objective)
@@ -148,7 +155,7 @@
             if placement is not None:
                 self._finish(waiter, placement)
             elif now >= waiter.refuse_at or not self.candidates(waiter.scope):
-                # Without a candidate nothing can become free in time.
+                # Without a candidate no capacity can become free in time.
                 self._finish(waiter, None)
 
     def _sort(self, now: Millis) -> None:
@@ -161,7 +168,7 @@
     def _with_capacity(
         self, scope: Scope, objective: Millis, now: Millis
     ) -> frozenset[Incarnation] | None:
-        """Return the engines that may have room, or None if there are too many."""
+        """Return the engines that may have capacity, or None if the pool is large."""
         rows = self.candidates(scope)
         if len(rows) > MAX_CANDIDATES:
             return None
@@ -177,7 +184,7 @@
         waiter.done = True
         self._waiting.remove(waiter)
         if placement is not None:
-            # Counted here, so that the next request in line sees it.
+            # Counted at once, so that the next request in the queue sees the load.
             self.balancer.begin(placement)
         waiter.placement = placement
         waiter.wake()
@@ -209,7 +216,7 @@
         )
 
     def _ahead(self, waiter: Waiter, now: Millis) -> Millis | None:
-        """Return the reading that may be ahead of a request, or None for no room."""
+        """Return the maximum reading ahead of a request, or None to not place it."""
         if not waiter.account:
             return MAX_READING_AHEAD
         match self.standing(waiter.account, now):
@@ -228,7 +235,7 @@
         return self._spare.has_spare(waiter.scope, now)
 
     def _update_ranking(self, waiter: Waiter) -> None:
-        """Order the engines that a request may use anew, if they have changed."""
+        """Recompute the engine order of a request if the candidates have changed."""
         rows = self.candidates(waiter.scope)
         if rows is not waiter.rows and rows != waiter.rows:
             waiter.rows = rows
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Waiting for room, the order of accounts, and early refusals."""
+"""Waiting for capacity, the order of accounts, and early refusals."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class AdmissionHarness:
-    """An admission to one engine, with levels set by hand."""
+    """An admission queue for one engine, with given service and standings."""
 
     levels: dict[str, int] = field(default_factory=dict)
     standings: dict[str, Standing] = field(default_factory=dict)
@@ -44,12 +44,12 @@
         )
 
     def read(self, millis: int) -> None:
-        """Give the engine so much to read that it takes some milliseconds."""
+        """Give the engine enough unread tokens for this many milliseconds."""
         load = Load(requests=1, unread=round(millis * INITIAL_RATE))
         self.balancer.loads.begin(ENGINE.incarnation, load)
 
     def enter(self, account: str, now: int = 0, *, prompt: int = 100) -> Waiter:
-        """Let a request of an account come."""
+        """Enter a request of an account."""
         req = make_request("system", "own", request_id=account)
         req = replace(req, parts=(req.parts[0], PromptPart("own", prompt)))
         waiter = Waiter(
@@ -72,7 +72,7 @@
         self.admission.pump(now)
 
 
-def test_requests_go_at_once_while_there_is_room() -> None:
+def test_requests_are_placed_at_once_while_there_is_capacity() -> None:
     harness = AdmissionHarness()
     waiters = [harness.enter("a") for _ in range(5)]
     assert [waiter.done for waiter in waiters] == [True] * 4 + [False]
@@ -91,7 +91,7 @@
     assert harness.woken == ["pay", "menus"]
 
 
-def test_what_finds_no_room_is_refused_once_it_cannot_be_in_time() -> None:
+def test_a_waiting_request_is_refused_once_it_cannot_be_in_time() -> None:
     harness = AdmissionHarness()
     for _ in range(4):
         harness.enter("a")
@@ -107,7 +107,7 @@
     assert waiter.placement is None
 
 
-def test_a_prompt_too_long_for_the_objective_waits_for_a_slot_only_shortly() -> None:
+def test_a_prompt_too_long_for_the_objective_waits_only_briefly() -> None:
     harness = AdmissionHarness()
     for _ in range(4):
         harness.enter("a")
@@ -120,7 +120,8 @@
     harness = AdmissionHarness()
     harness.read(MAX_READING_AHEAD + 1)
     waiter = harness.enter("a")
-    # It could be in time behind 270 ms of reading; who is short might come meanwhile.
+    # It could be in time behind 270 ms of reading, but a short account might send a
+    # request in the meantime.
     assert not waiter.done
     harness.balancer.loads.read(ENGINE.incarnation, 100)
     harness.admission.pump(5)
@@ -142,7 +143,7 @@
         assert (waiter.placement is not None, not waiter.done) == (placed, waits)
 
 
-def test_an_account_ahead_of_others_leaves_time_for_them() -> None:
+def test_an_account_ahead_of_others_gets_no_engine_that_is_reading() -> None:
     harness = AdmissionHarness(standings={"menus": Standing.AHEAD})
     harness.read(20)
     over = harness.enter("menus")
@@ -156,7 +157,7 @@
     assert harness.enter("menus").placement is not None
 
 
-def test_a_caller_that_is_gone_waits_no_more() -> None:
+def test_the_request_of_a_disconnected_caller_is_removed() -> None:
     harness = AdmissionHarness()
     running = [harness.enter("a") for _ in range(4)]
     gone = harness.enter("b")
@@ -166,7 +167,7 @@
     assert harness.balancer.loads.own(ENGINE.incarnation).requests == 3
 
 
-def test_an_account_that_must_stop_gets_no_room() -> None:
+def test_a_stopped_account_gets_no_capacity() -> None:
     harness = AdmissionHarness(standings={"ahead": Standing.STOPPED})
     waiter = harness.enter("ahead")
     assert (waiter.done, waiter.placement) == (True, None)
