--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -169,7 +169,7 @@
             self._view.sweep(self._clock.now())
             if self._gateway is not None:
                 self._gateway.crash_guard.review()
-                self._gateway.request_log.show_dropped()
+                self._gateway.request_log.update_dropped_lines()
                 self._gateway.placer.sweep()
                 paused = self._gateway.placer.paused_count()
                 self._routing_metrics.paused_upstreams.set({}, paused)
@@ -203,7 +203,7 @@
     def _end_attempts(self, over: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
         over = tuple(over)
-        ended = self._gateway.restarts.over(over)
+        ended = self._gateway.restarts.end_attempts(over)
         for incarnation in over:
             self._gateway.crash_guard.ended(incarnation)
         if ended:
@@ -211,11 +211,11 @@
 
     def _take_crashes(self, message: Crashes) -> None:
         assert self._gateway is not None
-        self._gateway.crash_guard.take(message)
+        self._gateway.crash_guard.receive(message)
 
     def _greeting(self) -> Crashes | None:
         assert self._gateway is not None
-        return self._gateway.crash_guard.greeting()
+        return self._gateway.crash_guard.initial_report()
 
     def _configure(self, configuration: Configuration) -> None:
         assert self._gateway is not None
--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -18,7 +18,7 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import Registration
 
-NEXT_TRIAL: Millis = 500
+TRIAL_INTERVAL: Millis = 500
 """Time after which an upstream gets one more request although it has not answered the
 last one: its caller may have gone, or it may take long."""
 GROWTH = 2
@@ -44,7 +44,7 @@
     sent_at: Millis = 0
 
 
-class PauseBook:
+class PauseTable:
     """Pauses by incarnation: an address says nothing of who asked."""
 
     def __init__(self) -> None:
@@ -52,9 +52,9 @@
         self._last_until: Millis = 0
 
     def __repr__(self) -> str:
-        return f"PauseBook(rows={len(self._rows)})"
+        return f"PauseTable(rows={len(self._rows)})"
 
-    def asked(self, incarnation: Incarnation, until: Millis) -> None:
+    def pause(self, incarnation: Incarnation, until: Millis) -> None:
         """Note that an upstream wants nothing until a time; a shorter one is void."""
         row = self._rows.get(incarnation)
         if row is not None:
@@ -86,7 +86,7 @@
             return True
         if now < row.until:
             return False
-        return row.credit > 0 or now - row.sent_at >= NEXT_TRIAL
+        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL
 
     def sent(self, incarnation: Incarnation, now: Millis) -> None:
         """Note that a request is sent to an upstream."""
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -14,7 +14,7 @@
 from leadseam.routing.balance import Balancer, expected_service
 from leadseam.routing.cold_budget import ColdBudget
 from leadseam.routing.flight import Flight
-from leadseam.routing.pauses import PauseBook
+from leadseam.routing.pauses import PauseTable
 from leadseam.routing.plain_queue import (
     MAX_PER_SLOT,
     MAX_WAIT_PART,
@@ -31,7 +31,7 @@
     from leadseam.clock import Clock, Millis
     from leadseam.feed.client import FeedClient
     from leadseam.incarnation import Incarnation
-    from leadseam.routing.admitted import Admitted
+    from leadseam.routing.admitted import AdmittedRequest
     from leadseam.routing.dialect import RoutedRequest
     from leadseam.routing.health import UpstreamHealth
     from leadseam.routing.placement import Placement
@@ -95,7 +95,7 @@
         self._health = health
         self._clock = clock
         self._rng = rng
-        self._pauses = PauseBook()
+        self._pauses = PauseTable()
         self._cold = ColdBudget(
             entry,
             rate_of=self._cold_rate,
@@ -136,7 +136,7 @@
         return self._usage.standing(account, now)
 
     async def place(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Flight | Reason:
         """Find the upstream for an attempt.
 
@@ -188,7 +188,7 @@
         """Send nothing to an upstream for the time that it requested."""
         jitter = self._rng.randint(0, length // PAUSE_JITTER_DIVISOR)
         until = self._clock.now() + length + jitter
-        self._pauses.asked(row.incarnation, until)
+        self._pauses.pause(row.incarnation, until)
         self._usable.clear()
 
     def record_answer(self, row: Registration) -> None:
@@ -244,7 +244,7 @@
         self._pump_soon()
 
     def _place_at_once(
-        self, admitted: Admitted, tried: set[Incarnation], *, again: bool
+        self, admitted: AdmittedRequest, tried: set[Incarnation], *, again: bool
     ) -> Placement | EngineProfile | _PlainWait | None:
         """Place a request that does not have to wait.
 
@@ -280,7 +280,7 @@
         return placement if taken < MAX_PER_SLOT * row.slots else None
 
     async def _wait_for_plain(
-        self, admitted: Admitted, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
@@ -296,7 +296,7 @@
         return await self._until_done(self._plain.withdraw, waiter, woken)
 
     async def _wait_for_engine(
-        self, admitted: Admitted, profile: EngineProfile, tried: set[Incarnation]
+        self, admitted: AdmittedRequest, profile: EngineProfile, tried: set[Incarnation]
     ) -> Placement | None:
         woken = asyncio.Event()
         now = self._clock.now()
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -36,7 +36,7 @@
 EVACUATIONS = "tests/control/test_evacuations.py"
 EVACUATION = "tests/platform/test_evacuation.py"
 COLD = "tests/routing/test_cold_budget.py"
-WORDS = "tests/routing/test_words_of_upstreams.py"
+WORDS = "tests/routing/test_upstream_announcements.py"
 
 VARIANTS = (
     Variant(
@@ -318,7 +318,7 @@
     Variant(
         "timers are not looked at after a suspension",
         "routing/gateway.py",
-        "            exchange.look_at_deadline()\n",
+        "            exchange.reset_deadline_timer()\n",
         "            pass\n",
         "tests/platform/test_suspended_box.py"
         "::test_what_is_past_its_deadline_ends_before_what_has_time_left",
@@ -393,7 +393,7 @@
     Variant(
         "a pause is not kept",
         "routing/placer.py",
-        "        self._pauses.asked(row.incarnation, until)",
+        "        self._pauses.pause(row.incarnation, until)",
         "        pass",
         f"{WORDS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
     ),
@@ -422,7 +422,7 @@
     Variant(
         "the end of a pause is a step of load",
         "routing/pauses.py",
-        "        return row.credit > 0 or now - row.sent_at >= NEXT_TRIAL",
+        "        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL",
         "        return True",
         f"{WORDS}::test_the_end_of_a_rest_is_no_step_of_load",
     ),
