--- a/src/leadseam/routing/plain_queue.py
+++ b/src/leadseam/routing/plain_queue.py
@@ -1,10 +1,11 @@
-"""Requests that wait for a plain upstream, and which of them goes next. No I/O.
-
-A plain upstream works on some requests, queues a few more and turns the rest away, so
-whoever sends most, or comes first, fills its queue. Load that this answers: more is
-asked of a pool than it bears, most of it by some accounts, and others come now and
-then, to all entries at once. Entries leave part of the upstream's queue empty; what has
-no room waits here for a while, and the account that got least of late goes first.
+"""Queues requests that wait for a plain upstream and places them in fair order. No I/O.
+
+A plain upstream processes some requests, queues a few more and refuses the others, so
+the account that sends most, or first, fills its queue. This module handles the load
+where a pool gets more requests than it can serve, most of them from a few accounts,
+while other accounts send requests occasionally, to all entries at once. Entries leave
+part of the upstream's queue empty. A request without capacity waits here for a while,
+and the account with the fewest recent requests goes first.
 """
 
 from __future__ import annotations
@@ -24,13 +25,14 @@
     from leadseam.wire.feed import Registration
 
 MAX_PER_SLOT = 3.0
-"""Requests under way at an upstream for each of its slots, up to which it has room. The
-loads of other entries are some 100 ms old, and slots must not stand empty meanwhile."""
+"""Maximum requests in flight per slot of an upstream. It exceeds 1 because the loads of
+other entries are about 100 ms old, and slots must not stay empty in the meantime."""
 MAX_WAIT_PART = 0.25
-"""Part of the objective that a request waits at most: the upstream's queue and its work
-take the rest, and a caller that is refused so early may still come back in time."""
+"""Maximum fraction of the objective that a request waits. The upstream's queue and the
+processing take the remainder, and a caller that is refused this early may still retry
+in time."""
 DECAY_TIME: Millis = 2_000
-"""Time after which 0.37 of a request that was sent still counts."""
+"""Time constant of the decay: after it 0.37 of a sent request still counts."""
 
 
 @dataclass(slots=True)
@@ -38,14 +40,14 @@
     """A request that waits for a plain upstream.
 
     Args:
-        account: Client account that pays, or an empty text.
-        scope: Where it may go.
-        tried: Incarnations not to be used.
-        arrived: When it came.
-        refuse_at: When it is refused if it still waits.
-        wake: Called once it is placed or refused.
+        account: Client account of the request, or an empty string.
+        scope: Pool and regions that it may be sent to.
+        tried: Incarnations that must not be used.
+        arrived: Time when it arrived.
+        refuse_at: Time when it is refused if it still waits.
+        wake: Called once when it is placed or refused.
         done: Whether it no longer waits.
-        placement: Where it was placed, counted there already; None if refused.
+        placement: Its placement, already counted at the upstream; None if refused.
     """
 
     account: str
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class _DecayingCount:
-    """Requests of an account that were sent of late; they fade."""
+    """Number of requests of an account that were sent, decaying exponentially."""
 
     count: float = 0.0
     at: Millis = 0
@@ -74,8 +76,8 @@
     """The requests for plain pools that wait at one entry.
 
     Args:
-        candidates: Returns the upstreams of a scope that may be used.
-        pick: Returns an upstream of a scope with room that was not tried, or None.
+        candidates: Returns the usable upstreams of a scope.
+        pick: Returns an untried upstream of a scope that has capacity, or None.
         begin: Counts a request at its upstream.
     """
 
@@ -89,19 +91,23 @@
         return len(self._waiting)
 
     def enter(self, waiter: PlainWaiter, now: Millis) -> None:
-        """Take a request; it is placed at once if there is room and no other's turn."""
+        """Add a request.
+
+        It is placed at once if there is capacity and no waiting account has fewer
+        recent requests.
+        """
         self._waiting.append(waiter)
         if self._is_next(waiter, now):
             self._try_place(waiter, now)
 
     def withdraw(self, waiter: PlainWaiter) -> None:
-        """Forget a request whose caller is gone."""
+        """Remove a request whose caller has disconnected."""
         if not waiter.done:
             waiter.done = True
             self._waiting.remove(waiter)
 
     def pump(self, now: Millis) -> None:
-        """Send what has room, who got least first, and refuse what waited too long."""
+        """Place waiting requests, fewest recent ones first, and refuse late ones."""
         full: set[Scope] = set()
         for waiter in sorted(self._waiting, key=lambda one: self._order(one, now)):
             if waiter.scope not in full and not self._try_place(waiter, now):
@@ -109,7 +115,7 @@
             if waiter.done:
                 continue
             if now >= waiter.refuse_at or not self.candidates(waiter.scope):
-                # Without a candidate nothing can become free in time.
+                # Without a candidate no capacity can become free in time.
                 self._finish(waiter, None)
 
     def _is_next(self, waiter: PlainWaiter, now: Millis) -> bool:
--- a/tests/routing/test_plain_queue.py
+++ b/tests/routing/test_plain_queue.py
@@ -1,4 +1,4 @@
-"""Requests for plain pools that wait at an entry for room."""
+"""Requests for plain pools that wait at an entry for capacity."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Pool:
-    """A pool with some room, and the order in which it was given."""
+    """A pool with some capacity, and the accounts in the order of their placement."""
 
     def __init__(self, capacity: int = 0) -> None:
         self.capacity = capacity
@@ -32,7 +32,7 @@
     def arrive(
         self, account: str, now: int, *, wait: int = 50, scope: Scope = SCOPE
     ) -> PlainWaiter:
-        """Let a request come in."""
+        """Enter a request."""
         waiter = PlainWaiter(
             account=account,
             scope=scope,
@@ -45,14 +45,14 @@
         return waiter
 
 
-def test_what_finds_room_is_sent_at_once() -> None:
+def test_a_request_is_placed_at_once_while_there_is_capacity() -> None:
     pool = Pool(capacity=1)
     assert pool.arrive("a", 0).placement == PLACEMENT
     assert not pool.arrive("a", 0).done
     assert len(pool.queue) == 1
 
 
-def test_who_got_least_of_late_goes_first() -> None:
+def test_the_account_with_the_fewest_recent_requests_goes_first() -> None:
     pool = Pool(capacity=3)
     for _ in range(3):
         pool.arrive("flood", 0)
@@ -67,7 +67,7 @@
     assert pool.order == ["small", "flood"]
 
 
-def test_a_newcomer_does_not_overtake_one_that_got_less() -> None:
+def test_a_new_request_does_not_overtake_an_account_that_got_less() -> None:
     pool = Pool(capacity=1)
     pool.arrive("flood", 0)
     pool.order.clear()
@@ -79,7 +79,7 @@
     assert pool.order == ["small"]
 
 
-def test_what_got_long_ago_fades() -> None:
+def test_old_requests_decay() -> None:
     pool = Pool(capacity=2)
     pool.arrive("early", 0)
     pool.arrive("early", 0)
@@ -93,7 +93,7 @@
     assert pool.order == ["early"]
 
 
-def test_it_is_refused_after_its_wait_and_not_before() -> None:
+def test_a_request_is_refused_after_its_wait_and_not_before() -> None:
     pool = Pool()
     waiter = pool.arrive("a", 0)
     pool.queue.pump(49)
@@ -104,7 +104,7 @@
     assert len(pool.queue) == 0
 
 
-def test_it_is_refused_at_once_when_no_upstream_is_left() -> None:
+def test_a_request_is_refused_at_once_when_no_upstream_is_left() -> None:
     pool = Pool()
     waiter = pool.arrive("a", 0)
     pool.upstreams = []
@@ -113,14 +113,14 @@
     assert waiter.placement is None
 
 
-def test_a_full_pool_keeps_nobody_else_waiting() -> None:
+def test_a_waiting_request_does_not_block_other_pools() -> None:
     pool = Pool(capacity=1)
     other = pool.arrive("a", 0, scope=Scope("other"))
     assert pool.arrive("a", 1).placement == PLACEMENT
     assert not other.done
 
 
-def test_a_caller_that_leaves_is_forgotten() -> None:
+def test_the_request_of_a_disconnected_caller_is_removed() -> None:
     pool = Pool()
     waiter = pool.arrive("a", 0)
     pool.queue.withdraw(waiter)
