--- a/src/leadseam/routing/engine_order.py
+++ b/src/leadseam/routing/engine_order.py
@@ -1,9 +1,9 @@
 """The order in which all entries prefer the engines of a pool for a prompt. No I/O.
 
-Rendezvous hashing over the last part that a prompt shares with others: entries agree
-without a word, and an engine that comes or goes moves few prompts. Of a large pool a
-request looks at the first engines of its order and at a few others, so that its cost
-does not grow with the pool.
+The order comes from rendezvous hashing over the last part that a prompt shares with
+others: entries agree without communicating, and an engine that joins or leaves moves
+few prompts. In a large pool a request only considers the first engines of its order and
+a few others, so that the cost of placing it does not grow with the pool.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
     from leadseam.wire.feed import Registration
 
 MAX_CACHED_ORDERS = 4_096
-"""Orders kept for a pool: some 2 MB."""
+"""Maximum cached orders of a pool, about 2 MB."""
 RANKED_CANDIDATES = 64
-"""Engines that a request looks at in the order of its prompt, in a large pool."""
+"""Engines of a large pool that a request considers in the order of its prompt."""
 SAMPLED_CANDIDATES = 32
-"""Further engines of a large pool that it looks at, drawn for each request."""
+"""Further engines of a large pool that a request considers, sampled by its id."""
 MAX_CANDIDATES = RANKED_CANDIDATES + SAMPLED_CANDIDATES
-"""Engines of a pool up to which all are looked at."""
+"""Size of a pool up to which all its engines are considered."""
 
 
 class EngineOrders:
-    """Keeps orders while the engines of a pool stay the same."""
+    """Caches orders while the engines of a pool stay the same."""
 
     def __init__(self) -> None:
         self._rows: dict[Scope, Sequence[Registration]] = {}
@@ -44,11 +44,11 @@
     def order_for(
         self, scope: Scope, rows: Sequence[Registration], req: RoutedRequest
     ) -> Sequence[Registration]:
-        """Return the engines that a request looks at, the preferred one first.
+        """Return the engines that a request considers, the preferred one first.
 
         Args:
-            scope: Where the request may go.
-            rows: Its engines that may be used.
+            scope: Pool and regions that the request may be sent to.
+            rows: Usable engines of the scope.
             req: The request.
         """
         affinity = affinity_key(req)
@@ -81,7 +81,8 @@
 ) -> Sequence[Registration]:
     """Return engines in the order in which all entries prefer them for a prompt.
 
-    Of more than `MAX_CANDIDATES` only the first ones are returned.
+    If there are more than `MAX_CANDIDATES`, only the first `RANKED_CANDIDATES` are
+    returned.
     """
     affinity = affinity_key(req)
     if affinity is None:
@@ -90,7 +91,7 @@
 
 
 def _by_weight(rows: Sequence[Registration], affinity: str) -> Sequence[Registration]:
-    """Return engines by rendezvous weight, only the first ones of many."""
+    """Return engines by descending weight; of a large pool only the first ones."""
 
     def weight(row: Registration) -> int:
         return rendezvous_weight(affinity, row)
@@ -103,7 +104,7 @@
 def _sample(
     rows: Sequence[Registration], req: RoutedRequest, count: int
 ) -> Sequence[Registration]:
-    """Return some engines that differ from request to request, all if they are few."""
+    """Return engines sampled by the request's id, or all if there are few."""
     if len(rows) <= count:
         return rows
     start = xxhash.xxh3_64_intdigest(req.request_id.encode()) % len(rows)
@@ -112,9 +113,10 @@
 
 
 def affinity_key(req: RoutedRequest) -> str | None:
-    """Return the identity of the last part that other requests share, or None.
+    """Return the identity of the last part shared with other requests, or None.
 
-    The very last part of a prompt is the request's own.
+    The last part of a prompt is the request's own, so this is the part before it. Of a
+    prompt with one part it is that part.
     """
     if not req.parts:
         return None
@@ -122,5 +124,5 @@
 
 
 def rendezvous_weight(affinity: str, row: Registration) -> int:
-    """Return the rendezvous weight of an upstream for a key."""
+    """Return the rendezvous hashing weight of an upstream for an affinity key."""
     return xxhash.xxh3_64_intdigest(f"{affinity}/{row.ip}:{row.port}".encode())
