--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -1,8 +1,8 @@
-"""How long an engine will take to its first token, learned from its answers. No I/O.
+"""Estimates of the time to an engine's first token, from measured answers. No I/O.
 
 Engines of one pool differ: one may be five times slower than the others for a while,
-and by the mean of the pool it would look like them. So each engine has an estimate of
-its own, and one that has not answered yet is taken to be like the pool.
+which an average over the pool would hide. So each engine has its own estimate. An
+engine that has not answered yet is assumed to match the estimate of its pool.
 """
 
 from __future__ import annotations
@@ -15,18 +15,19 @@
     from leadseam.wire.feed import Registration
 
 INITIAL_RATE = 50.0
-"""Prompt tokens a millisecond that are assumed before anything was measured."""
+"""Prompt tokens per millisecond assumed before the first measurement."""
 INITIAL_BASE = 45.0
-"""Milliseconds to a first token with nothing to read, assumed before a measurement."""
+"""Milliseconds to a first token with nothing to read, before the first measurement."""
 MIN_UNREAD_FOR_RATE = 2_000
-"""Tokens ahead below which an answer tells the base rather than the rate."""
+"""Unread tokens below which a measurement updates the base instead of the rate."""
 MEASUREMENT_WEIGHT = 0.05
-"""Weight of a new measurement; some twenty answers change the estimate."""
+"""Weight of a new measurement in the moving average; about twenty answers change the
+estimate."""
 MIN_RATE = 5.0
 MAX_RATE = 500.0
-"""Bounds on the rate, so that a few odd answers cannot close or flood an engine."""
+"""Bounds on the rate, so that a few outliers cannot starve or flood an engine."""
 MAX_ENGINES = 10_000
-"""Estimates kept: some 1 MB. Each start of an engine adds one."""
+"""Maximum kept estimates, about 1 MB. Each start of an engine adds one."""
 
 
 @dataclass(slots=True)
@@ -34,7 +35,7 @@
     """Rate and base of one engine, or of all engines of a pool.
 
     Args:
-        rate: Prompt tokens read in a millisecond.
+        rate: Prompt tokens read per millisecond.
         base: Milliseconds to a first token with nothing to read.
     """
 
@@ -42,30 +43,30 @@
     base: float = INITIAL_BASE
 
     def millis(self, unread: int) -> float:
-        """Return the expected time to the first token behind so many prompt tokens."""
+        """Return the expected milliseconds to the first token after unread tokens."""
         return self.base + unread / self.rate
 
     def add_measurement(self, unread: int, millis: int) -> None:
-        """Learn from an answer.
+        """Update the estimate from an answer.
 
         Args:
-            unread: Prompt tokens that were to be read when it was sent, its own
-                included.
-            millis: Time to its first token.
+            unread: Prompt tokens that the engine had to read when the request was sent,
+                including those of the request.
+            millis: Milliseconds to the first token.
         """
         if unread < MIN_UNREAD_FOR_RATE:
             self.base += MEASUREMENT_WEIGHT * (millis - self.base)
             return
         reading = max(millis - self.base, 1.0)
         rate = min(max(unread / reading, MIN_RATE), MAX_RATE)
-        # The mean of the inverse, for waiting times add up and rates do not.
+        # Averages the inverse rate, because reading times add up and rates do not.
         self.rate = 1 / (
             1 / self.rate + MEASUREMENT_WEIGHT * (1 / rate - 1 / self.rate)
         )
 
 
 class EstimateTable:
-    """What was learned of each engine and of each pool."""
+    """The estimates of each engine and of each pool."""
 
     def __init__(self) -> None:
         self._engines: dict[Incarnation, FirstTokenEstimate] = {}
@@ -75,11 +76,11 @@
         return f"EstimateTable(engines={len(self._engines)}, pools={self._pools!r})"
 
     def engine(self, row: Registration) -> FirstTokenEstimate:
-        """Return the estimate of an engine, or its pool's before its first answer."""
+        """Return the estimate of an engine, or of its pool before its first answer."""
         return self._engines.get(row.incarnation) or self.pool(row.pool)
 
     def pool(self, pool: str) -> FirstTokenEstimate:
-        """Return the estimate of all engines of a pool together."""
+        """Return the estimate over all engines of a pool."""
         return self._pools.setdefault(pool, FirstTokenEstimate())
 
     def add_measurement(self, row: Registration, unread: int, millis: int) -> None:
