--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -1,8 +1,8 @@
-"""What is in flight at each upstream: own counts, and those of the other entries.
+"""Load in flight at each upstream: own counts and those of other entries. No I/O.
 
 Each entry reports its own counts several times a second; a control replica adds them up
-and sends the totals back. An entry takes its own last report off the totals and adds
-what it has in flight now, so only the others' part is old. No I/O.
+and sends the totals back. An entry subtracts its own report that the totals contain and
+adds what it has in flight now, so only the part of the other entries is delayed.
 """
 
 from __future__ import annotations
@@ -21,9 +21,10 @@
     from leadseam.wire.feed import LoadSums
 
 MAX_TOTALS_AGE: Millis = 1_000
-"""Age beyond which totals are ignored: five of their longest intervals."""
+"""Age above which totals are ignored: five times their longest interval."""
 MAX_KEPT_REPORTS = 64
-"""Own reports kept to be taken off the totals that contain them: 3 s of them."""
+"""Own reports kept so that they can be subtracted from totals that contain them; they
+cover 3 s."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +32,9 @@
     """Work in flight at one upstream.
 
     Args:
-        requests: Requests sent and not ended.
-        unread: Prompt tokens of those without a first byte of an answer.
-        memory: Tokens that the requests are expected to hold.
+        requests: Requests that were sent and have not ended.
+        unread: Prompt tokens of the requests whose answer has not begun.
+        memory: Tokens of engine memory that the requests are expected to occupy.
     """
 
     requests: int = 0
@@ -41,7 +42,7 @@
     memory: int = 0
 
     def plus(self, other: Load) -> Load:
-        """Return the sum."""
+        """Return the sum of both loads."""
         return Load(
             self.requests + other.requests,
             self.unread + other.unread,
@@ -49,7 +50,7 @@
         )
 
     def minus(self, other: Load) -> Load:
-        """Return the difference, not below zero."""
+        """Return the difference, with each count at least zero."""
         return Load(
             max(self.requests - other.requests, 0),
             max(self.unread - other.unread, 0),
@@ -61,7 +62,7 @@
 
 
 class LoadTable:
-    """Loads by upstream, as this entry knows them."""
+    """Loads by upstream, as known to this entry."""
 
     def __init__(self) -> None:
         self._own: dict[Incarnation, Load] = {}
@@ -81,11 +82,11 @@
         self._own[incarnation] = self._own.get(incarnation, NO_LOAD).plus(load)
 
     def read(self, incarnation: Incarnation, unread: int) -> None:
-        """Note that an upstream has read a prompt."""
+        """Subtract the unread tokens of a prompt that an upstream has read."""
         self.end(incarnation, Load(unread=unread))
 
     def end(self, incarnation: Incarnation, load: Load) -> None:
-        """Take off a request that has ended."""
+        """Subtract the load of a request that has ended."""
         self._cached_totals.pop(incarnation, None)
         left = self._own.get(incarnation, NO_LOAD).minus(load)
         if left == NO_LOAD:
@@ -94,11 +95,14 @@
             self._own[incarnation] = left
 
     def own(self, incarnation: Incarnation) -> Load:
-        """Return what this entry has in flight at an upstream."""
+        """Return the load that this entry has in flight at an upstream."""
         return self._own.get(incarnation, NO_LOAD)
 
     def total(self, incarnation: Incarnation, now: Millis) -> Load:
-        """Return what all entries have in flight there, as far as is known."""
+        """Return the load of all entries at an upstream, as far as is known.
+
+        The part of the other entries counts only while the totals are current.
+        """
         stale = now - self._others_at > MAX_TOTALS_AGE
         if stale is not self._stale:
             self._stale = stale
@@ -109,7 +113,7 @@
         return cached
 
     def report(self, usage: Iterable[UsageRow]) -> LoadReport:
-        """Return a report of the own counts."""
+        """Return a report of the own counts, and keep it for later totals."""
         self._sequence += 1
         rows = tuple(
             LoadRow(incarnation.digest(), load.requests, load.unread, load.memory)
@@ -122,15 +126,15 @@
     def apply_sums(
         self, included: int, sums: LoadSums, now: Millis
     ) -> LoadReport | None:
-        """Take the sums of all entries.
+        """Apply the sums of all entries.
 
         Args:
-            included: Number of the own report in them.
-            sums: The sums.
+            included: Sequence number of the own report that the sums contain.
+            sums: The sums of all entries.
             now: Current time.
 
         Returns:
-            The own report that they contain, or None if it is not kept any more.
+            The own report that the sums contain, or None if it is no longer kept.
         """
         own = self._find_report(included)
         own_rows = {row.upstream: _load(row) for row in own.rows} if own else {}
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -1,4 +1,4 @@
-"""Counts in flight: own, and those of the other entries."""
+"""Load in flight: own counts and those of other entries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def exchange(tables: list[LoadTable], now: int = 0) -> None:
-    """Have every table report, and take the totals."""
+    """Sum the reports of all tables and apply the totals to each."""
     summer = LoadSummer()
     for number, table in enumerate(tables):
         summer.take(number, table.report(()), now)
@@ -34,7 +34,7 @@
         assert table.total(ENGINE, 0) == Load(requests=6, unread=60, memory=300)
 
 
-def test_the_own_part_is_always_what_it_is_now() -> None:
+def test_the_own_part_of_a_total_is_always_current() -> None:
     tables = [LoadTable(), LoadTable()]
     tables[0].begin(ENGINE, Load(requests=2, unread=50))
     tables[1].begin(ENGINE, Load(requests=1, unread=5))
@@ -46,7 +46,7 @@
     assert tables[0].own(ENGINE) == Load()
 
 
-def test_old_totals_do_not_count() -> None:
+def test_outdated_totals_are_ignored() -> None:
     tables = [LoadTable(), LoadTable()]
     tables[1].begin(ENGINE, Load(requests=1))
     exchange(tables)
@@ -54,7 +54,7 @@
     assert tables[0].total(ENGINE, MAX_TOTALS_AGE + 1).requests == 0
 
 
-def test_totals_of_a_report_that_was_forgotten_count_the_own_part_twice() -> None:
+def test_totals_with_an_evicted_report_count_the_own_part_twice() -> None:
     table = LoadTable()
     table.begin(ENGINE, Load(requests=1))
     summer = LoadSummer()
