--- a/src/leadseam/routing/spare_capacity.py
+++ b/src/leadseam/routing/spare_capacity.py
@@ -1,10 +1,10 @@
-"""Whether the engines of a pool have room to spare. No I/O.
+"""Whether the engines of a pool have spare capacity. No I/O.
 
-Accounts ahead of others leave room to those that are short. An account may be short for
-another reason than engines, as when all its callers use one busy entry; while engines
-stand idle nobody gains if others are held back. Those that are far ahead of one that is
-short stay stopped. The load that this answers: floods that come through few entries,
-before engines with many slots.
+Accounts ahead of others leave capacity to short ones. An account may be short for a
+reason other than the engines, for example when all its callers use one busy entry.
+While engines are idle, holding back the others helps no account. Accounts far ahead of
+a short one stay stopped. This module handles floods that come through few entries to
+engines with many slots.
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
     from leadseam.wire.feed import Registration
 
 MAX_USED_PART = 0.5
-"""Part of the slots, and of the engines with something to read, below which there is
-room to spare: what accounts beyond their share take then leaves as much to others."""
+"""Fraction of used slots, and of engines with something to read, below which there is
+spare capacity. What accounts beyond their share take then leaves at least as much to
+others."""
 CACHE_TIME: Millis = 50
-"""Time for which an answer on a large pool is kept: the shortest interval of shared
-loads."""
+"""Time for which the answer for a large pool is cached: the shortest interval between
+two load totals."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +38,11 @@
 
 
 class SpareCapacity:
-    """Looks at the loads of all engines of a scope, now and then.
+    """Checks the loads of all engines of a scope; answers for large pools are cached.
 
     Args:
-        candidates: Returns the engines of a scope that may be used.
-        total: Returns what all entries have in flight at an engine.
+        candidates: Returns the usable engines of a scope.
+        total: Returns the load that all entries have in flight at an engine.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         return f"SpareCapacity({self._cached!r})"
 
     def has_spare(self, scope: Scope, now: Millis) -> bool:
-        """Tell whether the engines of a scope have room to spare."""
+        """Return whether the engines of a scope have spare capacity."""
         rows = self._candidates(scope)
         if len(rows) <= MAX_CANDIDATES:
             return self._check(rows, now)
@@ -71,7 +72,7 @@
 
 
 def has_spare_capacity(engines: Iterable[tuple[int, Load]]) -> bool:
-    """Tell whether engines have room to spare, by their slots and loads."""
+    """Return whether engines have spare capacity, given their slots and loads."""
     total_slots = taken = count = engines_reading = 0
     for slots, load in engines:
         total_slots += slots
--- a/tests/routing/test_spare_capacity.py
+++ b/tests/routing/test_spare_capacity.py
@@ -1,8 +1,9 @@
-"""AdmissionHarness to spare: who gets it, and that nobody who is short loses by it.
+"""Spare capacity: which accounts may use it, and that no short account loses by it.
 
-On a day of floods nine in ten refusals were of accounts beyond their share while 20
-engines of 64 places read a fifth of what they can: an account whose callers use one
-busy entry was short, and all others were held back for it.
+Guards against refusals while engines are idle. During floods nine in ten refusals were
+of accounts beyond their share while 20 engines with 64 slots each read a fifth of what
+they could: an account whose callers used one busy entry was short, and all others were
+held back because of it.
 """
 
 from __future__ import annotations
@@ -39,13 +40,13 @@
         ([], False),
     ],
 )
-def test_room_is_spare_below_half_of_places_and_of_reading(
+def test_capacity_is_spare_below_half_of_slots_and_of_reading_engines(
     engines: list[tuple[int, Load]], spare: bool
 ) -> None:
     assert has_spare_capacity(engines) is spare
 
 
-def test_a_large_pool_is_looked_at_now_and_then() -> None:
+def test_the_answer_for_a_large_pool_is_cached() -> None:
     checks: list[int] = []
 
     def total(_: object, now: int) -> Load:
@@ -61,7 +62,7 @@
     assert len(checks) == 3 * len(rows)
 
 
-def test_a_small_pool_is_looked_at_each_time() -> None:
+def test_a_small_pool_is_checked_each_time() -> None:
     load = Load()
     capacity = SpareCapacity(lambda _: [make_upstream(1)], lambda _row, _now: load)
     assert capacity.has_spare(Scope("p"), 0)
@@ -69,8 +70,8 @@
     assert not capacity.has_spare(Scope("p"), 0)
 
 
-def test_who_is_ahead_may_stand_behind_reading_while_others_are_idle() -> None:
-    # Three engines, one of which reads what this prompt's parts are held by.
+def test_an_account_ahead_may_wait_behind_reading_while_engines_are_idle() -> None:
+    # Of three engines, the one that holds the parts of this prompt has reading ahead.
     harness = AdmissionHarness(standings={"a": Standing.AHEAD, "s": Standing.STOPPED})
     rows = [make_upstream(number) for number in (1, 2, 3)]
     harness.admission.candidates = lambda _: rows
