--- a/src/leadseam/routing/cold_budget.py
+++ b/src/leadseam/routing/cold_budget.py
@@ -1,10 +1,10 @@
-"""How much work cold upstreams get, over all entries together. No I/O.
+"""Limits the requests that all entries together send to a cold upstream. No I/O.
 
-An upstream is cold for some seconds after a start, or whenever it says so, and fails
-under more requests a second than it bears then. Entries do not ask each other: each
-keeps to a part of the rate that adds up to it whatever the others do. Where there are
-more entries than requests a second, a few of them are drawn for each upstream by a hash
-of both, and the others send it nothing until it is warm.
+An upstream is cold for some seconds after a start, or whenever it reports so, and then
+fails above a certain rate of requests. Entries do not coordinate: each keeps to its
+part of the rate, and the parts add up to the rate whatever the others do. If there are
+more entries than requests per second, a few entries are selected for each upstream by a
+hash of both, and the others send it nothing until it is warm.
 """
 
 from __future__ import annotations
@@ -22,25 +22,27 @@
     from leadseam.wire.feed import Registration
 
 WINDOW: Millis = 1_250
-"""Span in which an entry keeps to its part. The rate is counted over 1,000 ms where
-requests arrive; the rest is for those that are held up on their way."""
+"""Window in which an entry keeps to its part. The upstream counts its rate over 1,000
+ms; the remaining 250 ms allow for requests that are delayed on their way."""
 MAX_ENTRIES_PER_RATE = 1.25
-"""Entries for each request a second of the rate, beyond which not all may send one."""
+"""Ratio of entries to the rate in requests per second above which only selected entries
+may send."""
 SELECTED_PART = 0.6
-"""Mean number of drawn entries, as a part of the rate. The number is binomial: with a
-rate of 21 more than 36 of 347 entries are drawn less than once in a million times."""
+"""Mean number of selected entries, as a fraction of the rate. The number is binomial:
+at a rate of 21, more than 36 of 347 entries are selected with a probability below one
+in a million."""
 HASH_RANGE = 2**64
 
 
 class ColdBudget:
-    """This entry's part of what cold upstreams bear.
+    """This entry's part of the rate of requests that cold upstreams can serve.
 
     Args:
         entry: Name of this entry.
-        rate_of: Returns the requests a second that a cold upstream of a pool bears, 0
-            if that is not stated.
-        cold_until: Returns until when an upstream is taken to be cold.
-        entries: Returns the number of entries, 0 if it is not known.
+        rate_of: Returns the requests per second that a cold upstream of a pool can
+            serve, or 0 if no rate is stated.
+        cold_until: Returns the time until which an upstream is considered cold.
+        entries: Returns the number of entries, or 0 if it is unknown.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         return f"ColdBudget(cold={len(self._sent)})"
 
     def allows(self, row: Registration, now: Millis) -> bool:
-        """Tell whether an upstream may get one more request from this entry now."""
+        """Return whether an upstream may get one more request from this entry now."""
         if now >= self._cold_until(row):
             return True
         rate = self._rate_of(row.pool)
@@ -74,7 +76,7 @@
         return sent is None or _count_since(sent, now - WINDOW) < allowance
 
     def begin(self, row: Registration, now: Millis) -> None:
-        """Count a request that is sent to an upstream, cold or not."""
+        """Count a request that is sent to an upstream, whether cold or not."""
         if now >= self._cold_until(row):
             self._sent.pop(row.incarnation, None)
             return
@@ -84,7 +86,7 @@
         sent.append(now)
 
     def _allowance(self, row: Registration, rate: float, now: Millis) -> int:
-        """Return the requests that this entry may send in one window."""
+        """Return the number of requests that this entry may send in one window."""
         entries = self._entries(now)
         if not entries:
             return 0
--- a/tests/routing/test_cold_budget.py
+++ b/tests/routing/test_cold_budget.py
@@ -1,7 +1,7 @@
-"""What cold upstreams get from all entries together, by exact counts in virtual time.
+"""Requests that cold upstreams get from all entries together, counted in virtual time.
 
-On a day with upstreams that came back cold one got 38 requests in a second, of 36.5
-that it may get: 22 entries sent as if it were warm.
+Guards against entries that treat a restarted upstream as warm: 22 entries did so, and a
+cold upstream got 38 requests in one second, of 36.5 allowed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass
 class Fleet:
-    """Entries that send to one upstream whenever they may."""
+    """Entries that send to one upstream whenever their budget allows it."""
 
     entries: int
     known_entries: int | None = None
@@ -45,7 +45,7 @@
         ]
 
     def send_all(self, span: int, rng: random.Random, *, delay: int = 0) -> None:
-        """Let each entry try again every few milliseconds."""
+        """Let each entry try to send every few milliseconds."""
         for budget in self.budgets:
             now = rng.randrange(20)
             while now < span:
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("entries", [1, 3, 5, 22, 26, 27, 68, 347, 1_000])
-def test_no_second_holds_more_than_a_cold_upstream_bears(entries: int) -> None:
+def test_no_second_exceeds_the_rate_of_a_cold_upstream(entries: int) -> None:
     fleet = Fleet(entries)
     fleet.send_all(6_000, random.Random(entries), delay=200)
     assert 0 < fleet.max_per_second() <= MAX_PER_SECOND
@@ -87,13 +87,13 @@
     assert fleet.max_per_second() <= MAX_PER_SECOND
 
 
-def test_an_entry_that_knows_no_count_sends_nothing() -> None:
+def test_an_entry_without_an_entry_count_sends_nothing() -> None:
     fleet = Fleet(3, known_entries=0)
     fleet.send_all(3_000, random.Random(1))
     assert fleet.arrivals == []
 
 
-def test_a_warm_upstream_and_one_without_a_stated_rate_are_not_held_back() -> None:
+def test_warm_upstreams_and_those_without_a_rate_are_not_limited() -> None:
     warm = Fleet(22, cold_until=0)
     warm.send_all(1_000, random.Random(1))
     assert warm.max_per_second() > MAX_PER_SECOND
@@ -105,7 +105,7 @@
         unstated.begin(ROW, 5)
 
 
-def test_another_start_of_an_upstream_has_a_budget_of_its_own() -> None:
+def test_each_start_of_an_upstream_has_its_own_budget() -> None:
     budget = Fleet(22).budgets[0]
     budget.begin(ROW, 0)
     assert not budget.allows(ROW, 1)
@@ -113,7 +113,7 @@
 
 
 def test_each_cold_upstream_is_served_by_some_entries_of_a_large_fleet() -> None:
-    # Drawn for each upstream anew: no entry is left out of all of them.
+    # Entries are selected per upstream, so that none is excluded from all upstreams.
     fleet = Fleet(347)
     rows = [make_upstream(number) for number in range(1, 40)]
     selected = [[budget.allows(row, 0) for budget in fleet.budgets] for row in rows]
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -365,7 +365,7 @@
         "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
-        f"{COLD}::test_no_second_holds_more_than_a_cold_upstream_bears",
+        f"{COLD}::test_no_second_exceeds_the_rate_of_a_cold_upstream",
     ),
     Variant(
         "entries do not hear that an upstream turns cold",
