--- a/src/leadseam/routing/retry_budget.py
+++ b/src/leadseam/routing/retry_budget.py
@@ -1,8 +1,8 @@
 """This entry's part of the retry budget that all entries share. No I/O.
 
-Sends beyond the first of each request may be at most a ratio of a pool's requests plus
-a fixed slack within a sliding window, summed over all entries. Each entry keeps to the
-ratio of its own requests plus its part of the slack.
+Within a sliding window, the retries of all entries together may be at most a ratio of
+the requests of a pool plus a fixed slack. Each entry keeps to the ratio of its own
+requests plus its part of the slack.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
     from leadseam.clock import Millis
 
 SAFETY_FACTOR = 0.8
-"""Part of the budget that is used. Entries count windows of their own, whose ends do
-not coincide, and the number of entries is known with a delay."""
+"""Fraction of the budget that is used. The windows of the entries do not end at the
+same time, and the number of entries is known with a delay."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """Bounds on repeated sends.
+    """Limits on retries.
 
     Args:
-        ratio: Repeats allowed for each request.
-        slack: Repeats allowed besides, fleet-wide, in each window.
-        window: Milliseconds of the window.
+        ratio: Retries allowed per request.
+        slack: Additional retries allowed in each window, fleet-wide.
+        window: Length of the window in milliseconds.
     """
 
     ratio: float = 0.1
@@ -41,10 +41,10 @@
 
 
 class PoolRetryBudget:
-    """Counts requests and repeated sends by pool.
+    """Counts requests and retries by pool.
 
     Args:
-        limits: The bounds.
+        limits: Limits on retries.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -55,16 +55,19 @@
         return f"PoolRetryBudget({self._limits})"
 
     def note_request(self, pool: str, now: Millis) -> None:
-        """Count a request whose first send is to come."""
+        """Count a request before it is sent for the first time."""
         self._window(pool, now).requests.append(now)
 
     def take(self, pool: str, now: Millis, entries: int) -> bool:
-        """Use one repeat if one is left.
+        """Use one retry of the budget.
 
         Args:
-            pool: Pool that would be sent to once more.
+            pool: Pool of the retry.
             now: Current time.
-            entries: Entries that share the slack.
+            entries: Number of entries that share the slack.
+
+        Returns:
+            Whether the budget allowed the retry.
         """
         window = self._window(pool, now)
         slack = self._limits.slack / max(entries, 1)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one entry, and of many together."""
+"""The retry budget of one entry and of several entries together."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert taken == 1
 
 
-def test_requests_earn_retries_and_old_ones_expire() -> None:
+def test_requests_add_to_the_budget_until_they_expire() -> None:
     budget = PoolRetryBudget(LIMITS)
     for _ in range(100):
         budget.note_request("p", 0)
@@ -24,7 +24,7 @@
     assert sum(budget.take("p", 10_002, 1) for _ in range(100)) == 8
 
 
-def test_pools_do_not_share() -> None:
+def test_each_pool_has_its_own_budget() -> None:
     budget = PoolRetryBudget(LIMITS)
     assert sum(budget.take("p", 0, 1) for _ in range(20)) == 8
     assert sum(budget.take("q", 0, 1) for _ in range(20)) == 8
