--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -1,7 +1,8 @@
-"""One line a second on the client accounts that an entry refuses. No I/O but the line.
+"""Logs once a second which client accounts an entry refuses. The log is its only I/O.
 
-Lines on single requests are bounded, so those of a busy entry are a sample, and they do
-not tell what an account asked for and got. These do, with the bounds that held it.
+Log lines about single requests are limited in number. Those of a busy entry are a
+sample and do not show what an account requested and received. These lines do, together
+with the limits that applied to the account.
 """
 
 from __future__ import annotations
@@ -18,17 +19,23 @@
     from leadseam.routing.usage import UsageTable
 
 INTERVAL: Millis = 1_000
-"""Pause between two lines: fairness is judged second by counts."""
+"""Pause between two lines. Fairness is evaluated for each second."""
 MAX_ACCOUNTS = 8
-"""Accounts on a line, so that it stays below some 1.5 KB: those refused most often, and
-then those that asked for most."""
+"""Maximum accounts on a line, which keeps it below about 1.5 KB. The accounts refused
+most often come first, then those that requested most."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class _AccountCounts:
-    """What became of an account's requests since the last line; service in tokens."""
+    """Counts of an account's requests since the last line.
+
+    Args:
+        requested: Service of the requests that arrived, in tokens.
+        placed: Service of the requests that were sent to an upstream, in tokens.
+        refused: Number of refused requests by reason.
+    """
 
     requested: int = 0
     placed: int = 0
@@ -36,10 +43,10 @@
 
 
 class AccountLog:
-    """Counts by client account, written and begun anew each counts.
+    """Counts by client account, written and reset each second.
 
     Args:
-        usage: Standings and shares, named on the lines.
+        usage: Source of the standings and shares on the lines.
         clock: Source of time.
     """
 
@@ -52,25 +59,25 @@
         return f"AccountLog(accounts={len(self._accounts)})"
 
     def record_requested(self, account: str, service: int) -> None:
-        """Count a request that arrived."""
+        """Count the service of a request that arrived."""
         self._counts(account).requested += service
 
     def record_placed(self, account: str, service: int) -> None:
-        """Count a request that was sent to an upstream."""
+        """Count the service of a request that was sent to an upstream."""
         self._counts(account).placed += service
 
     def record_refusal(self, account: str, reason: Reason) -> None:
-        """Count a request that did not run."""
+        """Count a request that was refused."""
         self._counts(account).refused[reason.value] += 1
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write a line each interval until cancelled."""
         while True:
             await sleep(INTERVAL)
             self.write()
 
     def write(self) -> None:
-        """Write the line if an account was refused since the last one."""
+        """Write a line if any account was refused, and reset the counts."""
         accounts, self._accounts = self._accounts, {}
         if not any(one.refused for one in accounts.values()):
             return
@@ -111,5 +118,5 @@
 
 
 def _level(level: float) -> int | None:
-    """Return a level as a line holds it; None for no bound."""
+    """Return a level for the log line, or None if there is no bound."""
     return None if level == float("inf") else round(level)
--- a/tests/routing/test_account_log.py
+++ b/tests/routing/test_account_log.py
@@ -1,4 +1,4 @@
-"""Lines on the client accounts that an entry refuses."""
+"""Log lines about the client accounts that an entry refuses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def log_records(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
-    """Return the fields of the account_log."""
+    """Return the fields of the log records."""
     return [vars(record) for record in caplog.records]
 
 
@@ -49,7 +49,7 @@
     ]
 
 
-def test_nothing_is_written_while_nobody_is_refused(
+def test_no_line_is_written_without_refusals(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
