--- a/src/leadseam/routing/prompts.py
+++ b/src/leadseam/routing/prompts.py
@@ -1,4 +1,4 @@
-"""An entry's guess of which prompt parts each engine still holds. No I/O."""
+"""Estimates which prompt parts each engine still holds. No I/O."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
     from leadseam.routing.dialect import PromptPart
 
 RETENTION: Millis = 20_000
-"""How long a part is taken to be held after it was sent; engines drop what was unused
-longest, so parts in steady use stay."""
+"""Time for which an engine is assumed to hold a part that was sent to it. Engines evict
+the least recently used parts, so parts in steady use stay."""
 MAX_KEPT_PARTS = 20_000
-"""Parts remembered, by any engine: 5 to 8 MB, as most are held by one or two."""
+"""Maximum parts kept over all engines: 5 to 8 MB, as most are held by one or two."""
 
 
 class PromptTable:
-    """Parts that this entry has sent to each engine."""
+    """Prompt parts that this entry has sent, and the engines that received them."""
 
     def __init__(self) -> None:
-        # By part and not by engine: who holds a part is asked for each request, so that
-        # the other engines need no look.
+        # Keyed by part and not by engine: each request looks up the holders of a part,
+        # so that the other engines can be skipped.
         self._sent: OrderedDict[str, dict[Incarnation, Millis]] = OrderedDict()
 
     def __repr__(self) -> str:
@@ -31,7 +31,7 @@
     def sent(
         self, incarnation: Incarnation, parts: tuple[PromptPart, ...], now: Millis
     ) -> None:
-        """Note a prompt that an engine has read."""
+        """Record the parts of a prompt that an engine has read."""
         for part in parts:
             self._sent.setdefault(part.identity, {})[incarnation] = now
             self._sent.move_to_end(part.identity)
@@ -39,7 +39,7 @@
             self._sent.popitem(last=False)
 
     def holders(self, identity: str, now: Millis) -> frozenset[Incarnation]:
-        """Return the engines that are taken to hold a part."""
+        """Return the engines that are assumed to hold a part."""
         sent = self._sent.get(identity)
         if sent is None:
             return frozenset()
@@ -62,11 +62,11 @@
             incarnation: The engine.
             parts: The prompt.
             now: Current time.
-            home: Whether all entries prefer this engine for the prompt, so that the
-                shared parts are taken to be there.
+            home: Whether all entries prefer this engine for the prompt, so that it is
+                assumed to hold the shared parts.
 
         Returns:
-            All tokens to be read, and those of shared parts among them.
+            The number of tokens to read, and how many of them are in shared parts.
         """
         total = 0
         shared = 0
