--- a/src/leadseam/routing/pump.py
+++ b/src/leadseam/routing/pump.py
@@ -1,9 +1,9 @@
-"""Moves events from an upstream's connection to a caller's as they are read.
+"""Forwards events from an upstream's connection to a caller's as they are read.
 
-A task that is woken for each event costs about as much processor time as all the rest
-of passing it on, and events are most of what an entry does. So events are passed on
-where their bytes come in; the task waits for the end, or for a caller that does not
-keep up.
+Waking a task for each event costs about as much processor time as the rest of the
+forwarding, and forwarding events is most of the work of an entry. So events are
+forwarded in the callback that receives their bytes. The task only waits for the end of
+the body, or until the caller does not keep up.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class Pump:
-    """Passes on the body of one answer while the caller keeps up.
+    """Forwards the body of one answer while the caller keeps up.
 
     Args:
         body: The answer's body.
-        conn: The connection that it comes in on.
+        conn: The upstream connection that receives it.
         caller: The caller's connection.
-        on_data: Called with bytes of the body; it must send them at once.
+        on_data: Called with bytes of the body, which it must send at once.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         self._stopped: asyncio.Future[None] = asyncio.Future()
 
     async def run(self) -> None:
-        """Return once the body has ended or failed, or the caller is behind.
+        """Forward until the body has ended or failed, or the caller does not keep up.
 
         Raises:
-            Exception: What `on_data` raised.
+            Exception: Any exception of the body or of `on_data`.
         """
         self._conn.listener = self._forward
         try:
@@ -58,7 +58,7 @@
             self._conn.listener = None
 
     def _forward(self) -> None:
-        """Pass on what has come in."""
+        """Forward the bytes that have been received."""
         if self._stopped.done():
             return
         try:
@@ -66,7 +66,8 @@
             if data:
                 self._on_data(data)
         except Exception as exc:
-            # Raised in the task that waits: the event loop called this.
+            # The event loop called this method, so the exception is raised in the
+            # waiting task instead.
             self._stopped.set_exception(exc)
             return
         if self._body.at_eof() or self._caller.writing_paused:
@@ -74,7 +75,7 @@
 
 
 def connection_of(resp: aiohttp.ClientResponse) -> UpstreamConnection | None:
-    """Return the connection that an answer still comes in on, or None."""
+    """Return the connection that still receives an answer, or None."""
     conn = resp.connection
     protocol = conn.protocol if conn is not None else None
     return protocol if isinstance(protocol, UpstreamConnection) else None
--- a/tests/routing/test_pump.py
+++ b/tests/routing/test_pump.py
@@ -1,4 +1,4 @@
-"""Events start_pump from one connection to another without a task in between."""
+"""Forwarding of events between connections without waking a task."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PumpHarness:
-    """A pump with both of its ends in the test's hands."""
+    """A running pump whose two connections the test controls."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -28,13 +28,13 @@
         self.running = asyncio.create_task(pump.run())
 
     def take(self, data: bytes) -> None:
-        """Note what was passed on."""
+        """Record the forwarded bytes; reject `bad`."""
         if data == b"bad":
             raise ValueError("bad")
         self.received.append(data)
 
     def feed(self, data: bytes) -> None:
-        """Let bytes come in as the connection does."""
+        """Deliver bytes to the body as the connection does."""
         self.body.feed_data(data)
         self.notify()
 
@@ -45,14 +45,14 @@
 
 
 async def start_pump() -> PumpHarness:
-    """Return a pump that has begun to run."""
+    """Return a pump that has started to run."""
     pump = PumpHarness()
     while pump.conn.listener is None:
         await asyncio.sleep(0)
     return pump
 
 
-async def test_bytes_go_on_before_any_task_runs() -> None:
+async def test_bytes_are_forwarded_before_any_task_runs() -> None:
     pump = await start_pump()
     pump.feed(b"one")
     pump.feed(b"two")
@@ -64,7 +64,7 @@
     assert pump.conn.listener is None
 
 
-async def test_it_stops_when_the_caller_is_behind() -> None:
+async def test_the_pump_stops_when_the_caller_does_not_keep_up() -> None:
     pump = await start_pump()
     pump.caller.pause_writing()
     pump.feed(b"one")
@@ -83,7 +83,7 @@
     assert pump.received == [b"one"]
 
 
-async def test_a_fault_of_the_receiver_reaches_the_task() -> None:
+async def test_an_exception_of_the_receiver_is_raised_in_the_task() -> None:
     pump = await start_pump()
     pump.feed(b"bad")
     with pytest.raises(ValueError, match="bad"):
