--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -1,4 +1,4 @@
-"""One request in flight at one upstream, and the counts that depend on it."""
+"""A request in flight at an upstream, and the counts that depend on it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Flight:
-    """Keeps the loads right from the send to the end of an attempt.
+    """Updates loads, prompts and estimates from the send to the end of an attempt.
 
     Args:
-        placement: Where the request was placed; already counted.
+        placement: Where the request was placed; its load is already counted.
         req: The request.
-        balancer: Where it is counted.
+        balancer: Holds the loads, prompts and estimates.
         clock: Source of time.
-        on_capacity: Called when the upstream may have room for another request.
+        on_capacity: Called when the upstream may have capacity for another request.
     """
 
     def __init__(
@@ -49,24 +49,24 @@
 
     @property
     def upstream(self) -> Registration:
-        """Where the request is."""
+        """Upstream of the request."""
         return self._placement.upstream
 
     @property
     def placement(self) -> Placement:
-        """Where the request was placed, and what that was expected to cost."""
+        """Placement of the request, with its expected load."""
         return self._placement
 
     @property
     def expected_first_token(self) -> float:
-        """Milliseconds that the first token is expected to take; 0 if unknown."""
+        """Expected milliseconds to the first token; 0 if unknown."""
         if not self._placement.unread:
             return 0.0
         estimate = self._balancer.estimates.engine(self.upstream)
         return estimate.millis(self._placement.unread)
 
     def first_byte(self) -> None:
-        """Note that the upstream has begun to answer; only the first call counts."""
+        """Record the start of the answer; only the first call has an effect."""
         if self._answered:
             return
         self._answered = True
@@ -80,12 +80,12 @@
         self._on_capacity()
 
     def ended_early(self) -> bool:
-        """Tell whether the attempt ends now soon after its send, with no answer."""
+        """Return whether the attempt, ending now, ends early and without an answer."""
         limit = EARLY_LIMIT_OF_PROMPTS if self._req.parts else EARLY_LIMIT
         return not self._answered and self._clock.now() - self._sent <= limit
 
     def end(self) -> None:
-        """Note that the attempt has ended."""
+        """Record that the attempt has ended."""
         load = self._placement.load
         if self._answered:
             load = Load(requests=load.requests, memory=load.memory)
--- a/tests/routing/test_flight.py
+++ b/tests/routing/test_flight.py
@@ -1,4 +1,4 @@
-"""What one attempt says of its upstream when it ends."""
+"""Whether an attempt that ends counts as ended early."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_flight(clock: ManualClock, *parts: str) -> Flight:
-    """Return an attempt that is sent now, of a prompt with parts or of other work."""
+    """Return an attempt that is sent now, with prompt parts or without a prompt."""
     placement = Placement(make_upstream(1), Load(requests=1), unread=0)
     balancer = Balancer(random.Random(1))
     balancer.begin(placement)
@@ -31,17 +31,17 @@
         (("system",), 2_001, False),
     ],
 )
-def test_an_end_is_early_where_the_request_may_just_have_begun(
+def test_an_end_is_early_if_the_request_may_have_just_started(
     parts: tuple[str, ...], age: int, early: bool
 ) -> None:
-    """A prompt may stand in its engine's queue for a while before it is begun."""
+    """A prompt may wait in its engine's queue, so its limit is longer."""
     clock = ManualClock(5_000)
     flight = make_flight(clock, *parts)
     clock.advance(age)
     assert flight.ended_early() is early
 
 
-def test_what_has_answered_has_begun_long_ago() -> None:
+def test_an_attempt_with_an_answer_does_not_end_early() -> None:
     clock = ManualClock(5_000)
     flight = make_flight(clock, "system")
     flight.first_byte()
