--- a/src/leadseam/routing/__init__.py
+++ b/src/leadseam/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The data path of routed requests: match, choose an upstream, forward, retry."""
+"""The data path of routed requests: routing, placement, forwarding and retries."""
--- a/src/leadseam/routing/placement.py
+++ b/src/leadseam/routing/placement.py
@@ -1,4 +1,4 @@
-"""Where a request was placed, and what it adds there."""
+"""The upstream chosen for a request, and the load that the request adds to it."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
     Args:
         upstream: The upstream.
-        load: What the request adds there.
-        unread: Prompt tokens to be read there before its first token, all included.
-        reread: Tokens of shared parts that it is expected to read once more.
-        rank: Place of the upstream in the order preferred for the prompt.
+        load: Load that the request adds to the upstream.
+        unread: Prompt tokens that the upstream has to read before the first token,
+            including those of other requests.
+        reread: Tokens of shared parts that the upstream is expected to read again.
+        rank: Position of the upstream in the engine order of the prompt.
     """
 
     upstream: Registration
