--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -72,7 +72,7 @@
         self._answered = True
         now = self._clock.now()
         incarnation = self.upstream.incarnation
-        self._balancer.loads.read(incarnation, self._placement.load.unread)
+        self._balancer.loads.mark_read(incarnation, self._placement.load.unread)
         self._balancer.prompts.sent(incarnation, self._req.parts, now)
         self._balancer.estimates.add_measurement(
             self.upstream, self._placement.unread, now - self._sent
--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -81,7 +81,7 @@
         self._cached_totals.pop(incarnation, None)
         self._own[incarnation] = self._own.get(incarnation, NO_LOAD).plus(load)
 
-    def read(self, incarnation: Incarnation, unread: int) -> None:
+    def mark_read(self, incarnation: Incarnation, unread: int) -> None:
         """Subtract the unread tokens of a prompt that an upstream has read."""
         self.end(incarnation, Load(unread=unread))
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -30,7 +30,7 @@
 class AdmissionHarness:
     """An admission queue for one engine, with given service and standings."""
 
-    levels: dict[str, int] = field(default_factory=dict)
+    service: dict[str, int] = field(default_factory=dict)
     standings: dict[str, Standing] = field(default_factory=dict)
     woken: list[str] = field(default_factory=list)
     balancer: Balancer = field(default_factory=lambda: Balancer(random.Random(1)))
@@ -40,10 +40,10 @@
             balancer=self.balancer,
             candidates=lambda pool: [ENGINE],
             standing=lambda account, now: self.standings.get(account, Standing.WITHIN),
-            recent_service=lambda account, now: self.levels.get(account, 0),
+            recent_service=lambda account, now: self.service.get(account, 0),
         )
 
-    def read(self, millis: int) -> None:
+    def add_reading(self, millis: int) -> None:
         """Give the engine enough unread tokens for this many milliseconds."""
         load = Load(requests=1, unread=round(millis * INITIAL_RATE))
         self.balancer.loads.begin(ENGINE.incarnation, load)
@@ -65,7 +65,7 @@
         self.admission.enter(waiter, now)
         return waiter
 
-    def leave(self, waiter: Waiter, now: int = 0) -> None:
+    def end(self, waiter: Waiter, now: int = 0) -> None:
         """End a placed request."""
         assert waiter.placement is not None
         self.balancer.loads.end(ENGINE.incarnation, waiter.placement.load)
@@ -80,14 +80,14 @@
 
 
 def test_the_account_with_the_least_service_goes_first() -> None:
-    harness = AdmissionHarness(levels={"menus": 1_000, "pay": 10})
+    harness = AdmissionHarness(service={"menus": 1_000, "pay": 10})
     running = [harness.enter("menus") for _ in range(4)]
     harness.enter("menus")
     harness.enter("pay", 1)
     harness.woken.clear()
-    harness.leave(running[0], 2)
+    harness.end(running[0], 2)
     assert harness.woken == ["pay"]
-    harness.leave(running[1], 3)
+    harness.end(running[1], 3)
     assert harness.woken == ["pay", "menus"]
 
 
@@ -118,12 +118,12 @@
 
 def test_the_engines_queue_is_kept_short_for_all() -> None:
     harness = AdmissionHarness()
-    harness.read(MAX_READING_AHEAD + 1)
+    harness.add_reading(MAX_READING_AHEAD + 1)
     waiter = harness.enter("a")
     # It could be in time behind 270 ms of reading, but a short account might send a
     # request in the meantime.
     assert not waiter.done
-    harness.balancer.loads.read(ENGINE.incarnation, 100)
+    harness.balancer.loads.mark_read(ENGINE.incarnation, 100)
     harness.admission.pump(5)
     assert waiter.placement is not None
 
@@ -138,14 +138,14 @@
         (Standing.STOPPED, 0, False, False),
     ):
         harness = AdmissionHarness(standings={"a": standing})
-        harness.read(ahead)
+        harness.add_reading(ahead)
         waiter = harness.enter("a")
         assert (waiter.placement is not None, not waiter.done) == (placed, waits)
 
 
 def test_an_account_ahead_of_others_gets_no_engine_that_is_reading() -> None:
     harness = AdmissionHarness(standings={"menus": Standing.AHEAD})
-    harness.read(20)
+    harness.add_reading(20)
     over = harness.enter("menus")
     assert over.done
     assert over.placement is None
@@ -163,7 +163,7 @@
     gone = harness.enter("b")
     harness.admission.withdraw(gone)
     assert len(harness.admission) == 0
-    harness.leave(running[0])
+    harness.end(running[0])
     assert harness.balancer.loads.own(ENGINE.incarnation).requests == 3
 
 
--- a/tests/routing/test_load.py
+++ b/tests/routing/test_load.py
@@ -39,7 +39,7 @@
     tables[0].begin(ENGINE, Load(requests=2, unread=50))
     tables[1].begin(ENGINE, Load(requests=1, unread=5))
     exchange(tables)
-    tables[0].read(ENGINE, 30)
+    tables[0].mark_read(ENGINE, 30)
     assert tables[0].total(ENGINE, 0) == Load(requests=3, unread=25)
     tables[0].end(ENGINE, Load(requests=2, unread=20))
     assert tables[0].total(ENGINE, 0) == Load(requests=1, unread=5)
