--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -77,7 +77,10 @@
             self.write()
 
     def write(self) -> None:
-        """Write a line if any account was refused, and reset the counts."""
+        """Write a line if any account was refused since the last call.
+
+        The counts are reset in any case.
+        """
         accounts, self._accounts = self._accounts, {}
         if not any(one.refused for one in accounts.values()):
             return
--- a/src/leadseam/routing/balance.py
+++ b/src/leadseam/routing/balance.py
@@ -141,7 +141,7 @@
         return f"Balancer({self.loads!r})"
 
     def begin(self, placement: Placement) -> None:
-        """Count a request that is sent to its upstream."""
+        """Count a request at the upstream to which it is sent."""
         self.loads.begin(placement.upstream.incarnation, placement.load)
         self._on_begin(placement.upstream)
 
@@ -194,7 +194,7 @@
         Args:
             ranked: Engines that may be used, in the order of `EngineOrders`.
             req: The request.
-            profile: What is stated about the engines.
+            profile: Stated properties of the engines.
             limit: Maximum milliseconds that the first token may take.
             now: Current time.
             ahead: Maximum milliseconds of reading that may be ahead of the request at
@@ -221,7 +221,7 @@
         """Return the expected milliseconds to a first token at an idle engine.
 
         Args:
-            pool: Pool of the engine, which holds the shared parts.
+            pool: Pool of the engine, which is assumed to hold the shared parts.
             req: The request.
         """
         return self.estimates.pool(pool).millis(own_tokens(req))
@@ -287,7 +287,7 @@
 
 
 def expected_memory(req: RoutedRequest) -> int:
-    """Return the tokens of engine memory that a request is expected to occupy."""
+    """Return the tokens of memory that a request is expected to occupy for itself."""
     generated = min(req.tokens_out, EXPECTED_GENERATED)
     if not req.parts:
         return req.tokens_in + generated
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -45,9 +45,9 @@
 objectives of 250 ms, and it bounds the processor time of these passes at an overloaded
 entry."""
 PAUSE_JITTER_DIVISOR = 10
-"""A pause is extended by a random time of up to this fraction (1/10) of its length.
-Entries do not know of each other's pauses; the jitter keeps them from resuming at the
-same time."""
+"""The end of a pause is delayed by a random time of up to its length divided by this.
+Entries do not know of each other's pauses; the jitter spreads the times at which they
+resume."""
 
 
 @dataclass(frozen=True, slots=True)
