--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -110,7 +110,9 @@
         service. It is refused at once if its account may not wait.
         """
         waiter.refuse_at = waiter.arrived + self._longest_wait(waiter)
-        is_next = self.recent_service(waiter.account, now) <= self._lowest_level(now)
+        is_next = self.recent_service(
+            waiter.account, now
+        ) <= self._lowest_recent_service(now)
         placement = self._place(waiter, now) if is_next else None
         self._waiting.append(waiter)
         if placement is not None:
@@ -174,7 +176,7 @@
             return None
         return self.balancer.with_capacity(rows, objective * FIRST_TOKEN_PART, now)
 
-    def _lowest_level(self, now: Millis) -> float:
+    def _lowest_recent_service(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
         return min(
             (self.recent_service(name, now) for name in accounts), default=float("inf")
@@ -201,7 +203,7 @@
         self._update_ranking(waiter)
         if not waiter.ranked:
             return None
-        ahead = self._ahead(waiter, now)
+        ahead = self._max_ahead(waiter, now)
         if ahead is None:
             return None
         left = waiter.arrived + waiter.objective * FIRST_TOKEN_PART - now
@@ -215,7 +217,7 @@
             among=among,
         )
 
-    def _ahead(self, waiter: Waiter, now: Millis) -> Millis | None:
+    def _max_ahead(self, waiter: Waiter, now: Millis) -> Millis | None:
         """Return the maximum reading ahead of a request, or None to not place it."""
         if not waiter.account:
             return MAX_READING_AHEAD
