--- a/src/leadseam/routing/cold_budget.py
+++ b/src/leadseam/routing/cold_budget.py
@@ -76,7 +76,7 @@
         return sent is None or _count_since(sent, now - WINDOW) < allowance
 
     def begin(self, row: Registration, now: Millis) -> None:
-        """Count a request that is sent to an upstream, whether cold or not."""
+        """Count a request sent to a cold upstream; drop the counts of a warm one."""
         if now >= self._cold_until(row):
             self._sent.pop(row.incarnation, None)
             return
