--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -1,7 +1,8 @@
-"""One line a second on the client accounts that an entry refuses. No I/O but the line.
+"""Logs once a second which client accounts an entry refuses. The log is its only I/O.
 
-Lines on single requests are bounded, so those of a busy entry are a sample, and they do
-not tell what an account asked for and got. These do, with the bounds that held it.
+Log lines about single requests are limited in number. Those of a busy entry are a
+sample and do not show what an account requested and received. These lines do, together
+with the limits that applied to the account.
 """
 
 from __future__ import annotations
@@ -18,59 +19,68 @@
     from leadseam.routing.usage import UsageTable
 
 INTERVAL: Millis = 1_000
-"""Pause between two lines: fairness is judged second by second."""
-MOST_ACCOUNTS = 8
-"""Accounts on a line, so that it stays below some 1.5 KB: those refused most often, and
-then those that asked for most."""
+"""Pause between two lines. Fairness is evaluated for each second."""
+MAX_ACCOUNTS = 8
+"""Maximum accounts on a line, which keeps it below about 1.5 KB. The accounts refused
+most often come first, then those that requested most."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class _Second:
-    """What became of an account's requests since the last line; service in tokens."""
+class _AccountCounts:
+    """Counts of an account's requests since the last line.
 
-    asked: int = 0
+    Args:
+        requested: Service of the requests that arrived, in tokens.
+        placed: Service of the requests that were sent to an upstream, in tokens.
+        refused: Number of refused requests by reason.
+    """
+
+    requested: int = 0
     placed: int = 0
     refused: Counter[str] = field(default_factory=Counter)
 
 
 class AccountLog:
-    """Counts by client account, written and begun anew each second.
+    """Counts by client account, written and reset each second.
 
     Args:
-        usage: Standings and shares, named on the lines.
+        usage: Source of the standings and shares on the lines.
         clock: Source of time.
     """
 
     def __init__(self, usage: UsageTable, clock: Clock) -> None:
         self._usage = usage
         self._clock = clock
-        self._accounts: dict[str, _Second] = {}
+        self._accounts: dict[str, _AccountCounts] = {}
 
     def __repr__(self) -> str:
         return f"AccountLog(accounts={len(self._accounts)})"
 
     def record_requested(self, account: str, service: int) -> None:
-        """Count a request that arrived."""
-        self._second(account).asked += service
+        """Count the service of a request that arrived."""
+        self._counts(account).requested += service
 
     def record_placed(self, account: str, service: int) -> None:
-        """Count a request that was sent to an upstream."""
-        self._second(account).placed += service
+        """Count the service of a request that was sent to an upstream."""
+        self._counts(account).placed += service
 
     def record_refusal(self, account: str, reason: Reason) -> None:
-        """Count a request that did not run."""
-        self._second(account).refused[reason.value] += 1
+        """Count a request that was refused."""
+        self._counts(account).refused[reason.value] += 1
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write a line each interval until cancelled."""
         while True:
             await sleep(INTERVAL)
             self.write()
 
     def write(self) -> None:
-        """Write the line if an account was refused since the last one."""
+        """Write a line if any account was refused since the last call.
+
+        The counts are reset in any case.
+        """
         accounts, self._accounts = self._accounts, {}
         if not any(one.refused for one in accounts.values()):
             return
@@ -78,7 +88,7 @@
             accounts,
             key=lambda name: (
                 -accounts[name].refused.total(),
-                -accounts[name].asked,
+                -accounts[name].requested,
                 name,
             ),
         )
@@ -90,26 +100,26 @@
             "even_level": _level(shares.even),
             "stop_level": _level(shares.stop),
             "accounts": [
-                self._row(name, accounts[name], now) for name in names[:MOST_ACCOUNTS]
+                self._row(name, accounts[name], now) for name in names[:MAX_ACCOUNTS]
             ],
-            "others": max(len(names) - MOST_ACCOUNTS, 0),
+            "others": max(len(names) - MAX_ACCOUNTS, 0),
         }
         log.info("accounts refused", extra=extra)
 
-    def _row(self, name: str, second: _Second, now: Millis) -> dict[str, object]:
+    def _row(self, name: str, counts: _AccountCounts, now: Millis) -> dict[str, object]:
         return {
             "account": name,
-            "asked": second.asked,
-            "placed": second.placed,
-            "refused": dict(second.refused),
+            "asked": counts.requested,
+            "placed": counts.placed,
+            "refused": dict(counts.refused),
             "served_of_late": self._usage.recent_service(name, now),
             "standing": self._usage.standing(name, now).name.lower(),
         }
 
-    def _second(self, account: str) -> _Second:
-        return self._accounts.setdefault(account, _Second())
+    def _counts(self, account: str) -> _AccountCounts:
+        return self._accounts.setdefault(account, _AccountCounts())
 
 
 def _level(level: float) -> int | None:
-    """Return a level as a line holds it; None for no bound."""
+    """Return a level for the log line, or None if there is no bound."""
     return None if level == float("inf") else round(level)
--- a/src/leadseam/routing/engine_order.py
+++ b/src/leadseam/routing/engine_order.py
@@ -1,9 +1,9 @@
 """The order in which all entries prefer the engines of a pool for a prompt. No I/O.
 
-Rendezvous hashing over the last part that a prompt shares with others: entries agree
-without a word, and an engine that comes or goes moves few prompts. Of a large pool a
-request looks at the first engines of its order and at a few others, so that its cost
-does not grow with the pool.
+The order comes from rendezvous hashing over the last part that a prompt shares with
+others: entries agree without communicating, and an engine that joins or leaves moves
+few prompts. In a large pool a request only considers the first engines of its order and
+a few others, so that the cost of placing it does not grow with the pool.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-MAX_ORDERS = 4_096
-"""Orders kept for a pool: some 2 MB."""
-FIRST_LOOKED = 64
-"""Engines that a request looks at in the order of its prompt, in a large pool."""
-OTHERS_LOOKED = 32
-"""Further engines of a large pool that it looks at, drawn for each request."""
-MAX_LOOKED = FIRST_LOOKED + OTHERS_LOOKED
-"""Engines of a pool up to which all are looked at."""
+MAX_CACHED_ORDERS = 4_096
+"""Maximum cached orders of a pool, about 2 MB."""
+RANKED_CANDIDATES = 64
+"""Engines of a large pool that a request considers in the order of its prompt."""
+SAMPLED_CANDIDATES = 32
+"""Further engines of a large pool that a request considers, sampled by its id."""
+MAX_CANDIDATES = RANKED_CANDIDATES + SAMPLED_CANDIDATES
+"""Size of a pool up to which all its engines are considered."""
 
 
 class EngineOrders:
-    """Keeps orders while the engines of a pool stay the same."""
+    """Caches orders while the engines of a pool stay the same."""
 
     def __init__(self) -> None:
         self._rows: dict[Scope, Sequence[Registration]] = {}
@@ -44,22 +44,22 @@
     def order_for(
         self, scope: Scope, rows: Sequence[Registration], req: RoutedRequest
     ) -> Sequence[Registration]:
-        """Return the engines that a request looks at, the preferred one first.
+        """Return the engines that a request considers, the preferred one first.
 
         Args:
-            scope: Where the request may go.
-            rows: Its engines that may be used.
+            scope: Pool and regions that the request may be sent to.
+            rows: Usable engines of the scope.
             req: The request.
         """
         affinity = affinity_key(req)
         if affinity is None:
-            return _drawn(rows, req, MAX_LOOKED)
-        first = self._first(scope, rows, affinity)
-        if len(rows) <= MAX_LOOKED:
+            return _sample(rows, req, MAX_CANDIDATES)
+        first = self._cached_order(scope, rows, affinity)
+        if len(rows) <= MAX_CANDIDATES:
             return first
-        return [*first, *_drawn(rows, req, OTHERS_LOOKED)]
+        return [*first, *_sample(rows, req, SAMPLED_CANDIDATES)]
 
-    def _first(
+    def _cached_order(
         self, scope: Scope, rows: Sequence[Registration], affinity: str
     ) -> Sequence[Registration]:
         known = self._rows.get(scope)
@@ -69,9 +69,9 @@
         orders = self._orders[scope]
         order = orders.get(affinity)
         if order is None:
-            order = orders[affinity] = _ranked(rows, affinity)
+            order = orders[affinity] = _by_weight(rows, affinity)
         orders.move_to_end(affinity)
-        if len(orders) > MAX_ORDERS:
+        if len(orders) > MAX_CACHED_ORDERS:
             orders.popitem(last=False)
         return order
 
@@ -81,29 +81,30 @@
 ) -> Sequence[Registration]:
     """Return engines in the order in which all entries prefer them for a prompt.
 
-    Of more than `MAX_LOOKED` only the first ones are returned.
+    If there are more than `MAX_CANDIDATES`, only the first `RANKED_CANDIDATES` are
+    returned.
     """
     affinity = affinity_key(req)
     if affinity is None:
         return rows
-    return _ranked(rows, affinity)
+    return _by_weight(rows, affinity)
 
 
-def _ranked(rows: Sequence[Registration], affinity: str) -> Sequence[Registration]:
-    """Return engines by rendezvous weight, only the first ones of many."""
+def _by_weight(rows: Sequence[Registration], affinity: str) -> Sequence[Registration]:
+    """Return engines by descending weight; of a large pool only the first ones."""
 
     def weight(row: Registration) -> int:
-        return rank(affinity, row)
+        return rendezvous_weight(affinity, row)
 
-    if len(rows) <= MAX_LOOKED:
+    if len(rows) <= MAX_CANDIDATES:
         return sorted(rows, key=weight, reverse=True)
-    return heapq.nlargest(FIRST_LOOKED, rows, key=weight)
+    return heapq.nlargest(RANKED_CANDIDATES, rows, key=weight)
 
 
-def _drawn(
+def _sample(
     rows: Sequence[Registration], req: RoutedRequest, count: int
 ) -> Sequence[Registration]:
-    """Return some engines that differ from request to request, all if they are few."""
+    """Return engines sampled by the request's id, or all if there are few."""
     if len(rows) <= count:
         return rows
     start = xxhash.xxh3_64_intdigest(req.request_id.encode()) % len(rows)
@@ -112,15 +113,16 @@
 
 
 def affinity_key(req: RoutedRequest) -> str | None:
-    """Return the identity of the last part that other requests share, or None.
+    """Return the identity of the last part shared with other requests, or None.
 
-    The very last part of a prompt is the request's own.
+    The last part of a prompt is the request's own, so this is the part before it. Of a
+    prompt with one part it is that part.
     """
     if not req.parts:
         return None
     return req.parts[max(len(req.parts) - 2, 0)].identity
 
 
-def rank(affinity: str, row: Registration) -> int:
-    """Return the rendezvous weight of an upstream for a key."""
+def rendezvous_weight(affinity: str, row: Registration) -> int:
+    """Return the rendezvous hashing weight of an upstream for an affinity key."""
     return xxhash.xxh3_64_intdigest(f"{affinity}/{row.ip}:{row.port}".encode())
--- a/src/leadseam/routing/spare_capacity.py
+++ b/src/leadseam/routing/spare_capacity.py
@@ -1,10 +1,10 @@
-"""Whether the engines of a pool have room to spare. No I/O.
+"""Whether the engines of a pool have spare capacity. No I/O.
 
-Accounts ahead of others leave room to those that are short. An account may be short for
-another reason than engines, as when all its callers use one busy entry; while engines
-stand idle nobody gains if others are held back. Those that are far ahead of one that is
-short stay stopped. The load that this answers: floods that come through few entries,
-before engines with many places.
+Accounts ahead of others leave capacity to short ones. An account may be short for a
+reason other than the engines, for example when all its callers use one busy entry.
+While engines are idle, holding back the others helps no account. Accounts far ahead of
+a short one stay stopped. This module handles floods that come through few entries to
+engines with many slots.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from leadseam.routing.engine_order import MAX_LOOKED
+from leadseam.routing.engine_order import MAX_CANDIDATES
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Sequence
@@ -22,26 +22,27 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-SPARE_PART = 0.5
-"""Part of the places, and of the engines with something to read, below which there is
-room to spare: what accounts beyond their share take then leaves as much to others."""
-KEPT: Millis = 50
-"""Time for which an answer on a large pool is kept: the shortest interval of shared
-loads."""
+MAX_USED_PART = 0.5
+"""Fraction of used slots, and of engines with something to read, below which there is
+spare capacity. What accounts beyond their share take then leaves at least as much to
+others."""
+CACHE_TIME: Millis = 50
+"""Time for which the answer for a large pool is cached: the shortest interval between
+two load totals."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _CachedAnswer:
     at: Millis
     spare: bool
 
 
-class SpareRoom:
-    """Looks at the loads of all engines of a scope, now and then.
+class SpareCapacity:
+    """Checks the loads of all engines of a scope; answers for large pools are cached.
 
     Args:
-        candidates: Returns the engines of a scope that may be used.
-        total: Returns what all entries have in flight at an engine.
+        candidates: Returns the usable engines of a scope.
+        total: Returns the load that all entries have in flight at an engine.
     """
 
     def __init__(
@@ -51,31 +52,33 @@
     ) -> None:
         self._candidates = candidates
         self._total = total
-        self._known: dict[Scope, _Known] = {}
+        self._cached: dict[Scope, _CachedAnswer] = {}
 
     def __repr__(self) -> str:
-        return f"SpareRoom({self._known!r})"
+        return f"SpareCapacity({self._cached!r})"
 
-    def there_is(self, scope: Scope, now: Millis) -> bool:
-        """Tell whether the engines of a scope have room to spare."""
+    def has_spare(self, scope: Scope, now: Millis) -> bool:
+        """Return whether the engines of a scope have spare capacity."""
         rows = self._candidates(scope)
-        if len(rows) <= MAX_LOOKED:
-            return self._look(rows, now)
-        known = self._known.get(scope)
-        if known is None or not 0 <= now - known.at < KEPT:
-            known = self._known[scope] = _Known(now, self._look(rows, now))
-        return known.spare
+        if len(rows) <= MAX_CANDIDATES:
+            return self._check(rows, now)
+        cached = self._cached.get(scope)
+        if cached is None or not 0 <= now - cached.at < CACHE_TIME:
+            cached = self._cached[scope] = _CachedAnswer(now, self._check(rows, now))
+        return cached.spare
 
-    def _look(self, rows: Sequence[Registration], now: Millis) -> bool:
-        return has_spare_room((row.slots, self._total(row, now)) for row in rows)
+    def _check(self, rows: Sequence[Registration], now: Millis) -> bool:
+        return has_spare_capacity((row.slots, self._total(row, now)) for row in rows)
 
 
-def has_spare_room(engines: Iterable[tuple[int, Load]]) -> bool:
-    """Tell whether engines have room to spare, by their places and loads."""
-    places = taken = count = reading = 0
+def has_spare_capacity(engines: Iterable[tuple[int, Load]]) -> bool:
+    """Return whether engines have spare capacity, given their slots and loads."""
+    total_slots = taken = count = engines_reading = 0
     for slots, load in engines:
-        places += slots
+        total_slots += slots
         taken += load.requests
         count += 1
-        reading += load.unread > 0
-    return taken < SPARE_PART * places and reading < SPARE_PART * count
+        engines_reading += load.unread > 0
+    return (
+        taken < MAX_USED_PART * total_slots and engines_reading < MAX_USED_PART * count
+    )
--- a/tests/routing/test_cold_budget.py
+++ b/tests/routing/test_cold_budget.py
@@ -1,7 +1,7 @@
-"""What cold upstreams get from all entries together, by exact counts in virtual time.
+"""Requests that cold upstreams get from all entries together, counted in virtual time.
 
-On a day with upstreams that came back cold one got 38 requests in a second, of 36.5
-that it may get: 22 entries sent as if it were warm.
+Guards against entries that treat a restarted upstream as warm: 22 entries did so, and a
+cold upstream got 38 requests in one second, of 36.5 allowed.
 """
 
 from __future__ import annotations
@@ -17,33 +17,35 @@
 from tests.routing.samples import make_upstream
 
 RATE = 21.0
-MOST = RATE * 1.5 + 5
+MAX_PER_SECOND = RATE * 1.5 + 5
 ROW = make_upstream(1)
 
 
 @dataclass
 class Fleet:
-    """Entries that send to one upstream whenever they may."""
+    """Entries that send to one upstream whenever their budget allows it."""
 
     entries: int
-    counted: int | None = None
+    known_entries: int | None = None
     cold_until: int = 1_000_000
     arrivals: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        counted = self.entries if self.counted is None else self.counted
+        known_entries = (
+            self.entries if self.known_entries is None else self.known_entries
+        )
         self.budgets = [
             ColdBudget(
                 f"entry-{number}",
                 rate_of=lambda _: RATE,
                 cold_until=lambda _: self.cold_until,
-                entries=lambda _: counted,
+                entries=lambda _: known_entries,
             )
             for number in range(self.entries)
         ]
 
-    def press(self, span: int, rng: random.Random, *, delay: int = 0) -> None:
-        """Let each entry try again every few milliseconds."""
+    def send_all(self, span: int, rng: random.Random, *, delay: int = 0) -> None:
+        """Let each entry try to send every few milliseconds."""
         for budget in self.budgets:
             now = rng.randrange(20)
             while now < span:
@@ -52,7 +54,7 @@
                     self.arrivals.append(now + rng.randint(0, delay))
                 now += rng.randint(1, 40)
 
-    def most_in_a_second(self) -> int:
+    def max_per_second(self) -> int:
         """Return the largest number of arrivals in any second."""
         times = sorted(self.arrivals)
         first = 0
@@ -65,10 +67,10 @@
 
 
 @pytest.mark.parametrize("entries", [1, 3, 5, 22, 26, 27, 68, 347, 1_000])
-def test_no_second_holds_more_than_a_cold_upstream_bears(entries: int) -> None:
+def test_no_second_exceeds_the_rate_of_a_cold_upstream(entries: int) -> None:
     fleet = Fleet(entries)
-    fleet.press(6_000, random.Random(entries), delay=200)
-    assert 0 < fleet.most_in_a_second() <= MOST
+    fleet.send_all(6_000, random.Random(entries), delay=200)
+    assert 0 < fleet.max_per_second() <= MAX_PER_SECOND
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -81,20 +83,20 @@
     entries: int, delay: int, seed: int
 ) -> None:
     fleet = Fleet(entries)
-    fleet.press(4_000, random.Random(seed), delay=delay)
-    assert fleet.most_in_a_second() <= MOST
+    fleet.send_all(4_000, random.Random(seed), delay=delay)
+    assert fleet.max_per_second() <= MAX_PER_SECOND
 
 
-def test_an_entry_that_knows_no_count_sends_nothing() -> None:
-    fleet = Fleet(3, counted=0)
-    fleet.press(3_000, random.Random(1))
+def test_an_entry_without_an_entry_count_sends_nothing() -> None:
+    fleet = Fleet(3, known_entries=0)
+    fleet.send_all(3_000, random.Random(1))
     assert fleet.arrivals == []
 
 
-def test_a_warm_upstream_and_one_without_a_stated_rate_are_not_held_back() -> None:
+def test_warm_upstreams_and_those_without_a_rate_are_not_limited() -> None:
     warm = Fleet(22, cold_until=0)
-    warm.press(1_000, random.Random(1))
-    assert warm.most_in_a_second() > MOST
+    warm.send_all(1_000, random.Random(1))
+    assert warm.max_per_second() > MAX_PER_SECOND
     unstated = ColdBudget(
         "entry", rate_of=lambda _: 0, cold_until=lambda _: 10**6, entries=lambda _: 22
     )
@@ -103,7 +105,7 @@
         unstated.begin(ROW, 5)
 
 
-def test_another_start_of_an_upstream_has_a_budget_of_its_own() -> None:
+def test_each_start_of_an_upstream_has_its_own_budget() -> None:
     budget = Fleet(22).budgets[0]
     budget.begin(ROW, 0)
     assert not budget.allows(ROW, 1)
@@ -111,9 +113,9 @@
 
 
 def test_each_cold_upstream_is_served_by_some_entries_of_a_large_fleet() -> None:
-    # Drawn for each upstream anew: no entry is left out of all of them.
+    # Entries are selected per upstream, so that none is excluded from all upstreams.
     fleet = Fleet(347)
     rows = [make_upstream(number) for number in range(1, 40)]
-    drawn = [[budget.allows(row, 0) for budget in fleet.budgets] for row in rows]
-    assert min(sum(one) for one in drawn) >= 3
-    assert max(sum(one) for one in drawn) <= MOST
+    selected = [[budget.allows(row, 0) for budget in fleet.budgets] for row in rows]
+    assert min(sum(one) for one in selected) >= 3
+    assert max(sum(one) for one in selected) <= MAX_PER_SECOND
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -238,7 +238,7 @@
     Variant(
         "the stated capacity is believed",
         "routing/usage.py",
-        "    return served if asked > SCARCITY_RATIO * served else capacity\n",
+        "    return served if requested > SCARCITY_RATIO * served else capacity\n",
         "    return capacity\n",
         f"{SHARES}::test_floods_get_alike_where_engines_give_less_than_is_stated",
     ),
@@ -364,7 +364,7 @@
         "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
-        f"{COLD}::test_no_second_holds_more_than_a_cold_upstream_bears",
+        f"{COLD}::test_no_second_exceeds_the_rate_of_a_cold_upstream",
     ),
     Variant(
         "entries do not hear that an upstream turns cold",
