--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -87,7 +87,7 @@
         self._ended_here = False
         self._reply = Reply(
             http,
-            prepare=gateway.prepare,
+            prepare=gateway.set_keep_alive,
             now=gateway.now,
             last_event=admitted.req.resume_after,
         )
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -113,7 +113,7 @@
         self._metrics = metrics
         self._rng = rng
         self._lag = lag
-        self._spell = BusySpell()
+        self._busy_period = BusySpell()
         self._connections = connections
         self._first_configuration = FirstConfiguration(feed)
         self.restarts = Restarts()
@@ -157,7 +157,7 @@
             response = await self._serve(http)
         finally:
             self.in_flight -= 1
-        self.prepare(response)
+        self.set_keep_alive(response)
         return response
 
     def refuse_early(self, sender: Sender) -> NotRun | None:
@@ -171,12 +171,12 @@
         if account is None:
             return None
         now = self.now()
-        if not self._has_had_its_share(sender, now):
+        if not self._exceeds_share(sender, now):
             if lag <= MAX_LAG:
                 return None
             service = service_of_tokens(sender.own_tokens, sender.tokens_out)
             self.placer.asked_service(account, service, now)
-        refusal = self._busy()
+        refusal = self._busy_refusal()
         self._note_refusal(sender, refusal, now)
         self._metrics.refusals.inc(refusal.reason.value)
         return refusal
@@ -193,7 +193,7 @@
         }
         log.info("requests under way looked at", extra=extra)
 
-    def prepare(self, response: web.StreamResponse) -> None:
+    def set_keep_alive(self, response: web.StreamResponse) -> None:
         """End the caller's connection after this response where that is due."""
         if response.prepared:
             return
@@ -204,8 +204,8 @@
         arrived = self.now()
         if self._lag.millis > EXCESS_LAG:
             sender = self.dialect.read_sender(http)
-            if self._has_had_its_share(sender, arrived):
-                return self._refuse(sender, self._busy(), arrived)
+            if self._exceeds_share(sender, arrived):
+                return self._refuse(sender, self._busy_refusal(), arrived)
         req = self.dialect.read_request(http)
         if req is None:
             return self.error(NotRun(Reason.MALFORMED_HEADER))
@@ -217,7 +217,7 @@
             await self._first_configuration.wait(req.max_wait)
         admitted = self._admit(req, body, arrived)
         if isinstance(admitted, AdmittedRequest):
-            admitted = self._checked(admitted)
+            admitted = self._check_crash_guard(admitted)
         if isinstance(admitted, NotRun):
             return self._refuse(Sender(req.request_id, req.key), admitted, arrived)
         return await self._run(http, admitted)
@@ -256,14 +256,14 @@
     ) -> AdmittedRequest | NotRun:
         route = self._router.match(req.host, req.path)
         if route is None:
-            return self._absent(Reason.UNKNOWN_ROUTE)
-        account = self._account(req, route)
+            return self._not_configured(Reason.UNKNOWN_ROUTE)
+        account = self._authenticate(req, route)
         if isinstance(account, NotRun):
             return account
         if account is not None:
             self.placer.asked(account.name, req, arrived)
         if self._lag.millis > MAX_LAG:
-            return self._busy()
+            return self._busy_refusal()
         limit = route.time_limit
         if req.max_wait is not None:
             limit = min(limit, req.max_wait)
@@ -280,7 +280,7 @@
             ),
         )
 
-    def _checked(self, admitted: AdmittedRequest) -> AdmittedRequest | NotRun:
+    def _check_crash_guard(self, admitted: AdmittedRequest) -> AdmittedRequest | NotRun:
         """Refuse a request that ends upstreams, or may do so."""
         match self.crash_guard.refusal(admitted):
             case None:
@@ -291,11 +291,11 @@
             case reason:
                 return NotRun(reason, self.jitter(UNDECIDED_PAUSE))
 
-    def _busy(self) -> NotRun:
-        pause = self._spell.refused(self.now())
+    def _busy_refusal(self) -> NotRun:
+        pause = self._busy_period.refused(self.now())
         return NotRun(Reason.ENTRY_BUSY, self.jitter(pause))
 
-    def _has_had_its_share(self, sender: Sender, now: Millis) -> bool:
+    def _exceeds_share(self, sender: Sender, now: Millis) -> bool:
         """Tell whether a sender's account is ahead of others, by its key alone."""
         account = self._account_of(sender)
         if account is None:
@@ -310,14 +310,16 @@
         account = self._router.account(sender.key)
         return account.name if account is not None else None
 
-    def _account(self, req: RoutedRequest, route: Route) -> Account | NotRun | None:
+    def _authenticate(
+        self, req: RoutedRequest, route: Route
+    ) -> Account | NotRun | None:
         if not self._router.uses_account_keys:
             return None
         if req.key is None:
-            return None if route.anonymous else self._absent(Reason.NO_KEY)
-        return self._router.account(req.key) or self._absent(Reason.WRONG_KEY)
+            return None if route.anonymous else self._not_configured(Reason.NO_KEY)
+        return self._router.account(req.key) or self._not_configured(Reason.WRONG_KEY)
 
-    def _absent(self, reason: Reason) -> NotRun:
+    def _not_configured(self, reason: Reason) -> NotRun:
         """Refuse what the configuration does not hold, if it is known to be newest."""
         if self._feed.fresh:
             return NotRun(reason)
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -45,7 +45,7 @@
         )
         self.restarts = Restarts()
         self.request_log = SimpleNamespace(attempt=lambda *_, **__: None)
-        self.prepare = None
+        self.set_keep_alive = None
         self.uses_account_keys = False
 
     def now(self) -> int:
