--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -44,7 +44,7 @@
 """Part of the time left that a caller may be told to wait; more is not heeded."""
 MAX_RETRY_PAUSE: Millis = 4_000
 """Longest pause told: bursts last a few seconds."""
-RETURN_SPREAD: Millis = 500
+RETURN_JITTER: Millis = 500
 """Time over which callers come back once an upstream takes requests again."""
 
 
@@ -82,9 +82,9 @@
         self._gateway = gateway
         self._request = admitted
         self._progress = _Progress()
-        self._limit: asyncio.Timeout | None = None
+        self._timeout: asyncio.Timeout | None = None
         self._watch: SilenceWatch | None = None
-        self._ended_here = False
+        self._ended_by_guard = False
         self._reply = Reply(
             http,
             prepare=gateway.set_keep_alive,
@@ -116,25 +116,25 @@
 
     def reset_deadline_timer(self) -> None:
         """Set the timer to the time that is left: it leaves out suspended time."""
-        if self._limit is not None:
+        if self._timeout is not None:
             left = self._request.deadline - self._gateway.now()
             loop = asyncio.get_running_loop()
-            self._limit.reschedule(loop.time() + seconds(max(left, 1)))
+            self._timeout.reschedule(loop.time() + seconds(max(left, 1)))
 
     def end_attempt(self) -> None:
         """End the attempt under way, if any: the request must not reach upstreams."""
         if self._watch is not None:
-            self._ended_here = True
+            self._ended_by_guard = True
             self._watch.end()
 
     async def run(self) -> web.StreamResponse:
         """Return the finished response; the caller's connection may be cut instead."""
         try:
-            async with asyncio.timeout(None) as self._limit:
+            async with asyncio.timeout(None) as self._timeout:
                 self.reset_deadline_timer()
                 return await self._forward()
         except TimeoutError:
-            return self._out_of_time()
+            return self._deadline_passed()
 
     async def _forward(self) -> web.StreamResponse:
         self._gateway.budget.note_request(self._request.pool, self._gateway.now())
@@ -149,7 +149,7 @@
             if self._gateway.now() >= self._request.deadline:
                 # The box was suspended while it waited, and the timer is late.
                 flight.end()
-                return self._out_of_time()
+                return self._deadline_passed()
             if reason is not None:
                 # It may have been convicted while it waited for room.
                 flight.end()
@@ -166,7 +166,7 @@
         progress.last = flight.upstream.incarnation
         self.placement = flight.placement
         try:
-            ending = await self._watched(flight)
+            ending = await self._attempt_watched(flight)
         finally:
             flight.end()
         match ending:
@@ -178,7 +178,7 @@
                 progress.runs += 1
         return ending
 
-    async def _watched(self, flight: Flight) -> Ending:
+    async def _attempt_watched(self, flight: Flight) -> Ending:
         """Make an attempt; it may be given up if the upstream is silent or gone."""
         watch = SilenceWatch(lambda: self._on_silence(flight))
         reason = Reason.UPSTREAM_SILENT
@@ -193,21 +193,21 @@
         try:
             async with watch:
                 with restarts:
-                    return await self._answered(flight, watch)
+                    return await self._attempt_and_relay(flight, watch)
         except TimeoutError:
-            return Broken(Reason.CRASHES_UPSTREAMS if self._ended_here else reason)
+            return Broken(Reason.CRASHES_UPSTREAMS if self._ended_by_guard else reason)
         finally:
             self._watch = None
 
-    async def _answered(self, flight: Flight, watch: SilenceWatch) -> Ending:
+    async def _attempt_and_relay(self, flight: Flight, watch: SilenceWatch) -> Ending:
         route = self._request.route
         watch.wait(first_limit(route.latency_objective, flight.expected))
         ending = await self._attempt(flight.upstream)
         if isinstance(ending, Streaming):
-            ending = await self._stream(ending, flight, watch)
+            ending = await self._relay(ending, flight, watch)
         return ending
 
-    async def _stream(
+    async def _relay(
         self, streaming: Streaming, flight: Flight, watch: SilenceWatch
     ) -> Ending:
         limit = pause_limit(self._request.route.max_pause)
@@ -257,8 +257,8 @@
         self, flight: Flight, ending: Ending
     ) -> web.StreamResponse | None:
         """Return the response, or None to try another upstream."""
-        cut_here = self._ended_here and isinstance(ending, Broken)
-        if not cut_here:
+        ended_by_guard = self._ended_by_guard and isinstance(ending, Broken)
+        if not ended_by_guard:
             # A cut says nothing of the upstream or the request; an answer that was
             # whole by then does.
             self._gateway.note_ending(flight.upstream, ending)
@@ -326,7 +326,7 @@
     def _deliver_whole(self, whole: Whole) -> web.StreamResponse:
         if self._reply.begun:
             # A refusal by the upstream that should have gone on with a stream.
-            self._cut(Reason.UPSTREAM_BROKEN)
+            self._abort(Reason.UPSTREAM_BROKEN)
         self.outcome = Answered(whole.status)
         self._reply.note_first_byte()
         return web.Response(
@@ -336,51 +336,51 @@
     def _not_placed(self, reason: Reason) -> web.StreamResponse:
         """End a request for which there is no upstream, or no further one."""
         if self._reply.begun:
-            self._cut(reason)
+            self._abort(reason)
         return self._give_up(Reason.UPSTREAM_BROKEN if self._progress.runs else reason)
 
     def _give_up(self, reason: Reason) -> web.StreamResponse:
         """End a request after its last attempt, with no answer of an upstream."""
         if self._reply.begun:
-            self._cut(reason)
+            self._abort(reason)
         if self._progress.runs == 0:
             return self._refuse(reason)
         if reason in (Reason.CRASHES_UPSTREAMS, Reason.MAY_CRASH_UPSTREAMS):
             # It has run, and 503 would say that it has not.
             reason = Reason.UPSTREAM_BROKEN
-        lost = self._lost(reason)
+        lost = self._outcome_without_answer(reason)
         self.outcome = lost
         return self._gateway.error(lost)
 
-    def _lost(self, reason: Reason) -> Failed | Unknown:
+    def _outcome_without_answer(self, reason: Reason) -> Failed | Unknown:
         """Return the outcome of a request that may have run, without an answer."""
         unsafe = self._request.route.repeat is Repeat.ONCE
         return Unknown(reason) if unsafe else Failed(reason)
 
     def _refuse(self, reason: Reason) -> web.StreamResponse:
         """End a request that has certainly not run."""
-        pause = None if reason is Reason.CRASHES_UPSTREAMS else self._come_back()
+        pause = None if reason is Reason.CRASHES_UPSTREAMS else self._retry_pause()
         self.outcome = NotRun(reason, pause)
         return self._gateway.error(self.outcome)
 
-    def _come_back(self) -> Millis:
+    def _retry_pause(self) -> Millis:
         paused = self._gateway.placer.pause_left(self._request.scope)
         if paused:
             # Sooner there is nobody to serve it, and not all are to return at once.
-            return paused + self._gateway.jitter(RETURN_SPREAD)
+            return paused + self._gateway.jitter(RETURN_JITTER)
         left = max(self._request.deadline - self._gateway.now(), 0)
         return self._gateway.jitter(
             min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
         )
 
-    def _out_of_time(self) -> web.StreamResponse:
+    def _deadline_passed(self) -> web.StreamResponse:
         if self._reply.begun:
-            self._cut(Reason.DEADLINE_PASSED)
+            self._abort(Reason.DEADLINE_PASSED)
         if self._progress.sends == 0:
             return self._refuse(Reason.NO_UPSTREAM)
         self.outcome = Unknown(Reason.DEADLINE_PASSED)
         return self._gateway.error(self.outcome)
 
-    def _cut(self, reason: Reason) -> NoReturn:
-        self.outcome = self._lost(reason)
+    def _abort(self, reason: Reason) -> NoReturn:
+        self.outcome = self._outcome_without_answer(reason)
         self._reply.cut(reason)
