--- a/src/leadseam/routing/attempt.py
+++ b/src/leadseam/routing/attempt.py
@@ -24,8 +24,8 @@
     )
     from leadseam.wire.feed import Registration
 
-MAX_HELD = 1024 * 1024
-"""Bytes of an answer that are held until it is known to be whole."""
+MAX_BUFFERED = 1024 * 1024
+"""Bytes of an answer that are buffered until it is known to be whole."""
 FIRST_REDIRECTION = 300
 """Lowest status that is no success."""
 FIRST_SERVER_ERROR = 500
@@ -99,7 +99,7 @@
     Args:
         status: Its HTTP status.
         headers: Its end-to-end headers.
-        body: Its body, `MAX_HELD` bytes at the most.
+        body: Its body, `MAX_BUFFERED` bytes at the most.
     """
 
     status: int
@@ -114,13 +114,13 @@
     Args:
         resp: The open answer.
         headers: Its end-to-end headers.
-        held: Bytes of the body that were read already.
+        buffered: Bytes of the body that were read already.
         events: Whether the body is a sequence of events.
     """
 
     resp: aiohttp.ClientResponse
     headers: Headers
-    held: bytes = b""
+    buffered: bytes = b""
     events: bool = True
 
 
@@ -178,35 +178,35 @@
         return Broken(Reason.UPSTREAM_BROKEN)
     answer = dialect.read_answer(resp.status, resp.headers)
     on_head(resp.status, answer)
-    return await _judge(answer, req, resp)
+    return await _classify(answer, req, resp)
 
 
-async def _judge(
+async def _classify(
     answer: AnswerHead, req: RoutedRequest, resp: aiohttp.ClientResponse
 ) -> Ending:
     if answer.request_id != req.request_id:
         resp.close()
         return Broken(Reason.UPSTREAM_BROKEN)
     if answer.not_run or resp.status == MISDIRECTED:
-        await _read_out(resp)
+        await _drain(resp)
         return Declined(misdirected=resp.status == MISDIRECTED)
     success = resp.status < FIRST_REDIRECTION
     if success and not answer.signed:
         resp.close()
         return Broken(Reason.UPSTREAM_BROKEN)
-    headers = end_to_end(resp)
+    headers = end_to_end_headers(resp)
     if success and answer.event_stream:
         return Streaming(resp, headers)
-    return await _hold(resp, headers)
+    return await _buffer(resp, headers)
 
 
-async def _hold(resp: aiohttp.ClientResponse, headers: Headers) -> Ending:
-    held = b""
+async def _buffer(resp: aiohttp.ClientResponse, headers: Headers) -> Ending:
+    buffered = b""
     try:
         while data := await resp.content.readany():
-            held += data
-            if len(held) > MAX_HELD:
-                return Streaming(resp, headers, held, events=False)
+            buffered += data
+            if len(buffered) > MAX_BUFFERED:
+                return Streaming(resp, headers, buffered, events=False)
     except (aiohttp.ClientError, OSError):
         resp.close()
         return Broken(Reason.UPSTREAM_BROKEN)
@@ -214,10 +214,10 @@
         resp.close()
         raise
     resp.release()
-    return Whole(resp.status, headers, held)
+    return Whole(resp.status, headers, buffered)
 
 
-async def _read_out(resp: aiohttp.ClientResponse) -> None:
+async def _drain(resp: aiohttp.ClientResponse) -> None:
     """Read a short body so that the connection may be used again."""
     try:
         await resp.read()
@@ -225,7 +225,7 @@
         resp.close()
 
 
-def end_to_end(resp: aiohttp.ClientResponse) -> Headers:
+def end_to_end_headers(resp: aiohttp.ClientResponse) -> Headers:
     """Return the headers of an answer that are meant for the caller."""
     return tuple(
         (str(name), str(value))
--- a/src/leadseam/routing/reply.py
+++ b/src/leadseam/routing/reply.py
@@ -74,7 +74,7 @@
         """
         try:
             splitter = EventSplitter() if streaming.events else Unsplit()
-            await self._write(streaming, splitter.feed(streaming.held))
+            await self._write(streaming, splitter.feed(streaming.buffered))
             while data := await streaming.resp.content.readany():
                 on_data()
                 await self._write(streaming, splitter.feed(data))
