--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -31,7 +31,7 @@
     from leadseam.routing.exchange import Exchange
     from leadseam.wire.feed import Registration
 
-LOOK_DELAY: Millis = 20
+PROBE_DELAY: Millis = 20
 """Time after a broken attempt until a connection is tried: the end of a process closes
 its sockets one after another, within some ms."""
 
@@ -136,11 +136,11 @@
         incarnation = upstream.incarnation
         now = self._clock.now()
         if self._suspects.broke(suspect, incarnation, now, early=early):
-            spawn(self._look(upstream))
+            spawn(self._probe(upstream))
 
-    async def _look(self, upstream: Registration) -> None:
+    async def _probe(self, upstream: Registration) -> None:
         """Try a connection, as nobody else may for a while."""
-        await sleep(LOOK_DELAY)
+        await sleep(PROBE_DELAY)
         if await self._client.is_refused(upstream.ip, upstream.port):
             self.ended(upstream.incarnation)
 
@@ -182,7 +182,7 @@
         """Refuse requests from now on, and end their attempts under way."""
         for fingerprint in fingerprints:
             row = self._suspects.book.get(fingerprint)
-            ended = [one for one in self._running if self._is_of(one, fingerprint)]
+            ended = [one for one in self._running if self._matches(one, fingerprint)]
             for exchange in ended:
                 exchange.end_attempt()
             extra = {
@@ -193,7 +193,7 @@
             }
             log.warning("request crashes upstreams and is refused", extra=extra)
 
-    def _is_of(self, exchange: Exchange, fingerprint: Fingerprint) -> bool:
+    def _matches(self, exchange: Exchange, fingerprint: Fingerprint) -> bool:
         admitted = exchange.admitted
         return self._may_know(admitted) and admitted.fingerprint() == fingerprint
 
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -13,7 +13,7 @@
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import Broken, Whole
-from leadseam.routing.crash_guard import LOOK_DELAY, CrashGuard
+from leadseam.routing.crash_guard import PROBE_DELAY, CrashGuard
 from leadseam.wire.crashes import Crashes, CrashRow
 from tests.routing.samples import make_request, make_route, make_upstream
 
@@ -76,7 +76,7 @@
     for number in (1, 2, 3):
         assert entry.guard.refusal(admitted()) is None
         entry.broke(number)
-        await asyncio.sleep(2 * LOOK_DELAY / 1_000)
+        await asyncio.sleep(2 * PROBE_DELAY / 1_000)
     assert entry.guard.refusal(admitted()) is Reason.CRASHES_UPSTREAMS
     assert entry.guard.refusal(admitted(b"{ }")) is None
     rows = [row for message in entry.told for row in message.rows]
@@ -86,7 +86,7 @@
 async def test_breaks_alone_only_put_it_on_trial(entry: Entry) -> None:
     for number in (1, 2, 3):
         entry.broke(number)
-    await asyncio.sleep(2 * LOOK_DELAY / 1_000)
+    await asyncio.sleep(2 * PROBE_DELAY / 1_000)
     assert entry.guard.refusal(admitted()) is Reason.MAY_CRASH_UPSTREAMS
     entry.clock.advance(200)
     for upstream in entry.upstreams:
