--- a/src/leadseam/routing/client.py
+++ b/src/leadseam/routing/client.py
@@ -83,14 +83,14 @@
             if code:
                 self._fail_body(OSError(code, "connection reset"))
         super().eof_received()
-        self._tell()
+        self._notify_listener()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Fail an unfinished body if the connection was reset."""
         if exc is not None:
             self._fail_body(exc)
         super().connection_lost(exc)
-        self._tell()
+        self._notify_listener()
 
     def _fail_body(self, exc: BaseException) -> None:
         payload = self._payload
@@ -105,9 +105,9 @@
                 self.transport.close()
             return
         super().data_received(data)
-        self._tell()
+        self._notify_listener()
 
-    def _tell(self) -> None:
+    def _notify_listener(self) -> None:
         if self.listener is not None:
             self.listener()
 
@@ -149,11 +149,11 @@
         self, *args: Any, **kwargs: Any
     ) -> tuple[asyncio.Transport, ResponseHandler]:
         transport, conn = await super()._wrap_create_connection(*args, **kwargs)
-        _watch_peer(transport.get_extra_info("socket"))
+        _enable_keepalive(transport.get_extra_info("socket"))
         return transport, conn
 
 
-def _watch_peer(sock: socket.socket) -> None:
+def _enable_keepalive(sock: socket.socket) -> None:
     """Have the system end a connection whose peer does not answer any more."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S)
