--- a/src/leadseam/routing/events.py
+++ b/src/leadseam/routing/events.py
@@ -13,11 +13,11 @@
 
     Args:
         data: Its bytes, with the empty line that ends it.
-        identity: Value of its `id` line, or None.
+        event_id: Value of its `id` line, or None.
     """
 
     data: bytes
-    identity: str | None
+    event_id: str | None
 
 
 class EventSplitter:
@@ -38,12 +38,12 @@
         """Take bytes and return the events that they complete."""
         if not self._buffer and _is_one_event(data):
             # One whole event at a time is what upstreams send nearly always.
-            return [Event(data, _identity(data))]
+            return [Event(data, _event_id(data))]
         self._buffer += data
         events = []
         while (end := self._end_of_event()) > 0:
             block, self._buffer = self._buffer[:end], self._buffer[end:]
-            events.append(Event(block, _identity(block)))
+            events.append(Event(block, _event_id(block)))
         return events
 
     def _end_of_event(self) -> int:
@@ -55,7 +55,7 @@
         return min(ends, default=0)
 
 
-class Unsplit:
+class PassThrough:
     """Gives out bytes as they come: a body that is no sequence of events."""
 
     pending = b""
@@ -73,7 +73,7 @@
     )
 
 
-def _identity(block: bytes) -> str | None:
+def _event_id(block: bytes) -> str | None:
     start = 0 if block.startswith(b"id:") else block.find(b"\nid:") + 1
     if start == 0 and not block.startswith(b"id:"):
         return None
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -111,7 +111,7 @@
 
     @property
     def first_byte_at(self) -> Millis:
-        """When the first byte went to the caller, `NOT_YET` before."""
+        """When the first byte went to the caller, `NOT_SENT` before."""
         return self._reply.first_byte_at
 
     def reset_deadline_timer(self) -> None:
@@ -307,7 +307,7 @@
     def _may_run_again(self, runs: int) -> bool:
         """Tell whether a request that may have run so often may run once more."""
         route = self._request.route
-        if self._reply.begun and not route.resumable:
+        if self._reply.started and not route.resumable:
             return False
         return route.repeatable and runs < route.max_attempts
 
@@ -324,7 +324,7 @@
     # Answers
 
     def _deliver_whole(self, whole: Whole) -> web.StreamResponse:
-        if self._reply.begun:
+        if self._reply.started:
             # A refusal by the upstream that should have gone on with a stream.
             self._abort(Reason.UPSTREAM_BROKEN)
         self.outcome = Answered(whole.status)
@@ -335,13 +335,13 @@
 
     def _not_placed(self, reason: Reason) -> web.StreamResponse:
         """End a request for which there is no upstream, or no further one."""
-        if self._reply.begun:
+        if self._reply.started:
             self._abort(reason)
         return self._give_up(Reason.UPSTREAM_BROKEN if self._progress.runs else reason)
 
     def _give_up(self, reason: Reason) -> web.StreamResponse:
         """End a request after its last attempt, with no answer of an upstream."""
-        if self._reply.begun:
+        if self._reply.started:
             self._abort(reason)
         if self._progress.runs == 0:
             return self._refuse(reason)
@@ -374,7 +374,7 @@
         )
 
     def _deadline_passed(self) -> web.StreamResponse:
-        if self._reply.begun:
+        if self._reply.started:
             self._abort(Reason.DEADLINE_PASSED)
         if self._progress.sends == 0:
             return self._refuse(Reason.NO_UPSTREAM)
@@ -383,4 +383,4 @@
 
     def _abort(self, reason: Reason) -> NoReturn:
         self.outcome = self._outcome_without_answer(reason)
-        self._reply.cut(reason)
+        self._reply.abort(reason)
--- a/src/leadseam/routing/reply.py
+++ b/src/leadseam/routing/reply.py
@@ -9,7 +9,7 @@
 
 from leadseam.outcome import Reason
 from leadseam.routing.attempt import Broken, Ending, Streaming
-from leadseam.routing.events import Event, EventSplitter, Unsplit
+from leadseam.routing.events import Event, EventSplitter, PassThrough
 from leadseam.routing.pump import Pump, connection_of
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     from leadseam.clock import Millis
 
-NOT_YET: Millis = -1
+NOT_SENT: Millis = -1
 """Time of a first byte that has not been sent."""
 
 
@@ -45,17 +45,17 @@
         last_event: str | None,
     ) -> None:
         self.last_event = last_event
-        self.first_byte_at: Millis = NOT_YET
+        self.first_byte_at: Millis = NOT_SENT
         self._http = http
         self._prepare = prepare
         self._now = now
         self._response: web.StreamResponse | None = None
 
     def __repr__(self) -> str:
-        return f"Reply(begun={self.begun}, last_event={self.last_event!r})"
+        return f"Reply(started={self.started}, last_event={self.last_event!r})"
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether the head of a stream went to the caller."""
         return self._response is not None
 
@@ -73,7 +73,7 @@
             CallerGoneError: If nothing can be sent to the caller any more.
         """
         try:
-            splitter = EventSplitter() if streaming.events else Unsplit()
+            splitter = EventSplitter() if streaming.events else PassThrough()
             await self._write(streaming, splitter.feed(streaming.buffered))
             while data := await streaming.resp.content.readany():
                 on_data()
@@ -89,11 +89,11 @@
             # Ends the work of an upstream whose answer is not read to its end.
             streaming.resp.close()
         if self._response is None:
-            await self._open(streaming)
+            await self._start(streaming)
         return streaming
 
     async def end(self) -> web.StreamResponse:
-        """Finish a response that has begun, and return it.
+        """Finish a response that has started, and return it.
 
         Raises:
             CallerGoneError: If the caller left before its end.
@@ -105,8 +105,8 @@
             raise CallerGoneError(str(exc)) from exc
         return self._response
 
-    def cut(self, reason: Reason) -> NoReturn:
-        """End a response that has begun so that it cannot look complete.
+    def abort(self, reason: Reason) -> NoReturn:
+        """End a response that has started so that it cannot look complete.
 
         Raises:
             CallerGoneError: Always, as nothing more can be sent.
@@ -117,7 +117,7 @@
 
     def note_first_byte(self) -> None:
         """Note that the caller gets an answer; only the first call counts."""
-        if self.first_byte_at == NOT_YET:
+        if self.first_byte_at == NOT_SENT:
             self.first_byte_at = self._now()
 
     def _caller_gone(self) -> bool:
@@ -130,13 +130,13 @@
     async def _pump(
         self,
         streaming: Streaming,
-        splitter: EventSplitter | Unsplit,
+        splitter: EventSplitter | PassThrough,
         on_data: Callable[[], None],
     ) -> None:
         """Pass on events where they come in, for as long as the caller keeps up."""
         conn = connection_of(streaming.resp)
         caller = self._http.protocol
-        if conn is None or not self.begun or caller.writing_paused:
+        if conn is None or not self.started or caller.writing_paused:
             return
 
         def send(data: bytes) -> None:
@@ -146,7 +146,7 @@
         await Pump(streaming.resp.content, conn, caller, send).run()
 
     def _send(self, events: list[Event]) -> None:
-        """Send events on a response that has begun, without waiting."""
+        """Send events on a response that has started, without waiting."""
         if not events:
             return
         transport = self._open_transport()
@@ -158,15 +158,15 @@
 
     def _note_sent(self, events: list[Event]) -> None:
         for event in events:
-            if event.identity is not None:
-                self.last_event = event.identity
+            if event.event_id is not None:
+                self.last_event = event.event_id
 
     async def _write(self, streaming: Streaming, events: list[Event]) -> None:
         if not events:
             return
         response = self._response
         if response is None:
-            response = await self._open(streaming)
+            response = await self._start(streaming)
         try:
             await response.write(b"".join(event.data for event in events))
             # What was sent without waiting may still wait for the caller.
@@ -175,7 +175,7 @@
             raise CallerGoneError(str(exc)) from exc
         self._note_sent(events)
 
-    async def _open(self, streaming: Streaming) -> web.StreamResponse:
+    async def _start(self, streaming: Streaming) -> web.StreamResponse:
         status = streaming.resp.status
         response = web.StreamResponse(status=status, headers=list(streaming.headers))
         self._response = response
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -9,7 +9,7 @@
 from leadseam.outcome import Answered, NotRun, Outcome
 from leadseam.routing.attempt import FIRST_SERVER_ERROR, Broken, Streaming, Whole
 from leadseam.routing.balance import own_tokens
-from leadseam.routing.reply import NOT_YET
+from leadseam.routing.reply import NOT_SENT
 from leadseam.runtime.logs import LineBudget, lines_not_written
 
 if TYPE_CHECKING:
@@ -166,7 +166,7 @@
         outcome: Outcome = exchange.outcome
         self._metrics.requests.inc(outcome_name(outcome))
         self._metrics.duration.add({}, (now - admitted.arrived) / 1_000)
-        if exchange.first_byte_at != NOT_YET:
+        if exchange.first_byte_at != NOT_SENT:
             first = exchange.first_byte_at - admitted.arrived
             self._metrics.first_byte.add({}, first / 1_000)
         if isinstance(outcome, NotRun) and admitted.account is not None:
@@ -195,7 +195,7 @@
             extra["unread"] = exchange.placement.unread
             extra["reread"] = exchange.placement.reread
             extra["rank"] = exchange.placement.rank
-        if exchange.first_byte_at != NOT_YET:
+        if exchange.first_byte_at != NOT_SENT:
             extra["first_ms"] = exchange.first_byte_at - admitted.arrived
         if isinstance(outcome, Answered):
             extra["status"] = outcome.status
