--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -350,14 +350,14 @@
             # Whoever answers there is not the upstream that was meant.
             return
         if head.pause or head.invalid_pause:
-            self.request_log.asks_pause(upstream, admitted, head)
+            self.request_log.requests_pause(upstream, admitted, head)
         if head.pause:
             self.placer.pause(upstream, head.pause)
         elif status < FIRST_REDIRECTION:
             self.placer.answered(upstream)
         if head.leaving and self._feed.view.left([upstream.incarnation]):
             # Heartbeats may not say it, or this entry may not be told of them.
-            self.request_log.says_it_leaves(upstream, admitted, status)
+            self.request_log.announces_leaving(upstream, admitted, status)
 
     def note_ending(self, upstream: Registration, ending: Ending) -> None:
         """Learn about an upstream from an attempt."""
@@ -365,31 +365,31 @@
         self._metrics.attempts.inc(type(ending).__name__.lower())
         match ending:
             case Declined(misdirected=True):
-                left_alone = False
+                excluded = False
                 self.crash_guard.ended(upstream.incarnation)
                 if self._feed.view.misdirected(upstream.incarnation):
                     self.request_log.address_lost(upstream)
             case Withheld() | Unreachable(local=True) | Declined():
-                left_alone = False
+                excluded = False
             case Unreachable(refused=refused):
                 if refused:
                     self.crash_guard.ended(upstream.incarnation)
-                left_alone = self._health.unreachable(upstream.incarnation, now)
+                excluded = self._health.unreachable(upstream.incarnation, now)
             case Broken():
-                left_alone = self._health.failed(upstream.incarnation, now)
+                excluded = self._health.failed(upstream.incarnation, now)
             case Whole(status=status) if status >= FIRST_SERVER_ERROR:
-                left_alone = self._health.failed(upstream.incarnation, now)
+                excluded = self._health.failed(upstream.incarnation, now)
             case Whole() | Streaming():
                 self._health.succeeded(upstream.incarnation)
                 self._feed.view.answered(upstream.incarnation, now)
-                left_alone = False
-        if left_alone:
-            self.request_log.left_alone(upstream, ending)
+                excluded = False
+        if excluded:
+            self.request_log.excluded(upstream, ending)
 
     def note_silence(self, upstream: Registration, admitted: AdmittedRequest) -> None:
         """Learn about an upstream that has not answered for too long."""
-        left_alone = self._health.failed(upstream.incarnation, self.now())
-        self.request_log.silence(upstream, admitted, left_alone=left_alone)
+        excluded = self._health.failed(upstream.incarnation, self.now())
+        self.request_log.silence(upstream, admitted, excluded=excluded)
 
     def error(self, outcome: NotRun | Failed | Unknown) -> web.Response:
         """Return the response for an outcome without an upstream's answer."""
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -114,18 +114,18 @@
             log.info("attempt failed", extra=extra)
 
     def silence(
-        self, upstream: Registration, admitted: AdmittedRequest, *, left_alone: bool
+        self, upstream: Registration, admitted: AdmittedRequest, *, excluded: bool
     ) -> None:
         """Write a line for an upstream that has not answered for too long."""
         if self._lines.take():
             extra = {
                 **self._context(admitted),
                 "instance": str(upstream.incarnation),
-                "left_alone": left_alone,
+                "left_alone": excluded,
             }
             log.info("upstream silent", extra=extra)
 
-    def asks_pause(
+    def requests_pause(
         self, upstream: Registration, admitted: AdmittedRequest, head: AnswerHead
     ) -> None:
         """Note that an upstream turns a request away and asks for a pause."""
@@ -139,7 +139,7 @@
             }
             log.info("upstream asks for a pause", extra=extra)
 
-    def says_it_leaves(
+    def announces_leaving(
         self, upstream: Registration, admitted: AdmittedRequest, status: int
     ) -> None:
         """Write a line, outside the budget, for an upstream that is about to end."""
@@ -150,7 +150,7 @@
         }
         log.info("upstream says in an answer that it leaves", extra=extra)
 
-    def left_alone(self, upstream: Registration, ending: Ending) -> None:
+    def excluded(self, upstream: Registration, ending: Ending) -> None:
         """Write a line, outside the budget, for an upstream that gets no new work."""
         extra = {"instance": str(upstream.incarnation), "ending": repr(ending)}
         log.warning("upstream left alone for a while", extra=extra)
