--- a/src/leadseam/routing/health.py
+++ b/src/leadseam/routing/health.py
@@ -72,15 +72,15 @@
         row.share += WEIGHT * (1 - row.share)
         if row.share < FAILING_SHARE:
             return False
-        return self._leave_alone(row, now)
+        return self._exclude(row, now)
 
     def unreachable(self, incarnation: Incarnation, now: Millis) -> bool:
         """Note a connection that could not be opened; see `failed`."""
         row = self._rows.setdefault(incarnation, _Row())
         row.share = max(row.share, FAILING_SHARE)
-        return self._leave_alone(row, now)
+        return self._exclude(row, now)
 
-    def _leave_alone(self, row: _Row, now: Millis) -> bool:
+    def _exclude(self, row: _Row, now: Millis) -> bool:
         if now < row.until:
             return False
         row.until = now + row.pause
@@ -88,9 +88,9 @@
         row.pause = min(row.pause * 2, MAX_PAUSE)
         # After the pause a few failures are needed, not just one.
         row.share = FAILING_SHARE / 2
-        self._bound()
+        self._evict()
         return True
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         while len(self._rows) > MAX_ROWS:
             del self._rows[next(iter(self._rows))]
