--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -23,7 +23,7 @@
 last one: its caller may have gone, or it may take long."""
 GROWTH = 2
 """Requests that an upstream may get for each that it has answered after a pause."""
-FORGOTTEN: Millis = 60_000
+RETENTION: Millis = 60_000
 """Time after a pause from which an upstream counts as any other, whatever it got."""
 
 
@@ -112,6 +112,6 @@
 
     def sweep(self, now: Millis) -> None:
         """Forget upstreams whose pause was over long ago."""
-        over = [one for one, row in self._rows.items() if now > row.until + FORGOTTEN]
+        over = [one for one, row in self._rows.items() if now > row.until + RETENTION]
         for incarnation in over:
             del self._rows[incarnation]
