--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -25,7 +25,7 @@
 )
 from leadseam.routing.dialect import AttemptHead
 from leadseam.routing.reply import Reply
-from leadseam.routing.silence import SilenceWatch, first_limit, pause_limit
+from leadseam.routing.silence import SilenceWatch, first_byte_limit, gap_limit
 
 if TYPE_CHECKING:
     from leadseam.clock import Millis
@@ -201,7 +201,7 @@
 
     async def _attempt_and_relay(self, flight: Flight, watch: SilenceWatch) -> Ending:
         route = self._request.route
-        watch.wait(first_limit(route.latency_objective, flight.expected))
+        watch.reset(first_byte_limit(route.latency_objective, flight.expected))
         ending = await self._attempt(flight.upstream)
         if isinstance(ending, Streaming):
             ending = await self._relay(ending, flight, watch)
@@ -210,11 +210,11 @@
     async def _relay(
         self, streaming: Streaming, flight: Flight, watch: SilenceWatch
     ) -> Ending:
-        limit = pause_limit(self._request.route.max_pause)
+        limit = gap_limit(self._request.route.max_pause)
 
         def on_data() -> None:
             flight.first_byte()
-            watch.wait(limit)
+            watch.reset(limit)
 
         return await self._reply.relay(streaming, on_data)
 
--- a/src/leadseam/routing/silence.py
+++ b/src/leadseam/routing/silence.py
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-FIRST_PART = 1.5
+FIRST_BYTE_FACTOR = 1.5
 """Multiple of the latency objective that a first byte may take."""
-ESTIMATE_PART = 3.0
+ESTIMATE_FACTOR = 3.0
 """Multiple of the expected time that a first byte may take, where that is longer."""
-MIN_FIRST: Millis = 500
+MIN_FIRST_BYTE_LIMIT: Millis = 500
 """Shortest silence before a first byte that counts."""
-PAUSE_PART = 4.0
+GAP_FACTOR = 4.0
 """Multiple of the longest pause in time after which a stream counts as silent."""
-MIN_PAUSE: Millis = 1_000
+MIN_GAP_LIMIT: Millis = 1_000
 """Shortest silence inside a stream that counts: preempted requests stand that long."""
 
 
@@ -36,7 +36,7 @@
     def __init__(self, on_silence: Callable[[], bool]) -> None:
         self._on_silence = on_silence
         self._limit = 0.0
-        self._heard_at = 0.0
+        self._last_activity = 0.0
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._timeout = asyncio.timeout(None)
@@ -50,39 +50,41 @@
             self._timer.cancel()
         await self._timeout.__aexit__(*exc)  # type: ignore[arg-type]
 
-    def wait(self, limit: Millis) -> None:
+    def reset(self, limit: Millis) -> None:
         """Expect a sign of life within so many milliseconds from now."""
         self._limit = seconds(limit)
-        self._heard_at = self._loop.time()
+        self._last_activity = self._loop.time()
         if self._timer is None:
-            self._look_in(self._limit)
+            self._schedule(self._limit)
 
     def end(self) -> None:
         """End the attempt now."""
         self._timeout.reschedule(self._loop.time())
 
-    def _look_in(self, delay: float) -> None:
-        self._timer = self._loop.call_later(delay, self._look)
+    def _schedule(self, delay: float) -> None:
+        self._timer = self._loop.call_later(delay, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._loop.time()
-        left = self._heard_at + self._limit - now
+        left = self._last_activity + self._limit - now
         if left > 0:
-            self._look_in(left)
+            self._schedule(left)
         elif self._on_silence():
             self._timeout.reschedule(now)
         else:
-            self._heard_at = now
-            self._look_in(self._limit)
+            self._last_activity = now
+            self._schedule(self._limit)
 
 
-def first_limit(objective: Millis, expected: float) -> Millis:
+def first_byte_limit(objective: Millis, expected: float) -> Millis:
     """Return how long a first byte may take before it counts as missing."""
     return max(
-        round(objective * FIRST_PART), round(expected * ESTIMATE_PART), MIN_FIRST
+        round(objective * FIRST_BYTE_FACTOR),
+        round(expected * ESTIMATE_FACTOR),
+        MIN_FIRST_BYTE_LIMIT,
     )
 
 
-def pause_limit(max_pause: Millis) -> Millis:
+def gap_limit(max_pause: Millis) -> Millis:
     """Return how long a stream may be silent."""
-    return max(round(max_pause * PAUSE_PART), MIN_PAUSE)
+    return max(round(max_pause * GAP_FACTOR), MIN_GAP_LIMIT)
