--- a/src/leadseam/routing/busy.py
+++ b/src/leadseam/routing/busy.py
@@ -17,24 +17,24 @@
 LONGEST_PAUSE: Millis = 4_000
 """Longest pause told: bursts last a few seconds, and callers heed a third of the time
 that they have left."""
-SPELL_GAP: Millis = 500
+BUSY_GAP: Millis = 500
 """Time without a refusal after which an entry no longer counts as busy: several times
 that in which the measured lag halves."""
 
 
-class BusySpell:
+class BusyPeriod:
     """How long an entry has been refusing requests as busy."""
 
     def __init__(self) -> None:
         self._since: Millis = 0
-        self._last: Millis = -SPELL_GAP
+        self._last: Millis = -BUSY_GAP
 
     def __repr__(self) -> str:
-        return f"BusySpell(since={self._since}, last={self._last})"
+        return f"BusyPeriod(since={self._since}, last={self._last})"
 
     def refused(self, now: Millis) -> Millis:
         """Note a refusal and return the longest pause to tell with it."""
-        if now - self._last >= SPELL_GAP:
+        if now - self._last >= BUSY_GAP:
             self._since = now
         self._last = now
         return min(max(now - self._since, SHORTEST_PAUSE), LONGEST_PAUSE)
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -23,7 +23,7 @@
 )
 from leadseam.routing.balance import service_of_tokens
 from leadseam.routing.budget import PoolRetryBudget
-from leadseam.routing.busy import BusySpell
+from leadseam.routing.busy import BusyPeriod
 from leadseam.routing.crash_guard import CrashGuard
 from leadseam.routing.dialect import Sender
 from leadseam.routing.exchange import Exchange
@@ -113,7 +113,7 @@
         self._metrics = metrics
         self._rng = rng
         self._lag = lag
-        self._busy_period = BusySpell()
+        self._busy_period = BusyPeriod()
         self._connections = connections
         self._first_configuration = FirstConfiguration(feed)
         self.restarts = Restarts()
--- a/tests/routing/test_busy.py
+++ b/tests/routing/test_busy.py
@@ -7,27 +7,27 @@
 
 from __future__ import annotations
 
-from leadseam.routing.busy import LONGEST_PAUSE, SHORTEST_PAUSE, SPELL_GAP, BusySpell
+from leadseam.routing.busy import BUSY_GAP, LONGEST_PAUSE, SHORTEST_PAUSE, BusyPeriod
 
 
 def test_the_first_refusal_tells_a_short_pause() -> None:
-    assert BusySpell().refused(10_000) == SHORTEST_PAUSE
+    assert BusyPeriod().refused(10_000) == SHORTEST_PAUSE
 
 
 def test_a_pause_is_as_long_as_the_entry_has_been_busy() -> None:
-    spell = BusySpell()
-    told = [spell.refused(now) for now in range(0, 6_000, 100)]
+    period = BusyPeriod()
+    told = [period.refused(now) for now in range(0, 6_000, 100)]
     assert told[:3] == [150, 150, 200]
     assert told[20] == 2_000
     assert told[-1] == LONGEST_PAUSE
 
 
 def test_an_entry_that_had_time_in_between_begins_anew() -> None:
-    spell = BusySpell()
+    period = BusyPeriod()
     for now in range(0, 3_001, 100):
-        spell.refused(now)
-    assert spell.refused(3_000 + SPELL_GAP - 1) == 3_499
-    assert spell.refused(3_000 + 3 * SPELL_GAP) == SHORTEST_PAUSE
+        period.refused(now)
+    assert period.refused(3_000 + BUSY_GAP - 1) == 3_499
+    assert period.refused(3_000 + 3 * BUSY_GAP) == SHORTEST_PAUSE
 
 
 def served_of_a_burst(pause_of: object) -> int:
@@ -52,6 +52,6 @@
 
 
 def test_more_callers_of_a_long_burst_are_served() -> None:
-    spell = BusySpell()
+    period = BusyPeriod()
     short = served_of_a_burst(lambda _: SHORTEST_PAUSE)
-    assert served_of_a_burst(spell.refused) > 1.3 * short
+    assert served_of_a_burst(period.refused) > 1.3 * short
