--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -37,9 +37,9 @@
     from leadseam.outcome import Outcome
     from leadseam.wire.feed import Registration
 
-HOP = 0.002
+NETWORK_DELAY = 0.002
 """Seconds from box to box."""
-WORK = 0.05
+SERVICE_TIME = 0.05
 """Seconds that an upstream works on a request."""
 
 
@@ -48,23 +48,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spell:
+class RefusalPeriod:
     """A time in which an upstream turns away all that reaches it.
 
     Args:
         begin: When it begins, in seconds.
         end: When it ends.
-        rest: Seconds of rest for which the upstream asks each time.
+        pause: Seconds of rest for which the upstream asks each time.
     """
 
     begin: float
     end: float
-    rest: float
+    pause: float
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A word of an upstream that an entry has heard.
+class Announcement:
+    """A announcement of an upstream that an entry has heard.
 
     Args:
         entry: The entry.
@@ -91,36 +91,37 @@
 
 
 @dataclass
-class Modelled:
+class ModelledUpstream:
     """A modelled upstream.
 
     Args:
         row: Its registration.
-        spells: When it turns requests away.
+        periods: When it turns requests away.
         leaves_at: When its answers begin to say that it leaves, in seconds.
         arrivals: What has reached it.
-        words: What entries have heard of it.
+        announcements: What entries have heard of it.
         ran: Requests that it ran.
     """
 
     row: Registration
-    spells: tuple[Spell, ...] = ()
+    periods: tuple[RefusalPeriod, ...] = ()
     leaves_at: float = float("inf")
     arrivals: list[Arrival] = field(default_factory=list)
-    words: list[Heard] = field(default_factory=list)
+    announcements: list[Announcement] = field(default_factory=list)
     ran: int = 0
 
-    def spell_at(self, at: float) -> Spell | None:
-        """Return the spell in which it is, if any."""
-        return next((one for one in self.spells if one.begin <= at < one.end), None)
+    def refusal_period_at(self, at: float) -> RefusalPeriod | None:
+        """Return the period in which it is, if any."""
+        return next((one for one in self.periods if one.begin <= at < one.end), None)
 
-    def broken_words(self) -> list[tuple[Heard, Arrival]]:
-        """Return words of it and requests that were written in spite of them."""
+    def ignored_announcements(self) -> list[tuple[Announcement, Arrival]]:
+        """Return announcements and requests that were sent in spite of them."""
         return [
-            (word, arrival)
-            for word in self.words
+            (announcement, arrival)
+            for announcement in self.announcements
             for arrival in self.arrivals
-            if word.entry == arrival.entry and word.at < arrival.at < word.until
+            if announcement.entry == arrival.entry
+            and announcement.at < arrival.at < announcement.until
         ]
 
 
@@ -164,27 +165,27 @@
         loop = asyncio.get_running_loop()
         upstream = fleet.upstreams[ip]
         upstream.arrivals.append(Arrival(self._entry, loop.time()))
-        await asyncio.sleep(HOP)
+        await asyncio.sleep(NETWORK_DELAY)
         request_id = dict(headers)[names.REQUEST_ID]
-        said = {names.REQUEST_ID: request_id}
+        answer = {names.REQUEST_ID: request_id}
         leaves = loop.time() >= upstream.leaves_at
         if leaves:
-            said[names.LEAVING] = names.LEAVING_SET
-        spell = upstream.spell_at(loop.time())
-        if spell is not None:
-            await asyncio.sleep(HOP)
-            self._hear(upstream, loop.time() + spell.rest)
-            said |= {names.NOT_RUN: "1", names.RETRY_AFTER: f"{spell.rest:.3f}"}
-            return _Answer(503, said)
+            answer[names.LEAVING] = names.LEAVING_SET
+        period = upstream.refusal_period_at(loop.time())
+        if period is not None:
+            await asyncio.sleep(NETWORK_DELAY)
+            self._record(upstream, loop.time() + period.pause)
+            answer |= {names.NOT_RUN: "1", names.RETRY_AFTER: f"{period.pause:.3f}"}
+            return _Answer(503, answer)
         upstream.ran += 1
-        await asyncio.sleep(WORK + HOP)
+        await asyncio.sleep(SERVICE_TIME + NETWORK_DELAY)
         if leaves:
-            self._hear(upstream, float("inf"))
-        return _Answer(200, said | {names.SIGNATURE: "s"})
+            self._record(upstream, float("inf"))
+        return _Answer(200, answer | {names.SIGNATURE: "s"})
 
-    def _hear(self, upstream: Modelled, until: float) -> None:
+    def _record(self, upstream: ModelledUpstream, until: float) -> None:
         at = asyncio.get_running_loop().time()
-        upstream.words.append(Heard(self._entry, at, until))
+        upstream.announcements.append(Announcement(self._entry, at, until))
 
 
 class GatewayFleet:
@@ -200,12 +201,12 @@
 
     def __init__(
         self,
-        upstreams: Iterable[Modelled],
+        upstreams: Iterable[ModelledUpstream],
         *,
         entries: int = 2,
         engines: bool = True,
         seed: int = 1,
-        connect_s: float = HOP,
+        connect_s: float = NETWORK_DELAY,
     ) -> None:
         self.rng = random.Random(seed)
         self.connect_s = connect_s
@@ -245,7 +246,7 @@
             entry=f"entry-{number}",
         )
 
-    async def call(self, entry: int, *, patience: int = 3_000) -> None:
+    async def call(self, entry: int, *, max_wait: int = 3_000) -> None:
         """Make a request through an entry, and note its outcome."""
         self._numbers += 1
         now = self._clock.now()
@@ -260,7 +261,7 @@
             pool="p",
             account="bank",
             arrived=now,
-            deadline=now + patience,
+            deadline=now + max_wait,
         )
         http = SimpleNamespace(transport=None, protocol=None)
         exchange = Exchange(self.gateways[entry], cast("Any", http), admitted)
@@ -279,10 +280,10 @@
                 group.create_task(self.call(self.rng.randrange(len(self.gateways))))
 
 
-def modelled(count: int, **first: Any) -> list[Modelled]:
+def modelled(count: int, **first: Any) -> list[ModelledUpstream]:
     """Return upstreams, the first one with other fields than the rest."""
     rows = [make_upstream(number) for number in range(1, count + 1)]
     return [
-        Modelled(row, **(first if number == 0 else {}))
+        ModelledUpstream(row, **(first if number == 0 else {}))
         for number, row in enumerate(rows)
     ]
--- a/tests/routing/test_upstream_announcements.py
+++ b/tests/routing/test_upstream_announcements.py
@@ -1,4 +1,4 @@
-"""No send of an entry goes against what an upstream has said of itself."""
+"""No send of an entry goes against what an upstream has announced."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 from leadseam.emulate.virtual import VirtualLoop
 from leadseam.outcome import Answered, NotRun, Reason
-from tests.routing.gateways import GatewayFleet, Modelled, Spell, modelled
+from tests.routing.gateways import (
+    GatewayFleet,
+    ModelledUpstream,
+    RefusalPeriod,
+    modelled,
+)
 from tests.routing.samples import make_upstream
 
 if TYPE_CHECKING:
@@ -45,16 +50,16 @@
     await fleet.keep_calling(every=2 / 40, span=SPAN)
 
 
-spells = st.builds(
-    lambda begin, length, rest: Spell(begin, begin + length, rest),
+periods = st.builds(
+    lambda begin, length, pause: RefusalPeriod(begin, begin + length, pause),
     st.floats(0.1, SPAN),
     st.floats(0.1, 4),
     st.floats(0.3, 3),
 )
 upstreams = st.lists(
     st.builds(
-        lambda spells, leaves: (tuple(spells), leaves),
-        st.lists(spells, max_size=3),
+        lambda periods, leaves: (tuple(periods), leaves),
+        st.lists(periods, max_size=3),
         st.sampled_from([float("inf")] * 4 + [1.0, 3.0]),
     ),
     min_size=1,
@@ -71,15 +76,15 @@
 )
 @settings(max_examples=30)
 def test_nothing_is_written_against_a_word_that_was_heard(
-    drawn: list[tuple[tuple[Spell, ...], float]],
+    drawn: list[tuple[tuple[RefusalPeriod, ...], float]],
     entries: int,
     engines: bool,
     seed: int,
     connect_s: float,
 ) -> None:
     made = [
-        Modelled(make_upstream(number), spells, leaves)
-        for number, (spells, leaves) in enumerate(drawn, start=1)
+        ModelledUpstream(make_upstream(number), periods, leaves)
+        for number, (periods, leaves) in enumerate(drawn, start=1)
     ]
     fleet = play(
         lambda: GatewayFleet(
@@ -88,25 +93,25 @@
         call_on,
     )
     for upstream in fleet.upstreams.values():
-        assert upstream.broken_words() == []
+        assert upstream.ignored_announcements() == []
 
 
 def test_callers_do_not_notice_that_two_of_five_engines_rest() -> None:
-    spell = Spell(1.0, 6.0, 3.0)
+    period = RefusalPeriod(1.0, 6.0, 3.0)
     made = [
-        Modelled(make_upstream(number), (spell,) if number < 3 else ())
+        ModelledUpstream(make_upstream(number), (period,) if number < 3 else ())
         for number in range(1, 6)
     ]
     fleet = play(lambda: GatewayFleet(made), call_on)
     refused = [one for one in fleet.outcomes if not isinstance(one, Answered)]
     assert refused == []
     # Each entry learns it once for each rest of 3 s, of each engine.
-    turned_away = sum(len(upstream.words) for upstream in made)
+    turned_away = sum(len(upstream.announcements) for upstream in made)
     assert turned_away <= 2 * 2 * 2
 
 
 def test_what_waits_for_a_connection_goes_elsewhere_once_its_engine_rests() -> None:
-    made = modelled(3, spells=(Spell(1.0, 2.0, 3.0),))
+    made = modelled(3, periods=(RefusalPeriod(1.0, 2.0, 3.0),))
 
     async def call_now_and_then(fleet: GatewayFleet) -> None:
         await fleet.keep_calling(every=0.05, span=SPAN)
@@ -114,15 +119,15 @@
     fleet = play(
         lambda: GatewayFleet(made, entries=1, connect_s=0.45), call_now_and_then
     )
-    assert made[0].words
-    assert made[0].broken_words() == []
+    assert made[0].announcements
+    assert made[0].ignored_announcements() == []
     assert all(isinstance(one, Answered) for one in fleet.outcomes)
 
 
 def test_where_all_rest_callers_are_refused_at_once_and_told_when_to_return() -> None:
-    spell = Spell(0.0, 100.0, 2.0)
-    made = modelled(2, spells=(spell,))
-    made[1].spells = (Spell(0.0, 100.0, 3.0),)
+    period = RefusalPeriod(0.0, 100.0, 2.0)
+    made = modelled(2, periods=(period,))
+    made[1].periods = (RefusalPeriod(0.0, 100.0, 3.0),)
 
     async def call_some(fleet: GatewayFleet) -> None:
         # The first two requests learn of the rests.
@@ -143,7 +148,7 @@
 
 
 def test_what_waits_for_an_engine_is_refused_once_all_rest() -> None:
-    made = modelled(1, spells=(Spell(0.0, 100.0, 2.0),))
+    made = modelled(1, periods=(RefusalPeriod(0.0, 100.0, 2.0),))
 
     async def call_many(fleet: GatewayFleet) -> None:
         async with asyncio.TaskGroup() as group:
@@ -160,12 +165,12 @@
     made = modelled(3, leaves_at=1.0)
     fleet = play(lambda: GatewayFleet(made), call_on)
     assert max(one.at for one in made[0].arrivals) < 1.5
-    assert {word.entry for word in made[0].words} == {0, 1}
+    assert {announcement.entry for announcement in made[0].announcements} == {0, 1}
     assert all(isinstance(one, Answered) for one in fleet.outcomes)
 
 
 def test_the_end_of_a_rest_is_no_step_of_load() -> None:
-    made = modelled(2, spells=(Spell(1.0, 2.0, 2.0),))
+    made = modelled(2, periods=(RefusalPeriod(1.0, 2.0, 2.0),))
     for one in made:
         one.row = msgspec.structs.replace(one.row, slots=64)
 
@@ -173,8 +178,8 @@
         await fleet.keep_calling(every=0.005, span=SPAN)
 
     fleet = play(lambda: GatewayFleet(made, entries=1, engines=False), call_often)
-    word = made[0].words[-1]
-    after = [one.at for one in made[0].arrivals if one.at >= word.until]
+    announcement = made[0].announcements[-1]
+    after = [one.at for one in made[0].arrivals if one.at >= announcement.until]
     # One request, and no other before the first is answered.
     assert after[1] - after[0] >= 0.05
     assert len(after) > 10
