--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -1,4 +1,4 @@
-"""Serves routed requests: who may come in, and what all requests of an entry share."""
+"""Admits routed requests of an entry and holds the state that they share."""
 
 from __future__ import annotations
 
@@ -55,36 +55,36 @@
     from leadseam.wire.feed import Registration
 
 NOT_CONFIRMED_PAUSE: Millis = 500
-"""Pause told to a caller while the configuration is not confirmed: a feed heartbeat."""
+"""Retry-After pause while the configuration is not confirmed: one feed heartbeat."""
 
 MAX_LAG: Millis = 30
-"""Lag of the event loop above which new requests are refused: half of the time in which
-a refusal is early for the shortest latency objective of today (250 ms)."""
+"""Lag of the event loop above which new requests are refused: half of the time within
+which a refusal is early for the shortest latency objective in use (250 ms)."""
 EXCESS_LAG: Millis = 10
-"""The same for accounts that have had their share, refused before their request is even
-read: what they send beyond it is most of what makes an entry late."""
+"""Lag of the event loop above which accounts that exceed their share are refused,
+before their request is even read: the excess causes most of an entry's lag."""
 MAX_KEPT_ALIVE = 256
-"""Callers' connections above which answers end their connection: an idle one takes some
-16 KB, and callers that open one for each request leave thousands."""
+"""Callers' open connections above which each response closes its own. An idle one takes
+some 16 KB, and callers that open one for each request leave thousands."""
 UNDECIDED_PAUSE: Millis = 1_000
-"""Pause told while it is not known if an upstream has ended under a request: twice the
-interval at which registrations are looked at."""
+"""Retry-After pause while it is undecided whether a request has crashed an upstream:
+twice the interval at which registrations are checked."""
 
 log = logging.getLogger(__name__)
 
 
 class Gateway:
-    """Forwards routed requests.
+    """Admits routed requests and forwards them to upstreams.
 
     Args:
-        feed: Configuration and registered upstreams.
-        dialect: Names on the wire.
-        client: Connections to upstreams.
+        feed: Source of the configuration and of registered upstreams.
+        dialect: Reads and writes the headers of the wire format.
+        client: HTTP client for upstreams.
         clock: Source of time.
         retry_limits: Fleet-wide bounds on retries.
-        metrics: Counters.
+        metrics: Metrics of routed requests.
         rng: Source of random numbers.
-        lag: Lag of this process' event loop.
+        lag: Measured lag of the event loop.
         connections: Returns the number of callers' open connections.
         entry: Name of this entry.
     """
@@ -138,7 +138,7 @@
         return f"Gateway(in_flight={self.in_flight}, {self._router!r})"
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._router = Router(configuration)
 
     @property
@@ -147,11 +147,11 @@
         return self._router.uses_account_keys
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request of a caller."""
+        """Serve one HTTP request of a caller."""
         self.in_flight += 1
         try:
             response = await self._serve(http)
@@ -161,10 +161,10 @@
         return response
 
     def refuse_early(self, sender: Sender) -> NotRun | None:
-        """Refuse a request of which only the head was looked at, if that is due.
+        """Refuse a request by its head alone, if the event loop lags too much.
 
-        The rules are those of `_serve`; an account's work counts as asked for where it
-        is refused although it may be within its share.
+        The rules are those of `_serve`. The work of an account that is refused although
+        it may be within its share is counted as requested.
         """
         lag = self._lag.millis
         account = self._account_of(sender) if lag > EXCESS_LAG else None
@@ -182,7 +182,7 @@
         return refusal
 
     def resumed(self) -> None:
-        """Look at all that may be due after the box was suspended."""
+        """Check all deadlines and waiting requests after the box was suspended."""
         for exchange in list(self._running):
             exchange.reset_deadline_timer()
         self.placer.look()
@@ -194,7 +194,10 @@
         log.info("requests under way looked at", extra=extra)
 
     def set_keep_alive(self, response: web.StreamResponse) -> None:
-        """End the caller's connection after this response where that is due."""
+        """Close the caller's connection after this response, if necessary.
+
+        That is so while the entry stops, and above `MAX_KEPT_ALIVE` connections.
+        """
         if response.prepared:
             return
         if self.stopping or self._connections() > MAX_KEPT_ALIVE:
@@ -243,7 +246,7 @@
         try:
             return await exchange.run()
         except CallerGoneError:
-            # The connection is closed or cut already; nothing can be sent on it.
+            # The connection is already closed or aborted; nothing can be sent on it.
             return web.Response(status=499)
         finally:
             self._running.discard(exchange)
@@ -281,12 +284,12 @@
         )
 
     def _check_crash_guard(self, admitted: AdmittedRequest) -> AdmittedRequest | NotRun:
-        """Refuse a request that ends upstreams, or may do so."""
+        """Refuse a request that crashes upstreams, or may do so."""
         match self.crash_guard.refusal(admitted):
             case None:
                 return admitted
             case Reason.CRASHES_UPSTREAMS as reason:
-                # Nobody is to come back with it, so no pause is told.
+                # No Retry-After: the request must not be sent again.
                 return NotRun(reason)
             case reason:
                 return NotRun(reason, self.jitter(UNDECIDED_PAUSE))
@@ -296,7 +299,7 @@
         return NotRun(Reason.ENTRY_BUSY, self.jitter(pause))
 
     def _exceeds_share(self, sender: Sender, now: Millis) -> bool:
-        """Tell whether a sender's account is ahead of others, by its key alone."""
+        """Check by the key alone whether the sender's account exceeds its share."""
         account = self._account_of(sender)
         if account is None:
             return False
@@ -320,7 +323,11 @@
         return self._router.account(req.key) or self._not_configured(Reason.WRONG_KEY)
 
     def _not_configured(self, reason: Reason) -> NotRun:
-        """Refuse what the configuration does not hold, if it is known to be newest."""
+        """Return the refusal for a route, key or account that is not configured.
+
+        Unless the configuration is known to be the newest, the request may be valid,
+        and the caller is asked to retry instead.
+        """
         if self._feed.fresh:
             return NotRun(reason)
         return NotRun(Reason.NO_CONFIGURATION, NOT_CONFIRMED_PAUSE)
@@ -328,11 +335,11 @@
     # Shared by exchanges
 
     def jitter(self, pause: Millis) -> Millis:
-        """Return a pause between half of the given one and all of it."""
+        """Return a random pause between half of the given one and all of it."""
         return self._rng.randint(pause // 2, pause)
 
     def take_retry(self, pool: str) -> bool:
-        """Use one retry of the shared budget, if one is left."""
+        """Take one retry from the pool's retry budget; return whether one was left."""
         allowed = self.budget.take(pool, self.now(), self._feed.subscribers)
         if not allowed:
             self._metrics.retries_denied.inc("budget")
@@ -345,9 +352,16 @@
         status: int,
         head: AnswerHead,
     ) -> None:
-        """Learn what an upstream says of itself in an answer, whatever it is worth."""
+        """Process what the head of an answer states about its upstream.
+
+        Args:
+            upstream: The upstream that the request was sent to.
+            admitted: The request.
+            status: HTTP status of the answer.
+            head: Head of the answer, which need not be a good one.
+        """
         if status == MISDIRECTED:
-            # Whoever answers there is not the upstream that was meant.
+            # The answer comes from another upstream than the one intended.
             return
         if head.pause or head.invalid_pause:
             self.request_log.requests_pause(upstream, admitted, head)
@@ -356,11 +370,11 @@
         elif status < FIRST_REDIRECTION:
             self.placer.answered(upstream)
         if head.leaving and self._feed.view.left([upstream.incarnation]):
-            # Heartbeats may not say it, or this entry may not be told of them.
+            # Heartbeats may not announce it, or may not reach this entry.
             self.request_log.announces_leaving(upstream, admitted, status)
 
     def note_ending(self, upstream: Registration, ending: Ending) -> None:
-        """Learn about an upstream from an attempt."""
+        """Update what is known of an upstream from how an attempt at it ended."""
         now = self.now()
         self._metrics.attempts.inc(type(ending).__name__.lower())
         match ending:
@@ -387,12 +401,12 @@
             self.request_log.excluded(upstream, ending)
 
     def note_silence(self, upstream: Registration, admitted: AdmittedRequest) -> None:
-        """Learn about an upstream that has not answered for too long."""
+        """Count a failure of an upstream that has been silent for too long."""
         excluded = self._health.failed(upstream.incarnation, self.now())
         self.request_log.silence(upstream, admitted, excluded=excluded)
 
     def error(self, outcome: NotRun | Failed | Unknown) -> web.Response:
-        """Return the response for an outcome without an upstream's answer."""
+        """Return the error response for an outcome without an upstream's answer."""
         self._metrics.refusals.inc(outcome.reason.value)
         response = error_response(outcome)
         if isinstance(outcome, NotRun) and outcome.retry_after is not None:
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -1,4 +1,4 @@
-"""What an entry that is short of processor time refuses, and in which order."""
+"""Admission at an entry whose event loop lags, and what the gateway logs and counts."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Dialect:
-    """Knows who sends a request; reads nothing else."""
+    """Reads the sender of a request, and counts attempts to read the rest."""
 
     def __init__(self) -> None:
         self.read = 0
@@ -56,16 +56,16 @@
         return Sender("r-1", str(http))
 
     def read_request(self, _: web.BaseRequest) -> None:
-        """Count that the rest was read, and call it malformed."""
+        """Count the read, and report the request as malformed."""
         self.read += 1
 
     def retry_after(self, pause: int) -> tuple[tuple[str, str], ...]:
-        """Return the pause as it is."""
+        """Return the pause unchanged in a header."""
         return (("Pause", str(pause)),)
 
 
 class Entry:
-    """A gateway between fakes."""
+    """A gateway with fakes of its dependencies."""
 
     def __init__(self, metrics: Metrics | None = None) -> None:
         feed = SimpleNamespace(
@@ -99,7 +99,7 @@
 
 @pytest.fixture
 def entry(monkeypatch: pytest.MonkeyPatch) -> Entry:
-    """An entry where one account has had its share."""
+    """An entry where the account `large` exceeds its share."""
     entry = Entry()
     standings = {"large": Standing.AHEAD, "small": Standing.WITHIN}
     monkeypatch.setattr(
@@ -108,7 +108,9 @@
     return entry
 
 
-async def test_a_late_entry_refuses_what_is_over_its_share_unread(entry: Entry) -> None:
+async def test_a_lagging_entry_refuses_accounts_over_their_share_unread(
+    entry: Entry,
+) -> None:
     entry.lag.millis = EXCESS_LAG + 1
     response = await entry.serve("large")
     assert response.status == 503
@@ -116,19 +118,19 @@
     assert entry.dialect.read == 0
 
 
-async def test_it_reads_what_is_within_its_share(entry: Entry) -> None:
+async def test_a_lagging_entry_reads_accounts_within_their_share(entry: Entry) -> None:
     entry.lag.millis = EXCESS_LAG + 1
     assert (await entry.serve("small")).status == 400
     assert entry.dialect.read == 1
 
 
-async def test_an_entry_in_time_reads_everything(entry: Entry) -> None:
+async def test_an_entry_that_does_not_lag_reads_everything(entry: Entry) -> None:
     entry.lag.millis = EXCESS_LAG
     assert (await entry.serve("large")).status == 400
     assert entry.dialect.read == 1
 
 
-async def test_what_a_busy_entry_refuses_still_counts_as_asked_for() -> None:
+async def test_work_that_a_busy_entry_refuses_counts_as_requested() -> None:
     entry = Entry()
     entry.gateway._router = Router(
         Configuration(accounts=ACCOUNTS, routes={"r": make_route("r", "/chat/", "p")})
@@ -138,7 +140,7 @@
     refusal = entry.gateway._admit(req, b"", 1_000)
     assert isinstance(refusal, NotRun)
     assert refusal.reason is Reason.ENTRY_BUSY
-    # 100 tokens of its own to read, and 50 made that count twice.
+    # 100 prompt tokens of its own, and 50 generated ones that count twice.
     usage = entry.gateway.placer.load_report().usage
     assert usage == (UsageRow("small", served=0, asked=200),)
 
@@ -158,7 +160,7 @@
     assert view.pool("p") == [stale]
 
 
-def test_lines_that_were_left_out_are_counted() -> None:
+def test_suppressed_log_lines_are_counted() -> None:
     metrics = Metrics()
     entry = Entry(metrics)
     for number in range(LINES_PER_SECOND + 7):
@@ -167,7 +169,7 @@
     assert b"leadseam_log_lines_dropped 7" in metrics.render()
 
 
-async def test_a_stopping_entry_lets_nobody_wait_for_a_configuration() -> None:
+async def test_at_a_stopping_entry_no_request_waits_for_a_configuration() -> None:
     async def no_body() -> bytes:
         return b""
 
@@ -186,7 +188,7 @@
     waiting.cancel()
 
 
-def test_what_upstreams_say_of_themselves_is_counted_and_shown(
+def test_pauses_and_leaving_in_answers_are_counted_and_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     metrics = Metrics()
