--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way: attempts, retries, and what the caller is told."""
+"""Runs one admitted request: attempts, retries, and the response to the caller."""
 
 from __future__ import annotations
 
@@ -37,27 +37,28 @@
     from leadseam.wire.feed import Registration
 
 MAX_SENDS = 4
-"""Upstreams tried for one request, those that did not run it included."""
+"""Sends of one request at most, including those to upstreams that did not run it."""
 MIN_TIME_LEFT: Millis = 20
-"""Time left below which nothing more is sent: a few round trips between boxes."""
+"""Time to the deadline below which no further attempt is made: a few round trips
+between boxes."""
 RETRY_AFTER_SHARE = 1 / 3
-"""Part of the time left that a caller may be told to wait; more is not heeded."""
+"""Largest Retry-After pause as a share of the time left; callers ignore longer ones."""
 MAX_RETRY_PAUSE: Millis = 4_000
-"""Longest pause told: bursts last a few seconds."""
+"""Longest Retry-After pause: bursts last a few seconds."""
 RETURN_JITTER: Millis = 500
-"""Time over which callers come back once an upstream takes requests again."""
+"""Time over which retries of callers are spread once an upstream's pause is over."""
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What was tried so far.
+    """Attempts made so far.
 
     Args:
-        sends: Upstreams that the request was sent to.
-        runs: Those among them that may have run it.
-        tried: Their incarnations.
-        last: Incarnation that was sent to last, or None.
-        retry_taken: Whether a retry of the shared budget is taken and not yet used.
+        sends: Number of upstreams that the request was sent to.
+        runs: Number of those that may have run it.
+        tried: Incarnations of the upstreams that were tried.
+        last: Incarnation that was tried last, or None.
+        retry_taken: Whether a retry was taken from the budget and is not yet used.
     """
 
     sends: int = 0
@@ -68,12 +69,12 @@
 
 
 class Exchange:
-    """Runs one admitted request to its end.
+    """Runs one admitted request until the caller has its response.
 
     Args:
-        gateway: What it shares with the others.
+        gateway: Gateway with the state that all exchanges share.
         http: The caller's HTTP request.
-        admitted: The request.
+        admitted: The admitted request.
     """
 
     def __init__(
@@ -96,39 +97,43 @@
 
     @property
     def admitted(self) -> AdmittedRequest:
-        """The request."""
+        """The admitted request."""
         return self._request
 
     @property
     def instance(self) -> str:
-        """How lines name the upstream that was sent to last, or an empty text."""
+        """Name of the last upstream tried, as in log lines; empty if there is none."""
         return str(self._progress.last or "")
 
     @property
     def sends(self) -> int:
-        """Upstreams that it was sent to."""
+        """Number of upstreams that the request was sent to."""
         return self._progress.sends
 
     @property
     def first_byte_at(self) -> Millis:
-        """When the first byte went to the caller, `NOT_SENT` before."""
+        """Time of the first byte sent to the caller, or `NOT_SENT`."""
         return self._reply.first_byte_at
 
     def reset_deadline_timer(self) -> None:
-        """Set the timer to the time that is left: it leaves out suspended time."""
+        """Set the timer to the time left, as it does not count suspended time."""
         if self._timeout is not None:
             left = self._request.deadline - self._gateway.now()
             loop = asyncio.get_running_loop()
             self._timeout.reschedule(loop.time() + seconds(max(left, 1)))
 
     def end_attempt(self) -> None:
-        """End the attempt under way, if any: the request must not reach upstreams."""
+        """End the current attempt, if any, as the request crashes upstreams."""
         if self._watch is not None:
             self._ended_by_guard = True
             self._watch.end()
 
     async def run(self) -> web.StreamResponse:
-        """Return the finished response; the caller's connection may be cut instead."""
+        """Return the finished response.
+
+        Raises:
+            CallerGoneError: If the caller's connection is closed or was aborted.
+        """
         try:
             async with asyncio.timeout(None) as self._timeout:
                 self.reset_deadline_timer()
@@ -147,11 +152,11 @@
                 return self._not_placed(flight)
             reason = self._gateway.crash_guard.refusal(self._request)
             if self._gateway.now() >= self._request.deadline:
-                # The box was suspended while it waited, and the timer is late.
+                # The box was suspended while the request waited; the timer is late.
                 flight.end()
                 return self._deadline_passed()
             if reason is not None:
-                # It may have been convicted while it waited for room.
+                # It may have been convicted while it waited for a free slot.
                 flight.end()
                 return self._give_up(reason)
             ending = await self._send(flight)
@@ -179,7 +184,7 @@
         return ending
 
     async def _attempt_watched(self, flight: Flight) -> Ending:
-        """Make an attempt; it may be given up if the upstream is silent or gone."""
+        """Make an attempt; end it if the upstream is silent or has restarted."""
         watch = SilenceWatch(lambda: self._on_silence(flight))
         reason = Reason.UPSTREAM_SILENT
 
@@ -219,9 +224,9 @@
         return await self._reply.relay(streaming, on_data)
 
     def _on_silence(self, flight: Flight) -> bool:
-        """Tell whether a silent attempt is to end, as another one may take over."""
+        """Return whether to end a silent attempt because a retry is allowed."""
         self._gateway.note_silence(flight.upstream, self._request)
-        # This attempt may have run too, and is counted only once it has ended.
+        # The silent attempt may have run too; it is not counted before its end.
         runs = self._progress.runs + 1
         if self._too_late() or not self._may_run_again(runs):
             return False
@@ -259,8 +264,8 @@
         """Return the response, or None to try another upstream."""
         ended_by_guard = self._ended_by_guard and isinstance(ending, Broken)
         if not ended_by_guard:
-            # A cut says nothing of the upstream or the request; an answer that was
-            # whole by then does.
+            # An attempt that the guard ended is no evidence about the upstream or the
+            # request, unless the answer was complete by then.
             self._gateway.note_ending(flight.upstream, ending)
             self._gateway.crash_guard.note_ending(
                 flight.upstream, self._request, ending, early=flight.ended_early()
@@ -305,14 +310,14 @@
                 return False
 
     def _may_run_again(self, runs: int) -> bool:
-        """Tell whether a request that may have run so often may run once more."""
+        """Check whether a request that may have run so many times may run again."""
         route = self._request.route
         if self._reply.started and not route.resumable:
             return False
         return route.repeatable and runs < route.max_attempts
 
     def _may_send_again(self) -> bool:
-        """Use a retry of the shared budget, or the one taken for a silent attempt."""
+        """Use the retry taken for a silent attempt, or take one from the budget."""
         if self._progress.retry_taken:
             self._progress.retry_taken = False
             return True
@@ -325,7 +330,7 @@
 
     def _deliver_whole(self, whole: Whole) -> web.StreamResponse:
         if self._reply.started:
-            # A refusal by the upstream that should have gone on with a stream.
+            # The upstream that should have resumed the stream refused to.
             self._abort(Reason.UPSTREAM_BROKEN)
         self.outcome = Answered(whole.status)
         self._reply.note_first_byte()
@@ -334,19 +339,19 @@
         )
 
     def _not_placed(self, reason: Reason) -> web.StreamResponse:
-        """End a request for which there is no upstream, or no further one."""
+        """End a request for which there is no upstream, or no other one to retry."""
         if self._reply.started:
             self._abort(reason)
         return self._give_up(Reason.UPSTREAM_BROKEN if self._progress.runs else reason)
 
     def _give_up(self, reason: Reason) -> web.StreamResponse:
-        """End a request after its last attempt, with no answer of an upstream."""
+        """End a request after its last attempt, without an upstream's answer."""
         if self._reply.started:
             self._abort(reason)
         if self._progress.runs == 0:
             return self._refuse(reason)
         if reason in (Reason.CRASHES_UPSTREAMS, Reason.MAY_CRASH_UPSTREAMS):
-            # It has run, and 503 would say that it has not.
+            # The request has run, and 503 would state that it has not.
             reason = Reason.UPSTREAM_BROKEN
         lost = self._outcome_without_answer(reason)
         self.outcome = lost
@@ -366,7 +371,7 @@
     def _retry_pause(self) -> Millis:
         paused = self._gateway.placer.pause_left(self._request.scope)
         if paused:
-            # Sooner there is nobody to serve it, and not all are to return at once.
+            # No upstream takes it earlier; jitter keeps callers from retrying at once.
             return paused + self._gateway.jitter(RETURN_JITTER)
         left = max(self._request.deadline - self._gateway.now(), 0)
         return self._gateway.jitter(
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -1,4 +1,4 @@
-"""How one request ends, between fakes of what it shares with others."""
+"""Outcomes of single exchanges, with a fake of the gateway."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class Shared:
-    """What an exchange shares with others, with one upstream or none.
+    """A fake of the gateway with one upstream or none.
 
     Args:
-        placed: What the first look for an upstream finds.
+        placed: Reason why no upstream is found, or None if there is one.
     """
 
     def __init__(self, placed: Reason | None = None) -> None:
@@ -71,7 +71,7 @@
 
 
 def make_exchange(shared: Shared, repeat: Repeat = Repeat.SAFE) -> Exchange:
-    """Return an exchange of a request that may be repeated or not."""
+    """Return an exchange of a request on a route with the given repeat rule."""
     route = msgspec.structs.replace(make_route("r", "/chat/", "p"), repeat=repeat)
     admitted = AdmittedRequest(
         req=make_request(),
@@ -93,8 +93,10 @@
         (Repeat.ONCE, Unknown(Reason.NO_UPSTREAM)),
     ],
 )
-async def test_a_stream_that_is_cut_says_why(repeat: Repeat, outcome: Outcome) -> None:
-    """Its line said `link_lost`, as if its caller had gone (a soak, seed 100)."""
+async def test_an_aborted_stream_has_the_reason_as_outcome(
+    repeat: Repeat, outcome: Outcome
+) -> None:
+    """The log line had `link_lost`, as if the caller had left (a soak, seed 100)."""
     exchange = make_exchange(Shared(Reason.NO_UPSTREAM), repeat)
     exchange._reply._response = cast("Any", object())
     with pytest.raises(CallerGoneError):
@@ -102,7 +104,7 @@
     assert exchange.outcome == outcome
 
 
-async def test_a_caller_that_leaves_is_a_lost_link() -> None:
+async def test_a_caller_that_leaves_gives_the_outcome_link_lost() -> None:
     exchange = make_exchange(Shared())
 
     async def attempt(_: object) -> Ending:
@@ -114,7 +116,7 @@
     assert exchange.outcome == Unknown(Reason.LINK_LOST)
 
 
-async def test_what_has_no_upstream_has_not_run() -> None:
+async def test_a_request_without_an_upstream_has_not_run() -> None:
     shared = Shared(Reason.NO_UPSTREAM)
     shared.jitter = lambda pause: pause  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
@@ -123,18 +125,18 @@
     assert exchange.outcome == NotRun(Reason.NO_UPSTREAM, 1_333)
 
 
-async def test_where_all_upstreams_pause_callers_are_told_when_one_is_back() -> None:
+async def test_if_all_upstreams_pause_callers_retry_after_the_first_pause() -> None:
     shared = Shared(Reason.UPSTREAMS_PAUSED)
     shared.paused = 2_750
     shared.jitter = lambda pause: pause // 2  # type: ignore[attr-defined]
     shared.error = lambda _: None  # type: ignore[attr-defined]
     exchange = make_exchange(shared)
     await exchange.run()
-    # Spread over the half second after it, so that not all return at once.
+    # Spread over the half second after the pause, so that not all retry at once.
     assert exchange.outcome == NotRun(Reason.UPSTREAMS_PAUSED, 3_000)
 
 
-async def test_a_send_that_was_withheld_is_none() -> None:
+async def test_a_withheld_send_is_not_counted() -> None:
     shared = Shared()
     exchange = make_exchange(shared)
     endings: list[Ending] = [Withheld(), Whole(200, (), b"x")]
@@ -148,8 +150,8 @@
     assert exchange.sends == 1
 
 
-async def test_a_whole_answer_speaks_for_its_request_whatever_was_heard() -> None:
-    """Its request was convicted while it ran; that it ran to its end was not told."""
+async def test_a_whole_answer_is_noted_even_if_its_request_was_convicted() -> None:
+    """A whole answer was not noted if the request was convicted while it ran."""
     shared = Shared()
     exchange = make_exchange(shared)
     whole = Whole(200, (), b"x")
