--- a/src/leadseam/routing/attempt.py
+++ b/src/leadseam/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream, and how its end is judged."""
+"""Sends a request to one upstream and classifies the answer."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 MAX_BUFFERED = 1024 * 1024
 """Bytes of an answer that are buffered until it is known to be whole."""
 FIRST_REDIRECTION = 300
-"""Lowest status that is no success."""
+"""Lowest status that is not a success."""
 FIRST_SERVER_ERROR = 500
 """Lowest status that counts as a failure of the upstream."""
 MISDIRECTED = 421
-"""Status of an upstream that is not the incarnation that was meant."""
+"""Status of an upstream that is not the incarnation that was addressed."""
 
 LOCAL_FAULTS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-"""Faults of opening a connection that say nothing of the upstream."""
+"""Errors of opening a connection that are caused by this box, not by the upstream."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -57,8 +57,8 @@
     """No byte of the request was sent.
 
     Args:
-        local: Whether this box is at fault, for it lacks descriptors or memory.
-        refused: Whether nothing listens at the upstream's address.
+        local: Whether this box caused it, for lack of descriptors or memory.
+        refused: Whether the upstream's address refused the connection.
     """
 
     local: bool = False
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withheld:
-    """Nothing was sent: the upstream must not get it any more."""
+    """Nothing was sent, as the upstream must no longer get the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,7 +75,7 @@
     """The upstream declares that it did not run the request.
 
     Args:
-        misdirected: Whether it says that it is not the one that was meant.
+        misdirected: Whether it states that it is not the upstream addressed.
     """
 
     misdirected: bool = False
@@ -86,7 +86,7 @@
     """There is no usable answer; the request may have run.
 
     Args:
-        reason: What the caller is told if this attempt was the last.
+        reason: Reason reported to the caller if this attempt was the last.
     """
 
     reason: Reason
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """A whole answer of the upstream.
+    """A complete answer of the upstream.
 
     Args:
         status: Its HTTP status.
         headers: Its end-to-end headers.
-        body: Its body, `MAX_BUFFERED` bytes at the most.
+        body: Its body, at most `MAX_BUFFERED` bytes.
     """
 
     status: int
@@ -109,13 +109,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Streaming:
-    """The head of a good event stream, or of an answer too large to hold.
+    """A successful event stream, or an answer too large to buffer, that is still open.
 
     Args:
-        resp: The open answer.
+        resp: The open response.
         headers: Its end-to-end headers.
-        buffered: Bytes of the body that were read already.
-        events: Whether the body is a sequence of events.
+        buffered: Bytes of the body that have already been read.
+        events: Whether the body is an event stream.
     """
 
     resp: aiohttp.ClientResponse
@@ -139,21 +139,21 @@
     may_send: Callable[[], bool],
     on_head: Callable[[int, AnswerHead], None],
 ) -> Ending:
-    """Send a request to an upstream and judge the head of its answer.
+    """Send a request to an upstream and classify its answer.
 
     Args:
-        client: Connections to upstreams.
-        dialect: Names on the wire.
+        client: HTTP client for upstreams.
+        dialect: Reads and writes the headers of the wire format.
         req: The caller's request.
         body: Its body.
-        upstream: Where to send it.
-        head: What the upstream is told besides.
-        repeatable: Whether a connection may be used that could turn out closed.
-        may_send: Asked before the first byte is written.
-        on_head: Called with the status and head of an answer, good or not.
+        upstream: Upstream to send it to.
+        head: Values of the headers that the system itself adds.
+        repeatable: Whether to reuse an idle connection, which may prove to be closed.
+        may_send: Called before the first byte is written; if false, nothing is sent.
+        on_head: Called with the status and head of any answer, good or not.
 
     Returns:
-        How it ended; a `Streaming` answer has to be read or closed by the caller.
+        How the attempt ended. The caller has to read or close a `Streaming` answer.
     """
     try:
         resp = await client.send(
@@ -218,7 +218,7 @@
 
 
 async def _drain(resp: aiohttp.ClientResponse) -> None:
-    """Read a short body so that the connection may be used again."""
+    """Read a short body to its end so that the connection can be reused."""
     try:
         await resp.read()
     except (aiohttp.ClientError, OSError):
@@ -226,7 +226,7 @@
 
 
 def end_to_end_headers(resp: aiohttp.ClientResponse) -> Headers:
-    """Return the headers of an answer that are meant for the caller."""
+    """Return the headers of a response without those that apply to one hop only."""
     return tuple(
         (str(name), str(value))
         for name, value in resp.headers.items()
