--- a/src/leadseam/routing/client.py
+++ b/src/leadseam/routing/client.py
@@ -1,8 +1,8 @@
-"""HTTP connections to upstreams, hardened against what broken upstreams send.
+"""HTTP client for upstreams, hardened against faulty upstreams.
 
-`aiohttp` reports the end of an answer without a length as proper even if the connection
-was reset, and reads bytes that arrive on an idle connection as the next answer. The
-connection class here mends both.
+If a connection is reset during an answer without a length, `aiohttp` reports a regular
+end. It takes bytes that arrive on an idle connection for the next answer. The
+connection class here corrects both.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
     from aiohttp.tracing import Trace
 
 CONNECT_TIMEOUT: Millis = 500
-"""Time to open a connection. Boxes of one region are a few ms apart; the first packet
-is repeated after a second, which is too late for a short deadline."""
+"""Timeout of opening a connection. Boxes of one region are a few ms apart. A lost first
+packet is sent again after a second, which is too late for a short deadline."""
 IDLE_LIMIT: Millis = 1_500
-"""Age up to which an idle connection is reused. Upstreams close idle ones after a few
-seconds without a word."""
+"""Idle time up to which a connection is reused. Upstreams close idle connections after
+a few seconds without notice."""
 SILENT_PEER_LIMIT: Millis = 3_000
-"""Unacknowledged bytes, or probes, older than this end a connection that leads nowhere.
-Callers give a stream up after some 3 s without an event."""
+"""Age of unacknowledged bytes or probes at which a connection is closed: its peer is
+unreachable. Callers give up a stream after some 3 s without an event."""
 PROBE_INTERVAL_S = 1
-"""Seconds without a byte after which a connection is probed, and between probes. Only
-this tells a request that was sent into silence from one that takes long."""
+"""Seconds without a byte after which TCP keepalive probes a connection, and between
+probes. Only they distinguish an unreachable upstream from one that takes long."""
 
 
 def _always() -> bool:
@@ -44,38 +44,38 @@
 
 
 _may_send: ContextVar[Callable[[], bool]] = ContextVar("_may_send", default=_always)
-"""Tells, for the request of this task, whether it may be written."""
+"""Callback of the current task's request that decides whether it may be written."""
 
 
 class WithheldError(aiohttp.ClientError):
-    """A request was not written, as it must not be sent any more."""
+    """A request was not written, as it must no longer be sent."""
 
 
 class UpstreamConnection(ResponseHandler):
-    """A client connection that tells a reset from an end, and distrusts surplus.
+    """A client connection that detects resets and closes on surplus bytes.
 
     Attributes:
-        listener: Called after bytes of an answer, its end or its failure have come in,
-            or None. It must not raise.
+        listener: Called after bytes of an answer, its end or its failure have arrived;
+            None if there is none. It must not raise.
     """
 
     listener: Callable[[], None] | None = None
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Go on reading if it was paused; the library tries with each read."""
+        """Resume reading if it is paused; the library calls this on each read."""
         if self._reading_paused:
             super().resume_reading(resume_parser)
 
     def set_response_params(self, **kwargs: Any) -> None:
-        """Expect an answer; what came before belongs to the last one."""
+        """Prepare for an answer, and drop the state of the previous one."""
         self._payload = None
         super().set_response_params(**kwargs)
 
     def eof_received(self) -> None:
         """Fail an unfinished body if the end hides a reset.
 
-        libuv reports the end of the stream if the last bytes and a reset are found in
-        one poll; the socket still holds the error.
+        libuv reports the end of the stream if it finds the last bytes and a reset in
+        one poll; `SO_ERROR` of the socket still holds the error.
         """
         sock = self.transport.get_extra_info("socket") if self.transport else None
         if sock is not None:
@@ -98,7 +98,7 @@
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc}"))
 
     def data_received(self, data: bytes) -> None:
-        """Close the connection on bytes after a whole answer."""
+        """Process bytes; close the connection on bytes after a complete answer."""
         if self._payload is not None and self._payload.is_eof() and data:
             self.force_close()
             if self.transport is not None:
@@ -113,14 +113,14 @@
 
 
 class UpstreamConnector(LoopConnector):
-    """A pool of `UpstreamConnection`s, closed if their peer does not answer.
+    """A pool of `UpstreamConnection`s with TCP keepalive.
 
-    Each request passes here just before it is written; one that must not be sent any
-    more ends here, and leaves its connection for others.
+    `connect` is called just before a request is written. If the request must no longer
+    be sent, it raises, and the connection returns to the pool.
 
     Args:
-        keepalive: Seconds that an idle connection is kept; None closes each after one
-            request.
+        keepalive: Seconds that an idle connection is kept; None closes each connection
+            after one request.
     """
 
     def __init__(self, *, keepalive: float | None = None) -> None:
@@ -137,7 +137,7 @@
         """Return a connection for a request.
 
         Raises:
-            WithheldError: If the request must not be sent any more.
+            WithheldError: If the request must no longer be sent.
         """
         conn = await super().connect(req, traces, timeout)
         if not _may_send.get()():
@@ -154,7 +154,7 @@
 
 
 def _enable_keepalive(sock: socket.socket) -> None:
-    """Have the system end a connection whose peer does not answer any more."""
+    """Have the kernel close the connection if its peer no longer responds."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
@@ -164,11 +164,11 @@
 def open_session(
     connector: UpstreamConnector, *, connect_timeout: Millis
 ) -> aiohttp.ClientSession:
-    """Open a session that passes headers and bodies on as they are.
+    """Open a session that passes on headers and bodies unchanged.
 
     Args:
-        connector: Opens its connections.
-        connect_timeout: Time to open a connection.
+        connector: Connection pool of the session.
+        connect_timeout: Timeout of opening a connection.
     """
     session = aiohttp.ClientSession(
         connector=connector,
@@ -181,7 +181,7 @@
         max_line_size=65_536,
         max_field_size=65_536,
     )
-    # The library would send some methods again by itself, outside any retry budget.
+    # The library would retry idempotent methods itself, outside any retry budget.
     session._retry_connection = False
     return session
 
@@ -192,7 +192,7 @@
     def __init__(self) -> None:
         self._connector = UpstreamConnector(keepalive=seconds(IDLE_LIMIT))
         self._pooled = open_session(self._connector, connect_timeout=CONNECT_TIMEOUT)
-        # A reused connection may turn out to be closed after the request was written.
+        # Reused connections may prove to be closed after the request was written.
         self._single_use = open_session(
             UpstreamConnector(), connect_timeout=CONNECT_TIMEOUT
         )
@@ -207,9 +207,10 @@
         await self._single_use.close()
 
     async def is_refused(self, ip: str, port: int) -> bool:
-        """Tell whether an upstream's address refuses connections.
+        """Check whether an upstream's address refuses connections.
 
-        Refused is not silent, and not reset: nothing listens there any more.
+        A refusal means that no process listens there any more; a timeout or a reset
+        does not.
         """
         try:
             async with asyncio.timeout(seconds(CONNECT_TIMEOUT)):
@@ -217,7 +218,7 @@
         except ConnectionRefusedError:
             return True
         except OSError:
-            # Timeouts too. Nothing is known then; the line on the attempt stands.
+            # Includes timeouts. The result is unknown; the attempt has its log line.
             return False
         writer.close()
         return False
@@ -237,19 +238,21 @@
         """Send a request and wait for the head of its answer.
 
         Args:
-            ip: Address of the upstream.
+            ip: IP address of the upstream.
             port: Its port.
             method: HTTP method.
             target: Raw path and query.
-            headers: All headers.
-            body: The body.
-            repeatable: Whether a connection may be used that could turn out closed.
-            may_send: Asked before the first byte is written. Defaults to yes.
+            headers: All headers of the request.
+            body: Body of the request.
+            repeatable: Whether to reuse an idle connection, which may prove to be
+                closed.
+            may_send: Called before the first byte is written; if false, nothing is
+                sent. Defaults to true.
 
         Raises:
-            WithheldError: If `may_send` says no; nothing was written.
+            WithheldError: If `may_send` returned false; nothing was written.
             aiohttp.ClientConnectorError: If no byte of the request was sent.
-            aiohttp.ClientError: If the connection failed later.
+            aiohttp.ClientError: If the connection failed after that.
         """
         _may_send.set(may_send)
         session = self._pooled if repeatable else self._single_use
--- a/tests/routing/test_client.py
+++ b/tests/routing/test_client.py
@@ -1,4 +1,4 @@
-"""Broken upstreams must not pass for whole ones."""
+"""Answers over broken connections must not pass for complete ones."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def upstream(script: Script) -> AsyncIterator[int]:
-    """Serve connections by a script; yields the port."""
+    """Run a server that handles connections with a script; yields its port."""
     server = await asyncio.start_server(script, LOOPBACK, 0)
     try:
         yield server.sockets[0].getsockname()[1]
@@ -37,7 +37,7 @@
 
 @asynccontextmanager
 async def client() -> AsyncIterator[UpstreamClient]:
-    """Open a client."""
+    """Open a client, and close it in the end."""
     client = UpstreamClient()
     try:
         yield client
@@ -65,7 +65,7 @@
     writer.transport.abort()
 
 
-async def test_a_reset_of_an_answer_without_length_is_no_end() -> None:
+async def test_a_reset_of_an_answer_without_length_is_an_error() -> None:
     may_reset = asyncio.Event()
 
     async def script(
@@ -84,7 +84,7 @@
             await resp.content.readany()
 
 
-async def test_a_reset_before_the_body_is_read_is_no_end() -> None:
+async def test_a_reset_before_the_body_is_read_is_an_error() -> None:
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -99,7 +99,7 @@
             await resp.read()
 
 
-async def test_last_bytes_and_a_reset_found_together_are_no_end() -> None:
+async def test_last_bytes_and_a_reset_in_one_poll_are_an_error() -> None:
     listener = socket.create_server((LOOPBACK, 0))
     head_read = threading.Event()
     was_reset = threading.Event()
@@ -120,7 +120,7 @@
         resp = await send(made, listener.getsockname()[1])
         assert await resp.content.readany() == b"first"
         head_read.set()
-        # The loop stands still, so that its next poll finds both at once.
+        # Blocks the event loop, so that its next poll finds both at once.
         was_reset.wait()
         with pytest.raises(aiohttp.ClientError):
             while await resp.content.readany():
@@ -193,12 +193,12 @@
 async def test_a_connect_that_is_given_up_closes_no_descriptor_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A descriptor closed twice would be one that another connection has by then."""
+    """The second close could hit a descriptor that another connection reuses."""
     async with client() as made:
         await assert_closed_once(functools.partial(send, made), monkeypatch)
 
 
-async def test_a_connection_that_leads_nowhere_is_found_by_probes() -> None:
+async def test_keepalive_probes_are_enabled_on_connections() -> None:
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(HEAD % b"1" + b"Content-Length: 9\r\n\r\nhalf")
--- a/tests/routing/test_withheld.py
+++ b/tests/routing/test_withheld.py
@@ -1,4 +1,4 @@
-"""A request passes one place before it is written, whatever waited for a connection."""
+"""`may_send` is checked just before a request is written, on any connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
-async def test_a_word_that_comes_while_a_connection_is_opened_counts(
+async def test_may_send_is_checked_after_the_connection_is_open(
     repeatable: bool,
 ) -> None:
     received: list[bytes] = []
