--- a/src/leadseam/routing/dialect.py
+++ b/src/leadseam/routing/dialect.py
@@ -1,4 +1,4 @@
-"""What the data path needs from a wire format, and the types it reads it into."""
+"""Interface between the data path and a wire format, and the types it exchanges."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     from leadseam.clock import Millis
 
 Headers = tuple[tuple[str, str], ...]
-"""Names and values in the order of the wire; a name may occur more than once."""
+"""Names and values in wire order; a name may occur more than once."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt, shared by all requests that name the same identity.
+    """A part of a prompt, shared by all requests with a part of the same identity.
 
     Args:
-        identity: Tells it from other parts.
-        tokens: Its length.
+        identity: Unique identifier of the part.
+        tokens: Its length in tokens.
     """
 
     identity: str
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Who sends a request.
+    """Sender of a request, and the request's approximate size.
 
     Args:
-        request_id: The caller's identifier, or an empty text.
+        request_id: The caller's identifier of the request, or an empty string.
         key: The caller's bearer key, or None.
         own_tokens: Prompt tokens that no other request shares; 0 if not read.
-        tokens_out: Most tokens to be generated; 0 if not read.
+        tokens_out: Maximum number of tokens to generate; 0 if not read.
     """
 
     request_id: str
@@ -50,17 +50,18 @@
     """A caller's request as read from the wire.
 
     Args:
-        request_id: The caller's identifier; unique to this request.
+        request_id: The caller's unique identifier of the request.
         host: Host that the caller addressed, without a port.
         method: HTTP method.
         target: Raw path and query.
         headers: End-to-end headers to pass on unchanged.
         key: The caller's bearer key, or None.
-        max_wait: Milliseconds that the caller will wait, or None if it does not say.
-        parts: Parts of the prompt in order; empty for other work.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Most tokens to be generated.
-        resume_after: Identity of the last event that the caller has, or None.
+        max_wait: Milliseconds that the caller waits for an answer, or None if not
+            stated.
+        parts: Parts of the prompt in order; empty for requests without a prompt.
+        tokens_in: Number of prompt tokens.
+        tokens_out: Maximum number of tokens to generate.
+        resume_after: Id of the last event that the caller has received, or None.
     """
 
     request_id: str
@@ -83,15 +84,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHead:
-    """What the system itself tells the upstream with one attempt.
+    """Values of the headers that the system itself adds to an attempt.
 
     Args:
         instance: Id of the upstream that must answer; any other has to refuse. It
-            does not tell two starts of one upstream apart.
-        account: Client account that pays, or None.
-        uses_account_keys: Whether bearer keys are this system's own and stay here.
-        time_left: Milliseconds until the request is given up.
-        resume_after: Identity of the last event already delivered, or None.
+            does not distinguish two starts of one upstream.
+        account: Client account that the request is charged to, or None.
+        uses_account_keys: Whether bearer keys belong to client accounts; such keys are
+            not passed on to upstreams.
+        time_left: Milliseconds until the deadline of the request.
+        resume_after: Id of the last event already delivered, or None.
     """
 
     instance: str
@@ -103,17 +105,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What an upstream's answer says of itself.
+    """Head of an upstream's answer.
 
     Args:
-        request_id: Request that it belongs to, or None if it does not say.
-        not_run: Whether the upstream declares that it did not run the request.
-        signed: Whether it carries the upstream's signature.
-        event_stream: Whether the body is a sequence of events.
-        pause: Milliseconds in which the upstream wants nothing more from this entry;
-            0 if it does not say.
-        invalid_pause: What it said of a pause that could not be read, or an empty text.
-        leaving: Whether it says that it is about to end.
+        request_id: Id of the request that it answers, or None if not stated.
+        not_run: Whether the upstream states that it did not run the request.
+        signed: Whether the answer carries the upstream's signature.
+        event_stream: Whether the body is an event stream.
+        pause: Milliseconds for which the upstream requests no more work from this
+            entry; 0 if not stated.
+        invalid_pause: Requested pause that could not be parsed, or an empty string.
+        leaving: Whether the upstream announces that it is leaving.
     """
 
     request_id: str | None
@@ -126,13 +128,13 @@
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of callers and upstreams; decides nothing."""
+    """Reads and writes the headers of callers and upstreams; makes no decisions."""
 
     def read_request(self, http: web.BaseRequest) -> RoutedRequest | None:
         """Read a caller's request; None if its headers are malformed."""
 
     def read_sender(self, http: web.BaseRequest) -> Sender:
-        """Read who sends a request, and nothing else of it."""
+        """Read only the sender of a request."""
 
     def attempt_headers(
         self, req: RoutedRequest, attempt: AttemptHead
@@ -143,4 +145,4 @@
         """Read the head of an upstream's answer."""
 
     def retry_after(self, pause: Millis) -> Headers:
-        """Return the headers that tell a caller when to come back."""
+        """Return the headers that ask a caller to retry after a pause."""
