--- a/src/leadseam/routing/events.py
+++ b/src/leadseam/routing/events.py
@@ -1,4 +1,4 @@
-"""Splits an event stream into whole events."""
+"""Splits an event stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Args:
-        data: Its bytes, with the empty line that ends it.
+        data: Its bytes, including the empty line that ends it.
         event_id: Value of its `id` line, or None.
     """
 
@@ -21,7 +21,7 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events, byte for byte."""
+    """Buffers bytes and returns complete events with their bytes unchanged."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -31,13 +31,13 @@
 
     @property
     def pending(self) -> bytes:
-        """Bytes of an event that has not ended yet."""
+        """Bytes of the event that is not complete yet."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
+        """Add bytes and return the events that they complete."""
         if not self._buffer and _is_one_event(data):
-            # One whole event at a time is what upstreams send nearly always.
+            # Fast path: upstreams nearly always send one complete event at a time.
             return [Event(data, _event_id(data))]
         self._buffer += data
         events = []
@@ -56,12 +56,12 @@
 
 
 class PassThrough:
-    """Gives out bytes as they come: a body that is no sequence of events."""
+    """Returns bytes as they arrive, for a body that is not an event stream."""
 
     pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return them, with no identity to go on from."""
+        """Return the bytes as one event without an id to resume from."""
         return [Event(data, None)] if data else []
 
 
--- a/tests/routing/test_events.py
+++ b/tests/routing/test_events.py
@@ -1,4 +1,4 @@
-"""Events leave the splitter whole, and no byte is lost."""
+"""The splitter returns complete events and loses no byte."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 STREAM = b"id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\n"
 
 
-def test_events_and_their_identities() -> None:
+def test_events_and_their_ids() -> None:
     assert EventSplitter().feed(STREAM) == [
         Event(b"id: 1\ndata: a\n\n", "1"),
         Event(b"id:2\r\ndata: b\r\n\r\n", "2"),
@@ -20,7 +20,7 @@
     ]
 
 
-def test_half_an_event_stays_behind() -> None:
+def test_an_incomplete_event_stays_buffered() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\nda") == []
     assert splitter.pending == b"id: 1\nda"
