--- a/src/leadseam/routing/reply.py
+++ b/src/leadseam/routing/reply.py
@@ -1,4 +1,4 @@
-"""The answer on its way to the caller: what has been sent, and how it ends."""
+"""Streams the answers of upstreams to a caller, and finishes or aborts the response."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from leadseam.clock import Millis
 
 NOT_SENT: Millis = -1
-"""Time of a first byte that has not been sent."""
+"""Value of `first_byte_at` before the first byte is sent."""
 
 
 class CallerGoneError(Exception):
@@ -27,13 +27,13 @@
 
 
 class Reply:
-    """The response to one caller, made of the answers of one or more attempts.
+    """The response to one caller, composed of the answers of one or more attempts.
 
     Args:
         http: The caller's HTTP request.
         prepare: Called with the response before its head is sent.
-        now: Returns the time.
-        last_event: Identity of the last event that the caller has, or None.
+        now: Returns the current time.
+        last_event: Id of the last event that the caller has received, or None.
     """
 
     def __init__(
@@ -56,21 +56,21 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head of a stream went to the caller."""
+        """Whether the head of a streamed response has been sent to the caller."""
         return self._response is not None
 
     async def relay(self, streaming: Streaming, on_data: Callable[[], None]) -> Ending:
-        """Pass on an answer as whole events.
+        """Pass on an answer in complete events.
 
         Args:
-            streaming: The answer; it is closed in the end.
+            streaming: The answer; it is closed before this returns or raises.
             on_data: Called when bytes have arrived from the upstream.
 
         Returns:
-            The answer, or `Broken` if it ends before its end.
+            The answer, or `Broken` if it ends early.
 
         Raises:
-            CallerGoneError: If nothing can be sent to the caller any more.
+            CallerGoneError: If the caller's connection is closed.
         """
         try:
             splitter = EventSplitter() if streaming.events else PassThrough()
@@ -86,7 +86,7 @@
                 raise CallerGoneError(str(exc)) from exc
             return Broken(Reason.UPSTREAM_BROKEN)
         finally:
-            # Ends the work of an upstream whose answer is not read to its end.
+            # Makes the upstream stop its work if the answer is not read to the end.
             streaming.resp.close()
         if self._response is None:
             await self._start(streaming)
@@ -96,7 +96,7 @@
         """Finish a response that has started, and return it.
 
         Raises:
-            CallerGoneError: If the caller left before its end.
+            CallerGoneError: If the caller left before the end of the response.
         """
         assert self._response is not None
         try:
@@ -106,7 +106,7 @@
         return self._response
 
     def abort(self, reason: Reason) -> NoReturn:
-        """End a response that has started so that it cannot look complete.
+        """Abort the caller's connection so that the response cannot seem complete.
 
         Raises:
             CallerGoneError: Always, as nothing more can be sent.
@@ -116,7 +116,7 @@
         raise CallerGoneError(reason.value)
 
     def note_first_byte(self) -> None:
-        """Note that the caller gets an answer; only the first call counts."""
+        """Set `first_byte_at` on the first call; later calls do nothing."""
         if self.first_byte_at == NOT_SENT:
             self.first_byte_at = self._now()
 
@@ -133,7 +133,7 @@
         splitter: EventSplitter | PassThrough,
         on_data: Callable[[], None],
     ) -> None:
-        """Pass on events where they come in, for as long as the caller keeps up."""
+        """Pass on events as they arrive, for as long as the caller keeps up."""
         conn = connection_of(streaming.resp)
         caller = self._http.protocol
         if conn is None or not self.started or caller.writing_paused:
@@ -146,7 +146,7 @@
         await Pump(streaming.resp.content, conn, caller, send).run()
 
     def _send(self, events: list[Event]) -> None:
-        """Send events on a response that has started, without waiting."""
+        """Write events to a response that has started, without waiting."""
         if not events:
             return
         transport = self._open_transport()
@@ -169,7 +169,7 @@
             response = await self._start(streaming)
         try:
             await response.write(b"".join(event.data for event in events))
-            # What was sent without waiting may still wait for the caller.
+            # Data written by `_send` may still be in the transport's buffer.
             await self._http.protocol._drain_helper()
         except ConnectionError as exc:
             raise CallerGoneError(str(exc)) from exc
--- a/tests/routing/test_reply.py
+++ b/tests/routing/test_reply.py
@@ -1,4 +1,4 @@
-"""The answer on its way to a caller."""
+"""Responses to callers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from leadseam.routing.reply import CallerGoneError, Reply
 
 
-async def test_a_caller_that_leaves_at_the_very_end_is_told_apart() -> None:
+async def test_a_caller_that_leaves_before_the_last_chunk_is_reported_as_gone() -> None:
     async def write_eof() -> None:
         raise ConnectionResetError("closing")
 
