--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines and counters on single requests of an entry."""
+"""Logs and counts the requests and attempts of an entry."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     from leadseam.wire.feed import Registration
 
 log = logging.getLogger("leadseam.routing.gateway")
-"""The gateway's logger: readers of the lines know them by this name."""
+"""Logger of the gateway; tools that read the log select lines by its name."""
 
 
 class RequestLog:
-    """Counts how requests end, and writes lines on them within a budget.
+    """Counts outcomes of requests and logs them, within a budget of lines per second.
 
-    Times in lines are milliseconds, those of the counters are seconds.
+    Times are milliseconds in log lines and seconds in metrics.
 
     Args:
-        feed: Configuration in force, named on each line.
-        standing: Returns what a client account may claim, named on refusals.
-        account_log: Where refusals are counted by client account.
+        feed: Source of the configuration version that each line carries.
+        standing: Returns the standing of a client account, logged with refusals.
+        account_log: Counts refusals by client account.
         clock: Source of time.
-        metrics: Counters.
+        metrics: Metrics of routed requests.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._lines = LineBudget(clock)
 
     def update_dropped_lines(self) -> None:
-        """Show how many lines were left out, here or for want of an outlet."""
+        """Update the metric of lines that were suppressed or could not be written."""
         dropped = self._lines.suppressed + lines_not_written()
         self._metrics.logs_dropped.set({}, dropped)
 
@@ -73,7 +73,7 @@
         *,
         lag: Millis,
     ) -> None:
-        """Note a request that was not admitted, and the lag of the event loop."""
+        """Count and log a request that was not admitted, with the event loop's lag."""
         self._metrics.requests.inc("not_run")
         if account is not None:
             self._account_log.refused(account, refusal.reason)
@@ -96,7 +96,7 @@
         *,
         retry: bool,
     ) -> None:
-        """Write a line for an attempt that did not end well."""
+        """Log an attempt that failed."""
         failed = isinstance(ending, Whole) and ending.status >= FIRST_SERVER_ERROR
         if not failed and isinstance(ending, Whole | Streaming):
             return
@@ -109,14 +109,14 @@
                 "retry": retry,
             }
             if isinstance(ending, Broken):
-                # Attempts of one request at different entries have the same.
+                # The same for attempts of one request at different entries.
                 extra["fingerprint"] = admitted.fingerprint()
             log.info("attempt failed", extra=extra)
 
     def silence(
         self, upstream: Registration, admitted: AdmittedRequest, *, excluded: bool
     ) -> None:
-        """Write a line for an upstream that has not answered for too long."""
+        """Log an upstream that has been silent for too long."""
         if self._lines.take():
             extra = {
                 **self._context(admitted),
@@ -128,7 +128,7 @@
     def requests_pause(
         self, upstream: Registration, admitted: AdmittedRequest, head: AnswerHead
     ) -> None:
-        """Note that an upstream turns a request away and asks for a pause."""
+        """Count and log that an upstream refuses a request and requests a pause."""
         self._metrics.pauses_asked.inc("read" if head.pause else "not_read")
         if self._lines.take():
             extra = {
@@ -142,7 +142,7 @@
     def announces_leaving(
         self, upstream: Registration, admitted: AdmittedRequest, status: int
     ) -> None:
-        """Write a line, outside the budget, for an upstream that is about to end."""
+        """Log, outside the budget, that an upstream announces that it is leaving."""
         extra = {
             **self._context(admitted),
             "instance": str(upstream.incarnation),
@@ -151,17 +151,17 @@
         log.info("upstream says in an answer that it leaves", extra=extra)
 
     def excluded(self, upstream: Registration, ending: Ending) -> None:
-        """Write a line, outside the budget, for an upstream that gets no new work."""
+        """Log, outside the budget, that an upstream gets no new work for a while."""
         extra = {"instance": str(upstream.incarnation), "ending": repr(ending)}
         log.warning("upstream left alone for a while", extra=extra)
 
     def address_lost(self, upstream: Registration) -> None:
-        """Write a line, outside the budget, for an address that another one holds."""
+        """Log, outside the budget, that another upstream uses an upstream's address."""
         extra = {"instance": str(upstream.incarnation), "ip": upstream.ip}
-        log.info("address is held by another upstream", extra=extra)
+        log.info("address is used by another upstream", extra=extra)
 
     def end(self, exchange: Exchange, admitted: AdmittedRequest) -> None:
-        """Note the end of an admitted request."""
+        """Count and log the end of an admitted request."""
         now = self._clock.now()
         outcome: Outcome = exchange.outcome
         self._metrics.requests.inc(outcome_name(outcome))
@@ -191,7 +191,7 @@
             "prompt": own_tokens(admitted.req),
         }
         if exchange.placement is not None:
-            # What the last choice of an upstream expected of it.
+            # Estimates from when the last upstream was chosen.
             extra["unread"] = exchange.placement.unread
             extra["reread"] = exchange.placement.reread
             extra["rank"] = exchange.placement.rank
