--- a/src/leadseam/routing/health.py
+++ b/src/leadseam/routing/health.py
@@ -1,6 +1,6 @@
-"""Which upstreams to leave alone for a while, judged from their answers. No I/O.
+"""Passive health checks: excludes upstreams by the failures of their answers. No I/O.
 
-An upstream may fail part of its requests while its own health check is good, so the
+An upstream may fail part of its requests while its own health check succeeds, so the
 share of failures among its last answers decides.
 """
 
@@ -14,16 +14,18 @@
     from leadseam.incarnation import Incarnation
 
 FIRST_PAUSE: Millis = 500
-"""Pause after failures; a restart takes about as long."""
+"""First exclusion after failures; a restart takes about as long."""
 MAX_PAUSE: Millis = 4_000
-"""Longest pause; a recovered upstream is tried again within it."""
+"""Longest exclusion; a recovered upstream is tried again within this time."""
 WEIGHT = 0.1
-"""Weight of the newest answer in the failing share: about the last twenty count."""
+"""Weight of the newest answer in the moving average of failures: about the last twenty
+answers count."""
 FAILING_SHARE = 0.4
-"""Share of failures from which an upstream is left alone. One request in seven may end
-with an error on an ordinary day; five failures in a row reach the share."""
+"""Share of failures from which an upstream is excluded. In normal operation up to one
+request in seven may end with an error; five failures in a row reach the share."""
 FORGOTTEN_SHARE = 0.02
-"""Share below which an upstream counts as new again, its pauses included."""
+"""Share of failures below which an upstream's row is dropped. Its next exclusion then
+lasts `FIRST_PAUSE` again."""
 MAX_ROWS = 10_000
 
 
@@ -35,7 +37,7 @@
 
 
 class UpstreamHealth:
-    """Share of failures, by incarnation."""
+    """Shares of failures and exclusions of upstreams, by incarnation."""
 
     def __init__(self) -> None:
         self._rows: dict[Incarnation, _Row] = {}
@@ -45,16 +47,16 @@
         return f"UpstreamHealth(rows={len(self._rows)})"
 
     def all_usable(self, now: Millis) -> bool:
-        """Tell whether new work may go to any upstream: so it is nearly always."""
+        """Check whether no upstream is excluded; this is nearly always so."""
         return now >= self._last_until
 
     def usable(self, incarnation: Incarnation, now: Millis) -> bool:
-        """Tell whether new work may go there."""
+        """Check whether new work may be sent to an upstream."""
         row = self._rows.get(incarnation)
         return row is None or now >= row.until
 
     def succeeded(self, incarnation: Incarnation) -> None:
-        """Note a good answer."""
+        """Record a good answer."""
         row = self._rows.get(incarnation)
         if row is None:
             return
@@ -63,10 +65,10 @@
             del self._rows[incarnation]
 
     def failed(self, incarnation: Incarnation, now: Millis) -> bool:
-        """Note a failed attempt.
+        """Record a failed attempt.
 
         Returns:
-            Whether the upstream is left alone from now on.
+            Whether the upstream is excluded from now on.
         """
         row = self._rows.setdefault(incarnation, _Row())
         row.share += WEIGHT * (1 - row.share)
@@ -75,7 +77,11 @@
         return self._exclude(row, now)
 
     def unreachable(self, incarnation: Incarnation, now: Millis) -> bool:
-        """Note a connection that could not be opened; see `failed`."""
+        """Record that a connection could not be opened, which excludes the upstream.
+
+        Returns:
+            Whether the upstream is excluded from now on, and was not before.
+        """
         row = self._rows.setdefault(incarnation, _Row())
         row.share = max(row.share, FAILING_SHARE)
         return self._exclude(row, now)
@@ -86,7 +92,7 @@
         row.until = now + row.pause
         self._last_until = max(self._last_until, row.until)
         row.pause = min(row.pause * 2, MAX_PAUSE)
-        # After the pause a few failures are needed, not just one.
+        # After the pause, the next exclusion takes a few failures, not just one.
         row.share = FAILING_SHARE / 2
         self._evict()
         return True
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail are left alone for a while."""
+"""Upstreams that fail are excluded for a while."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ENGINE = Incarnation("i")
 
 
-def test_single_failures_cost_nothing() -> None:
+def test_single_failures_do_not_exclude_an_upstream() -> None:
     health = UpstreamHealth()
     for _ in range(50):
         assert not health.failed(ENGINE, 0)
@@ -17,7 +17,7 @@
     assert health.usable(ENGINE, 0)
 
 
-def test_failures_in_a_row_pause_an_upstream_longer_each_time() -> None:
+def test_failures_in_a_row_exclude_an_upstream_longer_each_time() -> None:
     health = UpstreamHealth()
     assert [health.failed(ENGINE, 0) for _ in range(5)] == [False] * 4 + [True]
     assert not health.usable(ENGINE, FIRST_PAUSE - 1)
@@ -28,7 +28,7 @@
     assert health.usable(ENGINE, 3 * FIRST_PAUSE)
 
 
-def test_half_of_the_requests_failing_is_enough() -> None:
+def test_an_upstream_that_fails_half_of_its_requests_is_excluded() -> None:
     health = UpstreamHealth()
     paused = []
     for _ in range(20):
@@ -38,7 +38,7 @@
     assert not health.usable(ENGINE, 0)
 
 
-def test_good_answers_clear_the_record() -> None:
+def test_good_answers_reset_the_share_of_failures() -> None:
     health = UpstreamHealth()
     for _ in range(5):
         health.failed(ENGINE, 0)
@@ -48,7 +48,7 @@
     assert [health.failed(ENGINE, 0) for _ in range(4)] == [False] * 4
 
 
-def test_an_unreachable_upstream_pauses_at_once_and_never_for_long() -> None:
+def test_an_unreachable_upstream_is_excluded_at_once_and_never_for_long() -> None:
     health = UpstreamHealth()
     now = 0
     for _ in range(10):
