--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -1,11 +1,11 @@
-"""Pauses that upstreams have asked this entry for, and how they are taken up again.
+"""Pauses that upstreams request from this entry, and the slow start after them. No I/O.
 
-No I/O. An upstream that turns a request away may say for how long it wants nothing more
-from this entry. It runs nothing then, so by its load it looks like the best choice.
+An upstream that refuses a request may state how long it wants no more work from this
+entry. Without this table it would seem the best choice, as it has no load meanwhile.
 
-Load that this answers: some engines of a pool turn all requests away for seconds, under
-traffic that the others can serve. After its pause an upstream gets one request, and
-more only as it answers, so that it does not get at once what it has just turned away.
+The case served is a pool where some engines refuse all requests for seconds, under
+traffic that the others can handle. After its pause an upstream gets one request, and
+more only as it answers, so that the load it has just refused does not return at once.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
     from leadseam.wire.feed import Registration
 
 TRIAL_INTERVAL: Millis = 500
-"""Time after which an upstream gets one more request although it has not answered the
-last one: its caller may have gone, or it may take long."""
+"""Time after which an upstream gets one more request although the last one is not
+answered: its caller may have left, or it may take long."""
 GROWTH = 2
-"""Requests that an upstream may get for each that it has answered after a pause."""
+"""Further requests that an upstream may get for each one answered after a pause."""
 RETENTION: Millis = 60_000
-"""Time after a pause from which an upstream counts as any other, whatever it got."""
+"""Time after the end of a pause at which its row is dropped, and the slow start ends in
+any case."""
 
 
 @dataclass(slots=True)
 class _Row:
-    """An upstream that has asked for a pause, until it serves as before.
+    """An upstream during a pause and the slow start after it.
 
     Args:
-        until: When its pause is over.
-        credit: Requests that it may get after that.
-        answered: Requests that it has answered after that.
-        sent_at: When the last one was sent.
+        until: End of the pause.
+        credit: Requests that may still be sent after the pause.
+        answered: Requests answered after the pause.
+        sent_at: Time of the last send.
     """
 
     until: Millis
@@ -45,7 +46,7 @@
 
 
 class PauseTable:
-    """Pauses by incarnation: an address says nothing of who asked."""
+    """Pauses by incarnation, as an address may pass to another upstream."""
 
     def __init__(self) -> None:
         self._rows: dict[Incarnation, _Row] = {}
@@ -55,7 +56,7 @@
         return f"PauseTable(rows={len(self._rows)})"
 
     def pause(self, incarnation: Incarnation, until: Millis) -> None:
-        """Note that an upstream wants nothing until a time; a shorter one is void."""
+        """Pause an upstream until a time; a pause that ends earlier has no effect."""
         row = self._rows.get(incarnation)
         if row is not None:
             until = max(until, row.until)
@@ -63,7 +64,7 @@
         self._last_until = max(self._last_until, until)
 
     def any_paused(self, now: Millis) -> bool:
-        """Tell whether any upstream is paused: so it is rarely."""
+        """Check whether any upstream is paused; this is rarely so."""
         return now < self._last_until
 
     def count(self, now: Millis) -> int:
@@ -71,16 +72,16 @@
         return sum(now < row.until for row in self._rows.values())
 
     def until(self, incarnation: Incarnation) -> Millis:
-        """Return until when an upstream is paused; 0 if it never was."""
+        """Return the end of an upstream's pause; 0 if it has no row."""
         row = self._rows.get(incarnation)
         return row.until if row is not None else 0
 
     def is_paused(self, incarnation: Incarnation, now: Millis) -> bool:
-        """Tell whether an upstream wants nothing now."""
+        """Check whether an upstream is paused now."""
         return now < self.until(incarnation)
 
     def allows(self, incarnation: Incarnation, now: Millis) -> bool:
-        """Tell whether an upstream may get one more request now."""
+        """Check whether an upstream may get one more request now."""
         row = self._rows.get(incarnation)
         if row is None:
             return True
@@ -89,17 +90,17 @@
         return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL
 
     def sent(self, incarnation: Incarnation, now: Millis) -> None:
-        """Note that a request is sent to an upstream."""
+        """Record that a request is sent to an upstream."""
         row = self._rows.get(incarnation)
         if row is not None:
             row.credit = max(row.credit - 1, 0)
             row.sent_at = now
 
     def answered(self, upstream: Registration, now: Millis) -> bool:
-        """Note a good answer; during a pause it is one to an earlier request.
+        """Record a good answer; during a pause it belongs to an earlier request.
 
         Returns:
-            Whether the upstream may get more than before.
+            Whether the upstream may get more requests than before.
         """
         row = self._rows.get(upstream.incarnation)
         if row is None or now < row.until:
@@ -111,7 +112,7 @@
         return True
 
     def sweep(self, now: Millis) -> None:
-        """Forget upstreams whose pause was over long ago."""
+        """Drop the rows of upstreams whose pause ended long ago."""
         over = [one for one, row in self._rows.items() if now > row.until + RETENTION]
         for incarnation in over:
             del self._rows[incarnation]
--- a/tests/routing/test_pauses.py
+++ b/tests/routing/test_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses that upstreams ask for, and the load that follows them."""
+"""Pauses that upstreams request, and the slow start after them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 ONE = ROW.incarnation
 
 
-def test_nothing_is_allowed_until_a_pause_is_over() -> None:
+def test_no_request_is_allowed_until_a_pause_is_over() -> None:
     table = PauseTable()
     assert table.allows(ONE, 1_000)
     table.pause(ONE, 4_000)
@@ -29,7 +29,7 @@
     assert table.until(ONE) == 5_000
 
 
-def test_a_pause_is_of_one_start_and_not_of_an_address() -> None:
+def test_a_pause_applies_to_one_incarnation_only() -> None:
     table = PauseTable()
     table.pause(ONE, 4_000)
     assert table.allows(Incarnation(ONE.instance, 7), 1_000)
@@ -49,7 +49,7 @@
         for _ in range(round_):
             table.answered(ROW, now)
     assert sent == [1, 2, 4]
-    # As many as it has slots have been answered: it counts as any other.
+    # It has answered as many requests as it has slots, so its row is dropped.
     assert table.until(ONE) == 0
 
 
@@ -70,7 +70,7 @@
     assert table.allows(ONE, 1_000 + TRIAL_INTERVAL)
 
 
-def test_one_that_asks_again_gets_nothing_more() -> None:
+def test_a_second_pause_restarts_the_slow_start() -> None:
     table = PauseTable()
     table.pause(ONE, 1_000)
     table.sent(ONE, 1_000)
@@ -80,7 +80,7 @@
     assert not table.allows(ONE, 3_000)
 
 
-def test_what_is_over_is_forgotten() -> None:
+def test_rows_are_dropped_after_the_retention_time() -> None:
     table = PauseTable()
     table.pause(ONE, 1_000)
     table.sweep(1_000 + RETENTION)
