--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -56,7 +56,7 @@
         return f"PauseTable(rows={len(self._rows)})"
 
     def pause(self, incarnation: Incarnation, until: Millis) -> None:
-        """Pause an upstream until a time; a pause that ends earlier has no effect."""
+        """Pause an upstream until a time; its pause does not become shorter by it."""
         row = self._rows.get(incarnation)
         if row is not None:
             until = max(until, row.until)
