--- a/src/leadseam/routing/silence.py
+++ b/src/leadseam/routing/silence.py
@@ -1,4 +1,4 @@
-"""Watches an attempt for silence, and ends it where another upstream may go on."""
+"""Watches an attempt for silence, and ends it if another upstream may take over."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     from collections.abc import Callable
 
 FIRST_BYTE_FACTOR = 1.5
-"""Multiple of the latency objective that a first byte may take."""
+"""Limit on the time to the first byte, as a multiple of the latency objective."""
 ESTIMATE_FACTOR = 3.0
-"""Multiple of the expected time that a first byte may take, where that is longer."""
+"""The same as a multiple of the expected time; the longer limit applies."""
 MIN_FIRST_BYTE_LIMIT: Millis = 500
-"""Shortest silence before a first byte that counts."""
+"""Minimum of the limit on the time to the first byte."""
 GAP_FACTOR = 4.0
-"""Multiple of the longest pause in time after which a stream counts as silent."""
+"""Limit on gaps in a stream, as a multiple of the route's `max_pause`."""
 MIN_GAP_LIMIT: Millis = 1_000
-"""Shortest silence inside a stream that counts: preempted requests stand that long."""
+"""Minimum of the limit on gaps in a stream: preempted requests may stall so long."""
 
 
 class SilenceWatch:
-    """A limit on silence that each sign of life puts back.
+    """A timeout on silence that is reset whenever data arrives.
 
-    The timer is not moved for each event of a stream: it looks, when it fires, how much
-    of the limit is left.
+    The timer is not rescheduled for each event of a stream. When it fires, it checks
+    how much of the limit is left.
 
     Args:
-        on_silence: Called after a silence; returns whether the attempt is to end. It is
-            called again after each further silence.
+        on_silence: Called when the limit has passed; returns whether to end the
+            attempt. If not, it is called again after each further silence.
     """
 
     def __init__(self, on_silence: Callable[[], bool]) -> None:
@@ -51,14 +51,14 @@
         await self._timeout.__aexit__(*exc)  # type: ignore[arg-type]
 
     def reset(self, limit: Millis) -> None:
-        """Expect a sign of life within so many milliseconds from now."""
+        """Restart the timeout with a limit in milliseconds."""
         self._limit = seconds(limit)
         self._last_activity = self._loop.time()
         if self._timer is None:
             self._schedule(self._limit)
 
     def end(self) -> None:
-        """End the attempt now."""
+        """End the attempt now, as if it had timed out."""
         self._timeout.reschedule(self._loop.time())
 
     def _schedule(self, delay: float) -> None:
@@ -77,7 +77,7 @@
 
 
 def first_byte_limit(objective: Millis, expected: float) -> Millis:
-    """Return how long a first byte may take before it counts as missing."""
+    """Return the limit on the time to the first byte."""
     return max(
         round(objective * FIRST_BYTE_FACTOR),
         round(expected * ESTIMATE_FACTOR),
@@ -86,5 +86,5 @@
 
 
 def gap_limit(max_pause: Millis) -> Millis:
-    """Return how long a stream may be silent."""
+    """Return the limit on gaps in a stream."""
     return max(round(max_pause * GAP_FACTOR), MIN_GAP_LIMIT)
