--- a/src/leadseam/routing/first_configuration.py
+++ b/src/leadseam/routing/first_configuration.py
@@ -1,4 +1,4 @@
-"""Requests that come to an entry before its first configuration."""
+"""Lets requests wait at an entry that has no configuration yet."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
     from leadseam.feed.client import FeedClient
 
 LONGEST_WAIT: Millis = 1_000
-"""How long a request may wait for a first configuration: the rest of an election. Who
-is sent away instead comes back to an entry that has started no earlier, and has used up
-a try: 441 requests on a day on which all boxes lost power, by the entries' lines."""
+"""Longest wait of a request for the first configuration: the remaining time of an
+election. A request refused instead uses up one of its attempts, and its retry reaches
+an entry that started no earlier. By the entries' logs this happened to 441 requests on
+a day on which all boxes lost power."""
 MAX_WAITING = 256
-"""Requests that wait at a time; more are refused."""
+"""Requests that may wait at the same time; more do not wait and are refused."""
 
 
 class FirstConfiguration:
-    """Lets requests wait until something is known.
+    """Lets requests wait until the configuration is confirmed.
 
     Args:
-        feed: Brings the configuration.
+        feed: Source of the configuration.
     """
 
     def __init__(self, feed: FeedClient) -> None:
@@ -33,10 +34,11 @@
         return f"FirstConfiguration(waiting={self._waiting})"
 
     async def wait(self, max_wait: Millis | None) -> None:
-        """Return once there is a configuration, or after a while without one.
+        """Wait for the first configuration, but not longer than the limit.
 
         Args:
-            max_wait: Milliseconds that the caller will wait, or None if unknown.
+            max_wait: Milliseconds that the caller waits for an answer, or None if not
+                stated.
         """
         if self._feed.confirmed or self._waiting >= MAX_WAITING:
             return
@@ -46,7 +48,7 @@
             async with asyncio.timeout(seconds(limit)):
                 await self._feed.first_configuration()
         except TimeoutError:
-            # What follows refuses the request, and has its line: nothing is known.
+            # Admission refuses and logs the request, as there is no configuration.
             return
         finally:
             self._waiting -= 1
--- a/tests/routing/test_first_configuration.py
+++ b/tests/routing/test_first_configuration.py
@@ -1,4 +1,4 @@
-"""Requests that meet an entry before its first configuration."""
+"""Requests that reach an entry before its first configuration."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Entry:
-    """An entry whose feed has not brought a configuration yet."""
+    """An entry whose feed has not delivered a configuration yet."""
 
     def __init__(self) -> None:
         self.known = asyncio.Event()
@@ -22,48 +22,50 @@
         )
         self.first = FirstConfiguration(cast("Any", self.feed))
 
-    def come(self, max_wait: int | None = None) -> asyncio.Task[None]:
-        """Let a request come."""
+    def start(self, max_wait: int | None = None) -> asyncio.Task[None]:
+        """Start the wait of one request."""
         return asyncio.create_task(self.first.wait(max_wait))
 
 
 async def turns() -> None:
-    """Let every task that can go on do so."""
+    """Run all tasks that are ready."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
 async def test_a_request_waits_for_the_first_configuration() -> None:
     entry = Entry()
-    waiting = entry.come()
+    waiting = entry.start()
     await turns()
     assert not waiting.done()
     entry.known.set()
     await waiting
 
 
-async def test_it_does_not_wait_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    await Entry().come(max_wait=1)
+async def test_the_wait_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    await Entry().start(max_wait=1)
     monkeypatch.setattr(first_configuration, "LONGEST_WAIT", 1)
-    await Entry().come()
+    await Entry().start()
 
 
-async def test_nobody_waits_once_there_is_one() -> None:
+async def test_a_request_does_not_wait_once_there_is_a_configuration() -> None:
     entry = Entry()
     entry.feed.confirmed = True
-    await entry.come()
+    await entry.start()
 
 
-async def test_a_bounded_number_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_limited_number_of_requests_wait(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(first_configuration, "MAX_WAITING", 2)
     entry = Entry()
-    waiting = [entry.come() for _ in range(3)]
+    waiting = [entry.start() for _ in range(3)]
     await turns()
     assert [task.done() for task in waiting] == [False, False, True]
-    # A caller that leaves makes room for another.
+    # A caller that leaves lets another request wait.
     waiting[0].cancel()
     await turns()
-    another = entry.come()
+    another = entry.start()
     await turns()
     assert not another.done()
     entry.known.set()
