--- a/src/leadseam/routing/router.py
+++ b/src/leadseam/routing/router.py
@@ -1,4 +1,4 @@
-"""Which route and which client account a request belongs to. No I/O."""
+"""Finds the route and the client account of a request. No I/O."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Router:
-    """Look-ups in one configuration.
+    """Indexes the routes and account keys of one configuration.
 
     Args:
-        configuration: The configuration.
+        configuration: The configuration to index.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -39,11 +39,11 @@
 
     @property
     def uses_account_keys(self) -> bool:
-        """Whether there are client accounts at all."""
+        """Whether any client account has a key."""
         return bool(self._accounts)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, or None.
+        """Return the route of a host with the longest matching path prefix, or None.
 
         Args:
             host: Host that the caller addressed, without a port.
@@ -55,7 +55,7 @@
         return None
 
     def account(self, key: str) -> Account | None:
-        """Return the client account that holds a key, or None."""
+        """Return the client account that a bearer key belongs to, or None."""
         digest = self._digests.get(key)
         if digest is None:
             digest = hashlib.sha256(key.encode()).hexdigest()
@@ -65,7 +65,7 @@
 
 
 def choose_pool(route: Route, rng: random.Random) -> str:
-    """Draw one of a route's pools by weight."""
+    """Choose one of a route's pools at random by weight."""
     if len(route.pools) == 1:
         return route.pools[0].pool
     names = [share.pool for share in route.pools]
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Matching of routes and keys."""
+"""Matching of routes and account keys, and the choice of a pool."""
 
 from __future__ import annotations
 
