--- a/src/leadseam/routing/scope.py
+++ b/src/leadseam/routing/scope.py
@@ -1,4 +1,4 @@
-"""Which upstreams a request may go to, before anything is known of their load."""
+"""The pool and regions whose upstreams a request may use, regardless of their load."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
     from collections.abc import Iterable
 
 Regions: TypeAlias = "frozenset[str] | None"
-"""Regions that are allowed, or None for all."""
+"""Allowed regions, or None for all."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """A pool, and the regions to which a request is bound.
+    """A pool, and the regions to which a request is restricted.
 
     Args:
         pool: Name of the pool.
-        regions: Regions in which it may be served, or None for all.
+        regions: Regions in which the request may be served, or None for all.
     """
 
     pool: str
@@ -26,7 +26,7 @@
 
 
 def allowed_regions(*bound: Iterable[str]) -> Regions:
-    """Return the regions that all bounds allow; an empty bound allows all."""
+    """Return the regions that all restrictions allow; an empty one allows all."""
     allowed: Regions = None
     for regions in map(frozenset, bound):
         if regions:
--- a/tests/routing/test_scope.py
+++ b/tests/routing/test_scope.py
@@ -1,11 +1,11 @@
-"""Regions to which a request is bound."""
+"""Regions to which a request is restricted."""
 
 from __future__ import annotations
 
 from leadseam.routing.scope import allowed_regions
 
 
-def test_both_bounds_bind_where_both_are_stated() -> None:
+def test_regions_of_route_and_account_are_intersected() -> None:
     assert allowed_regions((), ()) is None
     assert allowed_regions(("east",), ()) == frozenset({"east"})
     assert allowed_regions((), ("east", "west")) == frozenset({"east", "west"})
