--- a/src/leadseam/routing/admitted.py
+++ b/src/leadseam/routing/admitted.py
@@ -1,4 +1,4 @@
-"""A caller's request once it may be forwarded."""
+"""An admitted request."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that may be forwarded.
+    """A caller's request that may be forwarded to an upstream.
 
     Args:
-        req: The request.
+        req: The request as read from the wire.
         body: Its body.
         route: Its route.
-        pool: Pool that was drawn for it.
-        regions: Regions to which route and account bind it, or None for all.
-        account: Client account that pays, or None.
-        arrived: When it was read.
-        deadline: When it is given up.
+        pool: Pool that was chosen for it.
+        regions: Regions to which route and account restrict it, or None for all.
+        account: Client account that it is charged to, or None.
+        arrived: Time at which it arrived.
+        deadline: Time at which it is given up.
     """
 
     req: RoutedRequest
@@ -42,9 +42,9 @@
 
     @property
     def scope(self) -> Scope:
-        """Where it may go."""
+        """The upstreams that it may be sent to."""
         return Scope(self.pool, self.regions)
 
     def fingerprint(self) -> Fingerprint:
-        """Return what is the same when the same request is sent again."""
+        """Return the fingerprint, which is equal for repetitions of the request."""
         return fingerprint(self.req, self.account, self.body)
