--- a/tests/routing/test_busy.py
+++ b/tests/routing/test_busy.py
@@ -1,8 +1,9 @@
-"""Pauses told by a busy entry.
+"""Retry-After pauses of a busy entry.
 
-On the day with two evacuations one account's callers used one entry that was busy for
-half a minute. They were told to come back within 150 ms, came back to it and were
-refused again; what that cost was the largest price of the day (0.086 of its worth).
+Guards against pauses that are too short. On the day with two evacuations, callers of
+one account used one entry that was busy for half a minute. Asked to retry within
+150 ms, they returned to it and were refused again; this was the largest loss of the day
+(0.086 of its worth).
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from leadseam.routing.busy import BUSY_GAP, LONGEST_PAUSE, SHORTEST_PAUSE, BusyPeriod
 
 
-def test_the_first_refusal_tells_a_short_pause() -> None:
+def test_the_first_refusal_has_the_shortest_pause() -> None:
     assert BusyPeriod().refused(10_000) == SHORTEST_PAUSE
 
 
 def test_a_pause_is_as_long_as_the_entry_has_been_busy() -> None:
     period = BusyPeriod()
-    told = [period.refused(now) for now in range(0, 6_000, 100)]
-    assert told[:3] == [150, 150, 200]
-    assert told[20] == 2_000
-    assert told[-1] == LONGEST_PAUSE
+    pauses = [period.refused(now) for now in range(0, 6_000, 100)]
+    assert pauses[:3] == [150, 150, 200]
+    assert pauses[20] == 2_000
+    assert pauses[-1] == LONGEST_PAUSE
 
 
-def test_an_entry_that_had_time_in_between_begins_anew() -> None:
+def test_a_busy_period_ends_after_a_time_without_refusals() -> None:
     period = BusyPeriod()
     for now in range(0, 3_001, 100):
         period.refused(now)
@@ -31,10 +32,10 @@
 
 
 def served_of_a_burst(pause_of: object) -> int:
-    """Return the callers served whose entry is busy for three seconds.
+    """Return the number of callers served by an entry that is busy for three seconds.
 
-    Each of them comes once, and once more after the pause that it was told; the entry
-    serves one in 20 ms of those that come meanwhile.
+    Each refused caller retries once, after the pause that it was given. The entry
+    serves one request each 20 ms.
     """
     assert callable(pause_of)
     served = 0
