--- a/src/leadseam/routing/restarts.py
+++ b/src/leadseam/routing/restarts.py
@@ -1,7 +1,8 @@
-"""Ends callbacks at upstreams that have started again since. No I/O.
+"""Ends attempts at upstreams that have restarted in the meantime. No I/O.
 
-What ran at the start before is lost: an upstream knows nothing of it any more. Its
-connection may stay silent for seconds, if the box went with it, so nobody waits for it.
+A restarted upstream has lost all requests of its previous incarnation. Their
+connections may stay silent for seconds if the box failed too, so the attempts are ended
+at once.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Restarts:
-    """Attempts under way, by the incarnation that they are at."""
+    """Callbacks that end current attempts, by the incarnation of their upstream."""
 
     def __init__(self) -> None:
         self._callbacks: dict[Incarnation, list[Callable[[], None]]] = {}
@@ -28,7 +29,7 @@
     def watch(
         self, incarnation: Incarnation, on_restart: Callable[[], None]
     ) -> Iterator[None]:
-        """Have something called if the incarnation is over while this is entered."""
+        """Register a callback for the end of an incarnation within a `with` block."""
         callbacks = self._callbacks.setdefault(incarnation, [])
         callbacks.append(on_restart)
         try:
@@ -39,7 +40,7 @@
                 self._callbacks.pop(incarnation, None)
 
     def end_attempts(self, incarnations: Iterable[Incarnation]) -> int:
-        """End the callbacks at incarnations that are over; return their number."""
+        """End the attempts at incarnations that are over; return their number."""
         called = [
             on_restart
             for incarnation in incarnations
--- a/tests/routing/test_restarts.py
+++ b/tests/routing/test_restarts.py
@@ -1,4 +1,4 @@
-"""Attempts at upstreams that have started again."""
+"""Attempts at upstreams that have restarted."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 LATER = Incarnation("i", 2)
 
 
-def test_only_attempts_at_the_start_that_is_over_end() -> None:
+def test_only_attempts_at_the_ended_incarnation_end() -> None:
     restarts = Restarts()
     ended: list[str] = []
     with (
@@ -22,7 +22,7 @@
     assert ended == ["first", "second"]
 
 
-def test_nothing_is_kept_of_attempts_that_have_ended() -> None:
+def test_callbacks_of_ended_attempts_are_removed() -> None:
     restarts = Restarts()
     with restarts.watch(EARLIER, lambda: None):
         pass
