--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -1,8 +1,8 @@
-"""Entries' own data path before modelled upstreams, in virtual time.
+"""Entries with simulated upstreams, in virtual time.
 
-Each entry is a whole `Gateway`; only the client that opens connections is replaced. It
-takes its time for a connection, asks for leave as the real one does, and counts what
-reaches an upstream.
+Each entry is a complete `Gateway`; only its HTTP client is replaced. The fake client
+takes time to open a connection, calls `may_send` as the real one does, and records the
+requests that reach an upstream.
 """
 
 from __future__ import annotations
@@ -38,23 +38,21 @@
     from leadseam.wire.feed import Registration
 
 NETWORK_DELAY = 0.002
-"""Seconds from box to box."""
+"""One-way delay between boxes, in seconds."""
 SERVICE_TIME = 0.05
-"""Seconds that an upstream works on a request."""
-
-
+"""Seconds for which an upstream processes a request."""
 SUBJECTS = 20
-"""Shared parts of prompts that requests ask about in turn."""
+"""Number of shared prompt parts that requests use in turn."""
 
 
 @dataclass(frozen=True, slots=True)
 class RefusalPeriod:
-    """A time in which an upstream turns away all that reaches it.
+    """A period in which an upstream refuses all requests.
 
     Args:
         begin: When it begins, in seconds.
         end: When it ends.
-        pause: Seconds of rest for which the upstream asks each time.
+        pause: Pause that the upstream requests with each refusal, in seconds.
     """
 
     begin: float
@@ -64,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """A announcement of an upstream that an entry has heard.
+    """An upstream's announcement that it accepts no requests, as received by an entry.
 
     Args:
         entry: The entry.
-        at: When it heard it, in seconds.
-        until: Until when nothing is wanted; infinite for one that leaves.
+        at: When the entry received it, in seconds.
+        until: Until when no request is accepted; infinite for a leaving upstream.
     """
 
     entry: int
@@ -83,7 +81,7 @@
 
     Args:
         entry: Entry that sent it.
-        at: When it was written, in seconds.
+        at: When it was sent, in seconds.
     """
 
     entry: int
@@ -92,15 +90,15 @@
 
 @dataclass
 class ModelledUpstream:
-    """A modelled upstream.
+    """A simulated upstream.
 
     Args:
         row: Its registration.
-        periods: When it turns requests away.
-        leaves_at: When its answers begin to say that it leaves, in seconds.
-        arrivals: What has reached it.
-        announcements: What entries have heard of it.
-        ran: Requests that it ran.
+        periods: Periods in which it refuses requests.
+        leaves_at: When its answers begin to announce that it leaves, in seconds.
+        arrivals: Requests that have reached it.
+        announcements: Its announcements that entries have received.
+        ran: Number of requests that it ran.
     """
 
     row: Registration
@@ -111,7 +109,7 @@
     ran: int = 0
 
     def refusal_period_at(self, at: float) -> RefusalPeriod | None:
-        """Return the period in which it is, if any."""
+        """Return the refusal period at a time, if any."""
         return next((one for one in self.periods if one.begin <= at < one.end), None)
 
     def ignored_announcements(self) -> list[tuple[Announcement, Arrival]]:
@@ -126,7 +124,7 @@
 
 
 class _Answer:
-    """An answer as the library hands it out."""
+    """A fake of the HTTP library's response."""
 
     def __init__(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
@@ -134,7 +132,7 @@
         self.content = SimpleNamespace(readany=self.read)
 
     async def read(self) -> bytes:
-        """Return the end of the body."""
+        """Return the end of the empty body."""
         return b""
 
     def close(self) -> None:
@@ -157,7 +155,7 @@
         may_send: Callable[[], bool],
         **_: object,
     ) -> _Answer:
-        """Open a connection, ask for leave, and let the upstream answer."""
+        """Open a connection, check `may_send`, and simulate the upstream's answer."""
         fleet = self._fleet
         await asyncio.sleep(fleet.rng.uniform(0, fleet.connect_s))
         if not may_send():
@@ -189,14 +187,14 @@
 
 
 class GatewayFleet:
-    """Entries and upstreams; needs a running `VirtualLoop`.
+    """A fleet of entries and upstreams; needs a running `VirtualLoop`.
 
     Args:
         upstreams: The upstreams.
         entries: Number of entries.
         engines: Whether the pool's upstreams are engines, for which requests wait.
-        seed: Seed of all that is random.
-        connect_s: Most seconds that opening a connection takes.
+        seed: Seed of all random numbers.
+        connect_s: Longest time to open a connection, in seconds.
     """
 
     def __init__(
@@ -247,7 +245,7 @@
         )
 
     async def call(self, entry: int, *, max_wait: int = 3_000) -> None:
-        """Make a request through an entry, and note its outcome."""
+        """Run a request through an entry, and record its outcome and duration."""
         self._numbers += 1
         now = self._clock.now()
         route = make_route("r", "/chat/", "p")
@@ -271,7 +269,12 @@
         self.outcomes.append(exchange.outcome)
 
     async def keep_calling(self, *, every: float, span: float) -> None:
-        """Make requests at random moments, at each entry every so many seconds."""
+        """Make requests at random times.
+
+        Args:
+            every: Mean seconds between requests at one entry.
+            span: Seconds for which requests are made.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + span
         async with asyncio.TaskGroup() as group:
@@ -281,7 +284,7 @@
 
 
 def modelled(count: int, **first: Any) -> list[ModelledUpstream]:
-    """Return upstreams, the first one with other fields than the rest."""
+    """Return upstreams, the first one with the given fields."""
     rows = [make_upstream(number) for number in range(1, count + 1)]
     return [
         ModelledUpstream(row, **(first if number == 0 else {}))
--- a/tests/routing/samples.py
+++ b/tests/routing/samples.py
@@ -1,4 +1,4 @@
-"""Literal requests, routes and upstreams for the tests of the data path."""
+"""Sample requests, routes and upstreams for tests of the data path."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def make_upstream(
     number: int, *, pool: str = "p", sequence: int = 1, start: int = NO_START
 ) -> Registration:
-    """Return a ready upstream with its own address."""
+    """Return a ready upstream with an address of its own."""
     return Registration(
         incarnation=Incarnation(f"i-{number}", start),
         pool=pool,
@@ -49,7 +49,7 @@
     host: str = "a.example",
     time_limit: int = 1_000,
 ) -> Route:
-    """Return a safe route to pools of equal weight."""
+    """Return a route to pools of equal weight whose requests may be repeated."""
     return Route(
         name=name,
         host=host,
@@ -64,7 +64,7 @@
 def make_admitted(
     request_id: str = "r-1", *, arrived: int = 0, deadline: int = 5_000
 ) -> AdmittedRequest:
-    """Return a request for the pool `p` that came in through a safe route."""
+    """Return a request for the pool `p` that may be repeated."""
     return AdmittedRequest(
         req=make_request(request_id=request_id),
         body=b"{}",
