--- a/tests/routing/test_upstream_announcements.py
+++ b/tests/routing/test_upstream_announcements.py
@@ -96,7 +96,7 @@
         assert upstream.ignored_announcements() == []
 
 
-def test_callers_do_not_notice_that_two_of_five_engines_rest() -> None:
+def test_callers_do_not_notice_that_two_of_five_engines_pause() -> None:
     period = RefusalPeriod(1.0, 6.0, 3.0)
     made = [
         ModelledUpstream(make_upstream(number), (period,) if number < 3 else ())
@@ -110,7 +110,7 @@
     assert turned_away <= 2 * 2 * 2
 
 
-def test_what_waits_for_a_connection_goes_elsewhere_once_its_engine_rests() -> None:
+def test_a_request_that_waits_for_a_connection_moves_if_its_engine_pauses() -> None:
     made = modelled(3, periods=(RefusalPeriod(1.0, 2.0, 3.0),))
 
     async def call_now_and_then(fleet: GatewayFleet) -> None:
@@ -124,7 +124,7 @@
     assert all(isinstance(one, Answered) for one in fleet.outcomes)
 
 
-def test_where_all_rest_callers_are_refused_at_once_and_told_when_to_return() -> None:
+def test_if_all_engines_pause_callers_are_refused_at_once_with_a_retry_pause() -> None:
     period = RefusalPeriod(0.0, 100.0, 2.0)
     made = modelled(2, periods=(period,))
     made[1].periods = (RefusalPeriod(0.0, 100.0, 3.0),)
@@ -147,7 +147,7 @@
         assert 1_990 <= outcome.retry_after <= 2_700
 
 
-def test_what_waits_for_an_engine_is_refused_once_all_rest() -> None:
+def test_waiting_requests_are_refused_once_all_engines_pause() -> None:
     made = modelled(1, periods=(RefusalPeriod(0.0, 100.0, 2.0),))
 
     async def call_many(fleet: GatewayFleet) -> None:
@@ -161,7 +161,7 @@
     assert len(made[0].arrivals) == 4
 
 
-def test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice() -> None:
+def test_a_leaving_upstream_gets_no_new_requests_and_callers_do_not_notice() -> None:
     made = modelled(3, leaves_at=1.0)
     fleet = play(lambda: GatewayFleet(made), call_on)
     assert max(one.at for one in made[0].arrivals) < 1.5
@@ -169,7 +169,7 @@
     assert all(isinstance(one, Answered) for one in fleet.outcomes)
 
 
-def test_the_end_of_a_rest_is_no_step_of_load() -> None:
+def test_load_grows_slowly_after_the_end_of_a_pause() -> None:
     made = modelled(2, periods=(RefusalPeriod(1.0, 2.0, 2.0),))
     for one in made:
         one.row = msgspec.structs.replace(one.row, slots=64)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -395,7 +395,7 @@
         "routing/placer.py",
         "        self._pauses.pause(row.incarnation, until)",
         "        pass",
-        f"{WORDS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
+        f"{WORDS}::test_callers_do_not_notice_that_two_of_five_engines_pause",
     ),
     Variant(
         "nothing is asked before a request is written",
@@ -403,7 +403,7 @@
         "        return not self._pauses.is_paused(row.incarnation, self._clock.now())",
         "        return True",
         f"{WORDS}"
-        "::test_what_waits_for_a_connection_goes_elsewhere_once_its_engine_rests",
+        "::test_a_request_that_waits_for_a_connection_moves_if_its_engine_pauses",
     ),
     Variant(
         "a connection is used without asking",
@@ -417,21 +417,21 @@
         "routing/admission.py",
         " or not self.candidates(waiter.scope):",
         ":",
-        f"{WORDS}::test_what_waits_for_an_engine_is_refused_once_all_rest",
+        f"{WORDS}::test_waiting_requests_are_refused_once_all_engines_pause",
     ),
     Variant(
         "the end of a pause is a step of load",
         "routing/pauses.py",
         "        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL",
         "        return True",
-        f"{WORDS}::test_the_end_of_a_rest_is_no_step_of_load",
+        f"{WORDS}::test_load_grows_slowly_after_the_end_of_a_pause",
     ),
     Variant(
         "the word of leaving in answers is not read",
         "platform/headers.py",
         "            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),",
         "",
-        f"{WORDS}::test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice",
+        f"{WORDS}::test_a_leaving_upstream_gets_no_new_requests_and_callers_do_not_notice",
     ),
     Variant(
         "a full plain pool lets nobody wait",
