--- a/tests/routing/test_any_deployment.py
+++ b/tests/routing/test_any_deployment.py
@@ -1,4 +1,4 @@
-"""Admission on deployments of any size: idle engines take what comes."""
+"""On deployments of any size, idle engines admit every request."""
 
 from __future__ import annotations
 
@@ -67,5 +67,5 @@
         level=lambda account, now: 0,
     )
     admission.enter(waiter, 0)
-    # However long the prompt, slow the engines or short the objective.
+    # Independent of prompt length, engine speed and latency objective.
     assert waiter.placement is not None
--- a/tests/routing/test_upstream_announcements.py
+++ b/tests/routing/test_upstream_announcements.py
@@ -1,4 +1,4 @@
-"""No send of an entry goes against what an upstream has announced."""
+"""Entries send no request that an upstream's announcements rule out."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     from typing import Any
 
 SPAN = 5.0
-"""Seconds played."""
+"""Seconds for which requests are made."""
 
 
 def play(
     make: Callable[[], GatewayFleet],
     run: Callable[[GatewayFleet], Coroutine[Any, Any, None]],
 ) -> GatewayFleet:
-    """Make a fleet in a virtual loop, run something with it, and return it."""
+    """Create a fleet in a virtual loop, run a scenario with it, and return it."""
 
     async def both() -> GatewayFleet:
         fleet = make()
@@ -46,7 +46,7 @@
 
 
 async def call_on(fleet: GatewayFleet) -> None:
-    """Make 40 requests a second for some seconds."""
+    """Make 40 requests a second for `SPAN` seconds."""
     await fleet.keep_calling(every=2 / 40, span=SPAN)
 
 
@@ -105,7 +105,7 @@
     fleet = play(lambda: GatewayFleet(made), call_on)
     refused = [one for one in fleet.outcomes if not isinstance(one, Answered)]
     assert refused == []
-    # Each entry learns it once for each rest of 3 s, of each engine.
+    # Each entry is refused once per pause of 3 s and engine.
     turned_away = sum(len(upstream.announcements) for upstream in made)
     assert turned_away <= 2 * 2 * 2
 
@@ -130,7 +130,7 @@
     made[1].periods = (RefusalPeriod(0.0, 100.0, 3.0),)
 
     async def call_some(fleet: GatewayFleet) -> None:
-        # The first two requests learn of the rests.
+        # The first request is refused by both upstreams, and the entry pauses them.
         await fleet.call(0)
         fleet.took.clear()
         fleet.outcomes.clear()
@@ -143,7 +143,7 @@
         assert isinstance(outcome, NotRun)
         assert outcome.reason is Reason.UPSTREAMS_PAUSED
         assert outcome.retry_after is not None
-        # The first is back after 2 s to 2.2 s; callers return in the half second after.
+        # The first pause ends after 2 s to 2.2 s; retries spread over 0.5 s after it.
         assert 1_990 <= outcome.retry_after <= 2_700
 
 
@@ -156,7 +156,7 @@
                 group.create_task(fleet.call(0))
 
     fleet = play(lambda: GatewayFleet(made, entries=1), call_many)
-    # Four take the slots and hear of it; the other eight do not wait for 340 ms.
+    # Four take the slots and are refused; the other eight do not wait for 340 ms.
     assert max(fleet.took) < 0.05
     assert len(made[0].arrivals) == 4
 
@@ -180,7 +180,7 @@
     fleet = play(lambda: GatewayFleet(made, entries=1, engines=False), call_often)
     announcement = made[0].announcements[-1]
     after = [one.at for one in made[0].arrivals if one.at >= announcement.until]
-    # One request, and no other before the first is answered.
+    # The second request is not sent before the first is answered.
     assert after[1] - after[0] >= 0.05
     assert len(after) > 10
     assert all(isinstance(one, Answered) for one in fleet.outcomes)
