--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -75,7 +75,7 @@
         this rule a repeated request crashed four upstreams, with it three (six runs
         each, two entries, four upstreams, real processes).
         """
-        if not self._may_know(admitted):
+        if not self._may_have_evidence(admitted):
             return None
         suspect = _suspect(admitted)
         if self._suspects.book.convicts(suspect.fingerprint):
@@ -104,7 +104,7 @@
         """
         match ending:
             case Broken():
-                self._broke(upstream, admitted, early=early)
+                self._note_broken(upstream, admitted, early=early)
             case Whole(status=status) if status < FIRST_REDIRECTION:
                 self._answered_whole(upstream, admitted)
             case Streaming(resp=resp) if resp.status < FIRST_REDIRECTION:
@@ -134,7 +134,7 @@
         rows = self._suspects.book.rows()
         return Crashes(rows) if rows else None
 
-    def _broke(
+    def _note_broken(
         self, upstream: Registration, admitted: AdmittedRequest, *, early: bool
     ) -> None:
         suspect = _suspect(admitted)
@@ -154,13 +154,13 @@
     ) -> None:
         now = self._clock.now()
         self._suspects.answered(upstream.incarnation, now)
-        if not self._may_know(admitted):
+        if not self._may_have_evidence(admitted):
             return
         row = self._suspects.answered_whole(_suspect(admitted), now)
         if row is not None:
             self._feed.tell(Crashes((row,)))
 
-    def _may_know(self, admitted: AdmittedRequest) -> bool:
+    def _may_have_evidence(self, admitted: AdmittedRequest) -> bool:
         return self._suspects.may_know(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
@@ -200,7 +200,9 @@
 
     def _matches(self, exchange: Exchange, fingerprint: Fingerprint) -> bool:
         admitted = exchange.admitted
-        return self._may_know(admitted) and admitted.fingerprint() == fingerprint
+        return (
+            self._may_have_evidence(admitted) and admitted.fingerprint() == fingerprint
+        )
 
 
 def _suspect(admitted: AdmittedRequest) -> Suspect:
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         self.refused = False
-        self.told: list[Crashes] = []
+        self.reported: list[Crashes] = []
         self.clock = ManualClock(10_000)
         self.feed = SimpleNamespace(
-            view=UpstreamView(), fresh=True, tell=self.told.append
+            view=UpstreamView(), fresh=True, tell=self.reported.append
         )
         self.running: set[Any] = set()
         self.upstreams = [make_upstream(number) for number in (1, 2, 3)]
@@ -44,7 +44,7 @@
         """Return whether the address of an upstream refuses connections."""
         return self.refused
 
-    def broke(self, number: int) -> None:
+    def note_broken(self, number: int) -> None:
         """Note a broken attempt at an upstream."""
         upstream = self.upstreams[number - 1]
         self.guard.note_ending(upstream, admitted(), BROKEN, early=True)
@@ -75,17 +75,17 @@
     entry.refused = True
     for number in (1, 2, 3):
         assert entry.guard.refusal(admitted()) is None
-        entry.broke(number)
+        entry.note_broken(number)
         await asyncio.sleep(2 * PROBE_DELAY / 1_000)
     assert entry.guard.refusal(admitted()) is Reason.CRASHES_UPSTREAMS
     assert entry.guard.refusal(admitted(b"{ }")) is None
-    rows = [row for message in entry.told for row in message.rows]
+    rows = [row for message in entry.reported for row in message.rows]
     assert [len(row.counted) for row in rows] == [1, 2, 3]
 
 
 async def test_broken_attempts_alone_do_not_convict_a_request(entry: Entry) -> None:
     for number in (1, 2, 3):
-        entry.broke(number)
+        entry.note_broken(number)
     await asyncio.sleep(2 * PROBE_DELAY / 1_000)
     assert entry.guard.refusal(admitted()) is Reason.MAY_CRASH_UPSTREAMS
     entry.clock.advance(200)
@@ -93,25 +93,25 @@
         whole = Whole(200, (), b"")
         entry.guard.note_ending(upstream, admitted(b"good"), whole, early=False)
     assert entry.guard.refusal(admitted()) is None
-    assert entry.told == []
+    assert entry.reported == []
 
 
 async def test_a_disconnected_entry_takes_no_upstream_for_ended(entry: Entry) -> None:
     # An entry without a link to any control box forgets every upstream after 12 s. Its
     # attempts break as well, if it is disconnected from the upstreams too.
     for number in (1, 2, 3):
-        entry.broke(number)
+        entry.note_broken(number)
     entry.feed.fresh = False
     entry.feed.view.disconnected("a", entry.clock.now())
     entry.feed.view.sweep(entry.clock.advance(13_000))
     entry.guard.review()
-    assert entry.told == []
+    assert entry.reported == []
     assert entry.guard.refusal(admitted()) is not Reason.CRASHES_UPSTREAMS
     # Once it receives the registered upstreams again, those missing have ended.
     entry.feed.fresh = True
     entry.feed.view.update("a", entry.upstreams[:1], entry.clock.now())
     entry.guard.review()
-    (message,) = entry.told
+    (message,) = entry.reported
     assert set(message.rows[-1].ended) == {
         upstream.incarnation for upstream in entry.upstreams[1:]
     }
