--- a/src/leadseam/routing/events.py
+++ b/src/leadseam/routing/events.py
@@ -48,9 +48,9 @@
 
     def _end_of_event(self) -> int:
         ends = [
-            position + len(mark)
-            for mark in (_END, b"\r\n\r\n")
-            if (position := self._buffer.find(mark)) >= 0
+            position + len(terminator)
+            for terminator in (_END, b"\r\n\r\n")
+            if (position := self._buffer.find(terminator)) >= 0
         ]
         return min(ends, default=0)
 
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class ModelledUpstream:
+class SimulatedUpstream:
     """A simulated upstream.
 
     Args:
@@ -181,7 +181,7 @@
             self._record(upstream, float("inf"))
         return _Answer(200, answer | {names.SIGNATURE: "s"})
 
-    def _record(self, upstream: ModelledUpstream, until: float) -> None:
+    def _record(self, upstream: SimulatedUpstream, until: float) -> None:
         at = asyncio.get_running_loop().time()
         upstream.announcements.append(Announcement(self._entry, at, until))
 
@@ -199,7 +199,7 @@
 
     def __init__(
         self,
-        upstreams: Iterable[ModelledUpstream],
+        upstreams: Iterable[SimulatedUpstream],
         *,
         entries: int = 2,
         engines: bool = True,
@@ -283,10 +283,10 @@
                 group.create_task(self.call(self.rng.randrange(len(self.gateways))))
 
 
-def modelled(count: int, **first: Any) -> list[ModelledUpstream]:
+def simulated_upstreams(count: int, **first: Any) -> list[SimulatedUpstream]:
     """Return upstreams, the first one with the given fields."""
     rows = [make_upstream(number) for number in range(1, count + 1)]
     return [
-        ModelledUpstream(row, **(first if number == 0 else {}))
+        SimulatedUpstream(row, **(first if number == 0 else {}))
         for number, row in enumerate(rows)
     ]
--- a/tests/routing/test_client.py
+++ b/tests/routing/test_client.py
@@ -76,8 +76,8 @@
         await may_reset.wait()
         reset(writer)
 
-    async with upstream(script) as port, client() as made:
-        resp = await send(made, port)
+    async with upstream(script) as port, client() as opened:
+        resp = await send(opened, port)
         assert await resp.content.readany() == b"half"
         may_reset.set()
         with pytest.raises(aiohttp.ClientError):
@@ -93,9 +93,9 @@
         await writer.drain()
         reset(writer)
 
-    async with upstream(script) as port, client() as made:
+    async with upstream(script) as port, client() as opened:
         with pytest.raises((aiohttp.ClientError, OSError)):
-            resp = await send(made, port)
+            resp = await send(opened, port)
             await resp.read()
 
 
@@ -116,8 +116,8 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    async with client() as made:
-        resp = await send(made, listener.getsockname()[1])
+    async with client() as opened:
+        resp = await send(opened, listener.getsockname()[1])
         assert await resp.content.readany() == b"first"
         head_read.set()
         # Blocks the event loop, so that its next poll finds both at once.
@@ -137,8 +137,8 @@
         writer.write(HEAD % b"1" + b"\r\nwhole")
         writer.close()
 
-    async with upstream(script) as port, client() as made:
-        resp = await send(made, port)
+    async with upstream(script) as port, client() as opened:
+        resp = await send(opened, port)
         assert await resp.read() == b"whole"
 
 
@@ -161,12 +161,12 @@
                 writer.write(whole % b"surplus")
         first_closed.set()
 
-    async with upstream(script) as port, client() as made:
-        resp = await send(made, port)
+    async with upstream(script) as port, client() as opened:
+        resp = await send(opened, port)
         assert (resp.headers["X-Id"], await resp.read()) == ("1", b"ok")
         surplus_sent.set()
         await first_closed.wait()
-        resp = await send(made, port)
+        resp = await send(opened, port)
         assert (resp.headers["X-Id"], await resp.read()) == ("2", b"ok")
         assert len(connections) == 2
 
@@ -183,9 +183,9 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(HEAD % b"1" + b"Content-Length: 2\r\n\r\nok")
 
-    async with upstream(script) as port, client() as made:
+    async with upstream(script) as port, client() as opened:
         for _ in range(3):
-            resp = await send(made, port)
+            resp = await send(opened, port)
             assert await resp.read() == b"ok"
     assert connections == 1
 
@@ -194,8 +194,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The second close could hit a descriptor that another connection reuses."""
-    async with client() as made:
-        await assert_closed_once(functools.partial(send, made), monkeypatch)
+    async with client() as opened:
+        await assert_closed_once(functools.partial(send, opened), monkeypatch)
 
 
 async def test_keepalive_probes_are_enabled_on_connections() -> None:
@@ -205,8 +205,8 @@
         await reader.read()
         writer.close()
 
-    async with upstream(hold) as port, client() as one:
-        resp = await send(one, port)
+    async with upstream(hold) as port, client() as opened:
+        resp = await send(opened, port)
         conn = resp.connection
         assert conn is not None and conn.transport is not None
         sock = conn.transport.get_extra_info("socket")
--- a/tests/routing/test_exchange.py
+++ b/tests/routing/test_exchange.py
@@ -24,7 +24,7 @@
 DEADLINE = 5_000
 
 
-class Shared:
+class FakeGateway:
     """A fake of the gateway with one upstream or none.
 
     Args:
@@ -70,7 +70,7 @@
         return cast("Flight", flight)
 
 
-def make_exchange(shared: Shared, repeat: Repeat = Repeat.SAFE) -> Exchange:
+def make_exchange(gateway: FakeGateway, repeat: Repeat = Repeat.SAFE) -> Exchange:
     """Return an exchange of a request on a route with the given repeat rule."""
     route = msgspec.structs.replace(make_route("r", "/chat/", "p"), repeat=repeat)
     admitted = AdmittedRequest(
@@ -83,7 +83,7 @@
         deadline=DEADLINE,
     )
     http = SimpleNamespace(transport=None)
-    return Exchange(cast("Any", shared), cast("Any", http), admitted)
+    return Exchange(cast("Any", gateway), cast("Any", http), admitted)
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
     repeat: Repeat, outcome: Outcome
 ) -> None:
     """The log line had `link_lost`, as if the caller had left (a soak, seed 100)."""
-    exchange = make_exchange(Shared(Reason.NO_UPSTREAM), repeat)
+    exchange = make_exchange(FakeGateway(Reason.NO_UPSTREAM), repeat)
     exchange._reply._response = cast("Any", object())
     with pytest.raises(CallerGoneError):
         await exchange.run()
@@ -105,7 +105,7 @@
 
 
 async def test_a_caller_that_leaves_gives_the_outcome_link_lost() -> None:
-    exchange = make_exchange(Shared())
+    exchange = make_exchange(FakeGateway())
 
     async def attempt(_: object) -> Ending:
         raise CallerGoneError("closing")
@@ -117,28 +117,28 @@
 
 
 async def test_a_request_without_an_upstream_has_not_run() -> None:
-    shared = Shared(Reason.NO_UPSTREAM)
-    shared.jitter = lambda pause: pause  # type: ignore[attr-defined]
-    shared.error = lambda _: None  # type: ignore[attr-defined]
-    exchange = make_exchange(shared)
+    gateway = FakeGateway(Reason.NO_UPSTREAM)
+    gateway.jitter = lambda pause: pause  # type: ignore[attr-defined]
+    gateway.error = lambda _: None  # type: ignore[attr-defined]
+    exchange = make_exchange(gateway)
     await exchange.run()
     assert exchange.outcome == NotRun(Reason.NO_UPSTREAM, 1_333)
 
 
 async def test_if_all_upstreams_pause_callers_retry_after_the_first_pause() -> None:
-    shared = Shared(Reason.UPSTREAMS_PAUSED)
-    shared.paused = 2_750
-    shared.jitter = lambda pause: pause // 2  # type: ignore[attr-defined]
-    shared.error = lambda _: None  # type: ignore[attr-defined]
-    exchange = make_exchange(shared)
+    gateway = FakeGateway(Reason.UPSTREAMS_PAUSED)
+    gateway.paused = 2_750
+    gateway.jitter = lambda pause: pause // 2  # type: ignore[attr-defined]
+    gateway.error = lambda _: None  # type: ignore[attr-defined]
+    exchange = make_exchange(gateway)
     await exchange.run()
     # Spread over the half second after the pause, so that not all retry at once.
     assert exchange.outcome == NotRun(Reason.UPSTREAMS_PAUSED, 3_000)
 
 
 async def test_a_withheld_send_is_not_counted() -> None:
-    shared = Shared()
-    exchange = make_exchange(shared)
+    gateway = FakeGateway()
+    exchange = make_exchange(gateway)
     endings: list[Ending] = [Withheld(), Whole(200, (), b"x")]
 
     async def attempt(_: object) -> Ending:
@@ -152,8 +152,8 @@
 
 async def test_a_whole_answer_is_noted_even_if_its_request_was_convicted() -> None:
     """A whole answer was not noted if the request was convicted while it ran."""
-    shared = Shared()
-    exchange = make_exchange(shared)
+    gateway = FakeGateway()
+    exchange = make_exchange(gateway)
     whole = Whole(200, (), b"x")
 
     async def attempt(_: object) -> Ending:
@@ -162,5 +162,5 @@
 
     vars(exchange)["_attempt"] = attempt
     await exchange.run()
-    assert shared.endings == [whole]
+    assert gateway.endings == [whole]
     assert exchange.outcome == Answered(200)
--- a/tests/routing/test_upstream_announcements.py
+++ b/tests/routing/test_upstream_announcements.py
@@ -13,9 +13,9 @@
 from leadseam.outcome import Answered, NotRun, Reason
 from tests.routing.gateways import (
     GatewayFleet,
-    ModelledUpstream,
     RefusalPeriod,
-    modelled,
+    SimulatedUpstream,
+    simulated_upstreams,
 )
 from tests.routing.samples import make_upstream
 
@@ -83,7 +83,7 @@
     connect_s: float,
 ) -> None:
     made = [
-        ModelledUpstream(make_upstream(number), periods, leaves)
+        SimulatedUpstream(make_upstream(number), periods, leaves)
         for number, (periods, leaves) in enumerate(drawn, start=1)
     ]
     fleet = play(
@@ -99,7 +99,7 @@
 def test_callers_do_not_notice_that_two_of_five_engines_pause() -> None:
     period = RefusalPeriod(1.0, 6.0, 3.0)
     made = [
-        ModelledUpstream(make_upstream(number), (period,) if number < 3 else ())
+        SimulatedUpstream(make_upstream(number), (period,) if number < 3 else ())
         for number in range(1, 6)
     ]
     fleet = play(lambda: GatewayFleet(made), call_on)
@@ -111,7 +111,7 @@
 
 
 def test_a_request_that_waits_for_a_connection_moves_if_its_engine_pauses() -> None:
-    made = modelled(3, periods=(RefusalPeriod(1.0, 2.0, 3.0),))
+    made = simulated_upstreams(3, periods=(RefusalPeriod(1.0, 2.0, 3.0),))
 
     async def call_now_and_then(fleet: GatewayFleet) -> None:
         await fleet.keep_calling(every=0.05, span=SPAN)
@@ -126,7 +126,7 @@
 
 def test_if_all_engines_pause_callers_are_refused_at_once_with_a_retry_pause() -> None:
     period = RefusalPeriod(0.0, 100.0, 2.0)
-    made = modelled(2, periods=(period,))
+    made = simulated_upstreams(2, periods=(period,))
     made[1].periods = (RefusalPeriod(0.0, 100.0, 3.0),)
 
     async def call_some(fleet: GatewayFleet) -> None:
@@ -148,7 +148,7 @@
 
 
 def test_waiting_requests_are_refused_once_all_engines_pause() -> None:
-    made = modelled(1, periods=(RefusalPeriod(0.0, 100.0, 2.0),))
+    made = simulated_upstreams(1, periods=(RefusalPeriod(0.0, 100.0, 2.0),))
 
     async def call_many(fleet: GatewayFleet) -> None:
         async with asyncio.TaskGroup() as group:
@@ -162,7 +162,7 @@
 
 
 def test_a_leaving_upstream_gets_no_new_requests_and_callers_do_not_notice() -> None:
-    made = modelled(3, leaves_at=1.0)
+    made = simulated_upstreams(3, leaves_at=1.0)
     fleet = play(lambda: GatewayFleet(made), call_on)
     assert max(one.at for one in made[0].arrivals) < 1.5
     assert {announcement.entry for announcement in made[0].announcements} == {0, 1}
@@ -170,7 +170,7 @@
 
 
 def test_load_grows_slowly_after_the_end_of_a_pause() -> None:
-    made = modelled(2, periods=(RefusalPeriod(1.0, 2.0, 2.0),))
+    made = simulated_upstreams(2, periods=(RefusalPeriod(1.0, 2.0, 2.0),))
     for one in made:
         one.row = msgspec.structs.replace(one.row, slots=64)
 
--- a/tests/routing/test_withheld.py
+++ b/tests/routing/test_withheld.py
@@ -15,7 +15,7 @@
     repeatable: bool,
 ) -> None:
     received: list[bytes] = []
-    asked: list[bool] = []
+    checks: list[bool] = []
 
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -31,7 +31,7 @@
 
     async def send(*, allowed: bool) -> int:
         def may_send() -> bool:
-            asked.append(allowed)
+            checks.append(allowed)
             return allowed
 
         resp = await client.send(
@@ -56,5 +56,5 @@
     finally:
         await client.close()
         server.close()
-    assert asked == [False, True, False]
+    assert checks == [False, True, False]
     assert len(received) == 1
