--- a/src/leadseam/routing/attempt.py
+++ b/src/leadseam/routing/attempt.py
@@ -25,7 +25,7 @@
     from leadseam.wire.feed import Registration
 
 MAX_BUFFERED = 1024 * 1024
-"""Bytes of an answer that are buffered until it is known to be whole."""
+"""Bytes of an answer that are buffered until its end; longer answers are streamed."""
 FIRST_REDIRECTION = 300
 """Lowest status that is not a success."""
 FIRST_SERVER_ERROR = 500
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -339,7 +339,7 @@
         return self._rng.randint(pause // 2, pause)
 
     def take_retry(self, pool: str) -> bool:
-        """Take one retry from the pool's retry budget; return whether one was left."""
+        """Take a retry from the pool's shared budget; return whether one was left."""
         allowed = self.budget.take(pool, self.now(), self._feed.subscribers)
         if not allowed:
             self._metrics.retries_denied.inc("budget")
--- a/src/leadseam/routing/pauses.py
+++ b/src/leadseam/routing/pauses.py
@@ -56,7 +56,7 @@
         return f"PauseTable(rows={len(self._rows)})"
 
     def pause(self, incarnation: Incarnation, until: Millis) -> None:
-        """Pause an upstream until a time; its pause does not become shorter by it."""
+        """Pause an upstream until a time, unless its pause already ends later."""
         row = self._rows.get(incarnation)
         if row is not None:
             until = max(until, row.until)
