--- a/src/leadseam/control/order_guard.py
+++ b/src/leadseam/control/order_guard.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
     from leadseam.clock import Millis
-    from leadseam.control.evacuations import EvacuationRow, Evacuations
+    from leadseam.control.evacuations import EvacuationRow, EvacuationTable
 
 
 class OrderGuard:
@@ -33,7 +33,7 @@
     def __repr__(self) -> str:
         return f"OrderGuard(domains={len(self._switches)})"
 
-    def applied(self, rows: Iterable[EvacuationRow], now: Millis) -> None:
+    def record_applied(self, rows: Iterable[EvacuationRow], now: Millis) -> None:
         """Note the table as it is; what was missed counts as seen now."""
         for row in rows:
             missed = row.switches - self._switches.get(row.domain, 0)
@@ -44,7 +44,7 @@
             self._switches[row.domain] = row.switches
 
     def may_be_late(
-        self, table: Evacuations, domain: str, evacuated: bool, now: Millis
+        self, table: EvacuationTable, domain: str, evacuated: bool, now: Millis
     ) -> bool:
         """Tell whether an order may be a copy of one that was undone since."""
         if table.row(domain).evacuated is evacuated:
--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -11,9 +11,9 @@
 from grpclib.server import Server
 
 from leadseam.clock import Clock, SystemClock
-from leadseam.control.folder import prepare_folder
 from leadseam.control.operator_service import OperatorService
 from leadseam.control.replica import Replica
+from leadseam.control.replica_identity import prepare_folder
 from leadseam.control.storage import Storage, read_identity
 from leadseam.errors import StorageError
 from leadseam.feed.server import FeedServer
@@ -29,25 +29,27 @@
     from leadseam.settings.models import ControlSettings
 
 
-def open_folder(settings: ControlSettings, *, found: bool) -> str:
+def open_folder(settings: ControlSettings, *, bootstrap: bool) -> str:
     """Format the data folder if it is empty.
 
     Args:
         settings: The settings.
-        found: Whether to found a new group, rather than join one.
+        bootstrap: Whether to bootstrap a new group, rather than join one.
 
     Returns:
         The replica's identity.
 
     Raises:
-        StorageError: If the folder cannot be used, or `found` meets a used one.
+        StorageError: If the folder cannot be used, or `bootstrap` meets a used one.
     """
     folder = Path(settings.data_dir)
     known = read_identity(folder)
-    if known is not None and found:
+    if known is not None and bootstrap:
         raise StorageError(f"{folder}: holds {known}; cannot found a group again")
-    founders = tuple(settings.replicas) if found else ()
-    return prepare_folder(folder, settings.identity.node, founders=founders)
+    bootstrap_boxes = tuple(settings.replicas) if bootstrap else ()
+    return prepare_folder(
+        folder, settings.identity.node, bootstrap_boxes=bootstrap_boxes
+    )
 
 
 class ControlProgram:
@@ -55,7 +57,7 @@
 
     Args:
         settings: Its settings.
-        found: Whether to found a new group on an empty folder.
+        bootstrap: Whether to bootstrap a new group on an empty folder.
         clock: Source of time. Defaults to the machine's.
     """
 
@@ -63,10 +65,10 @@
         self,
         settings: ControlSettings,
         *,
-        found: bool = False,
+        bootstrap: bool = False,
         clock: Clock | None = None,
     ) -> None:
-        identity = open_folder(settings, found=found)
+        identity = open_folder(settings, bootstrap=bootstrap)
         clock = clock or SystemClock()
         metrics = Metrics()
         control_metrics = ControlMetrics(metrics)
@@ -83,7 +85,7 @@
             metrics=control_metrics,
             traffic=metrics.traffic,
             seed=secrets.randbits(64),
-            losses=(len(settings.replicas) - 1) // 2,
+            tolerated_losses=(len(settings.replicas) - 1) // 2,
         )
         self._feed = FeedServer(self.replica, control_metrics)
         service = OperatorService(
--- a/src/leadseam/control/raft.py
+++ b/src/leadseam/control/raft.py
@@ -20,9 +20,9 @@
     HardState,
     Membership,
     RaftLog,
-    SnapshotMark,
+    SnapshotMetadata,
 )
-from leadseam.control.raft_work import Pending, Ready, Role
+from leadseam.control.raft_types import Pending, Ready, Role
 from leadseam.errors import InvariantError
 from leadseam.wire.codec import encode
 from leadseam.wire.consensus import (
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from leadseam.control.progress import Progress
-    from leadseam.control.raft_work import RaftMessage, TermMessage
+    from leadseam.control.raft_types import RaftMessage, TermMessage
 
 HEARTBEAT_INTERVAL: Millis = 120
 LEASE: Millis = 440
@@ -65,7 +65,7 @@
         log: Persisted entries after the mark.
         now: Time from which on the replica has certainly answered no leader.
         seed: Seed of the election jitter.
-        losses: Boxes with their disks that the group has to bear losing at once.
+        tolerated_losses: Boxes, with their disks, that may be lost at the same time.
     """
 
     def __init__(
@@ -73,28 +73,28 @@
         identity: str,
         *,
         hard_state: HardState,
-        mark: SnapshotMark,
+        metadata: SnapshotMetadata,
         log: list[LogEntry],
         now: Millis,
         seed: int,
-        losses: int = 0,
+        tolerated_losses: int = 0,
     ) -> None:
         self.identity = identity
         self.term = hard_state.term
         self.vote = hard_state.vote
-        self.log = RaftLog(mark, log)
+        self.log = RaftLog(metadata, log)
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit_index = mark.index
-        self.membership = mark.membership
+        self.commit_index = metadata.index
+        self.membership = metadata.membership
         self._election = Election(seed, now)
-        self._bounds = Bounds(losses)
+        self._bounds = Bounds(tolerated_losses)
         self._stops = False
         self._told_at: Millis | None = None
         self._followers = Followers()
         self._liveness = Liveness()
         self._pending = Pending()
-        self._applied = mark.index
+        self._applied = metadata.index
         self._snapshot_data: bytes = b""
         self._current_at: Millis = -1
         self._heartbeat_at: Millis = 0
@@ -241,7 +241,7 @@
             steps=tuple(pending.steps),
         )
 
-    def compact(self, index: int, data: bytes) -> SnapshotMark:
+    def compact(self, index: int, data: bytes) -> SnapshotMetadata:
         """Drop the log up to an applied index.
 
         Args:
@@ -253,9 +253,9 @@
         """
         if index > self._applied:
             raise InvariantError(f"compact to {index}, applied {self._applied}")
-        mark = self.log.compact(index)
+        metadata = self.log.compact(index)
         self._snapshot_data = data
-        return mark
+        return metadata
 
     def set_snapshot_data(self, data: bytes) -> None:
         """Provide the data of the mark after a restart."""
@@ -453,7 +453,7 @@
         if progress.awaits_answer(now):
             self._send_append(now, name, progress, entries=())
             return
-        if progress.next_index <= self.log.mark.index:
+        if progress.next_index <= self.log.snapshot_metadata.index:
             self._send_install(now, name)
         else:
             first = progress.next_index
@@ -472,8 +472,8 @@
         entries: tuple[LogEntry, ...],
     ) -> None:
         prev = progress.next_index - 1
-        if prev < self.log.mark.index:
-            prev = self.log.mark.index
+        if prev < self.log.snapshot_metadata.index:
+            prev = self.log.snapshot_metadata.index
             entries = ()
         request = Append(
             sender=self.identity,
@@ -492,10 +492,10 @@
         request = Install(
             sender=self.identity,
             term=self.term,
-            index=self.log.mark.index,
-            index_term=self.log.mark.term,
-            voters=self.log.mark.membership.voters,
-            learners=self.log.mark.membership.learners,
+            index=self.log.snapshot_metadata.index,
+            index_term=self.log.snapshot_metadata.term,
+            voters=self.log.snapshot_metadata.membership.voters,
+            learners=self.log.snapshot_metadata.membership.learners,
             data=self._snapshot_data,
             sent=now,
         )
@@ -536,10 +536,10 @@
 
     def _on_join(self, now: Millis, message: Join) -> None:
         if self.role is not Role.LEADER:
-            if self.leader and not message.passed:
+            if self.leader and not message.forwarded:
                 # Passed on once: followers may take each other for the leader. Who
                 # wants to join asks again.
-                self._send(self.leader, Join(message.sender, passed=True))
+                self._send(self.leader, Join(message.sender, forwarded=True))
             return
         step = joined(self.membership, message.sender)
         if step is not None and self._membership_settled():
@@ -600,7 +600,7 @@
     def _on_append(self, now: Millis, message: Append) -> None:
         self._follow(now, message.sender)
         self._liveness.told(message.sender, message.silent, now)
-        if message.prev_index < self.log.mark.index:
+        if message.prev_index < self.log.snapshot_metadata.index:
             self._on_append_before_mark(now, message)
             return
         if self.log.term_at(message.prev_index) != message.prev_term:
@@ -616,7 +616,7 @@
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
     def _on_append_before_mark(self, now: Millis, message: Append) -> None:
-        reply = self._reply(True, self.log.mark.index, message.sent, now)
+        reply = self._reply(True, self.log.snapshot_metadata.index, message.sent, now)
         self._send(message.sender, reply)
 
     def _store_entries(self, entries: tuple[LogEntry, ...]) -> None:
@@ -633,18 +633,18 @@
         self._follow(now, message.sender)
         if message.index > self.commit_index:
             membership = Membership(message.voters, message.learners)
-            mark = SnapshotMark(message.index, message.index_term, membership)
-            self._restore(mark, message.data)
+            metadata = SnapshotMetadata(message.index, message.index_term, membership)
+            self._restore(metadata, message.data)
         match = max(self.commit_index, message.index)
         self._send(message.sender, self._reply(True, match, message.sent, now))
 
-    def _restore(self, mark: SnapshotMark, data: bytes) -> None:
-        self.log.restore(mark)
-        self.commit_index = mark.index
-        self._applied = mark.index
+    def _restore(self, metadata: SnapshotMetadata, data: bytes) -> None:
+        self.log.restore(metadata)
+        self.commit_index = metadata.index
+        self._applied = metadata.index
         self._snapshot_data = data
-        self._pending.snapshot = (mark, data)
-        self._pending.append_from = mark.index + 1 if self.log.entries else None
+        self._pending.snapshot = (metadata, data)
+        self._pending.append_from = metadata.index + 1 if self.log.entries else None
         self._recompute_membership()
 
     def _send(self, to: str, message: RaftMessage) -> None:
--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -15,8 +15,8 @@
     Operation,
     operation_faults,
 )
-from leadseam.control.evacuations import EvacuationRow, Evacuations
-from leadseam.crashes.book import CrashBook
+from leadseam.control.evacuations import EvacuationRow, EvacuationTable
+from leadseam.crashes.table import CrashTable
 from leadseam.incarnation import NO_START, Incarnation
 from leadseam.membership.departures import Departures
 from leadseam.wire.codec import decode, encode
@@ -101,7 +101,7 @@
         return Incarnation(self.instance, self.start)
 
 
-class NoteCrashes(Record, frozen=True, array_like=True, tag=6):
+class RecordCrashes(Record, frozen=True, array_like=True, tag=6):
     """Requests that have ended upstreams; merged with what is known of them.
 
     Args:
@@ -130,7 +130,7 @@
 
 
 Command: TypeAlias = (
-    Change | Claims | Barrier | Replace | Leave | NoteCrashes | Evacuate
+    Change | Claims | Barrier | Replace | Leave | RecordCrashes | Evacuate
 )
 
 
@@ -167,7 +167,7 @@
     start: int = NO_START
 
 
-class CrashesNoted(Record, frozen=True, array_like=True, tag=5):
+class CrashesRecorded(Record, frozen=True, array_like=True, tag=5):
     """The rows are merged."""
 
     rows: int
@@ -190,7 +190,7 @@
     | ClaimResults
     | BarrierResult
     | LeaveResult
-    | CrashesNoted
+    | CrashesRecorded
     | EvacuationResult
 )
 
@@ -232,8 +232,8 @@
         self.history: list[HistoryRow] = []
         self.deltas: list[VersionedOperations] = []
         self.departed = Departures()
-        self.crashes = CrashBook()
-        self.evacuations = Evacuations()
+        self.crashes = CrashTable()
+        self.evacuations = EvacuationTable()
         self._changes: OrderedDict[str, ChangeResult] = OrderedDict()
         self._claims = ClaimTable({})
 
@@ -260,10 +260,10 @@
             case Leave(instance=instance, start=start):
                 self.departed.add(command.incarnation)
                 return LeaveResult(instance, start)
-            case NoteCrashes(rows=rows):
+            case RecordCrashes(rows=rows):
                 for row in rows:
                     self.crashes.merge(row)
-                return CrashesNoted(len(rows))
+                return CrashesRecorded(len(rows))
             case Evacuate(domain=domain, evacuated=evacuated):
                 as_ordered = self.evacuations.switch(
                     domain, evacuated, expected=command.expected, at=command.at
@@ -305,8 +305,8 @@
         self._claims = ClaimTable(rows)
         older = map(Incarnation, saved.left_without_start)
         self.departed = Departures([*older, *saved.departed])
-        self.crashes = CrashBook(saved.crashes)
-        self.evacuations = Evacuations(saved.evacuations)
+        self.crashes = CrashTable(saved.crashes)
+        self.evacuations = EvacuationTable(saved.evacuations)
 
     def _replace(self, configuration: Configuration) -> ChangeResult:
         if configuration.version > self.configuration.version:
--- a/src/leadseam/crashes/evidence.py
+++ b/src/leadseam/crashes/evidence.py
@@ -17,12 +17,12 @@
 EARLY_LIMIT: Millis = 200
 """Time from a send within which a break is early, if nothing was answered: a crash
 takes some 50 ms, and a busy event loop adds some 100."""
-EARLY_LIMIT_OF_PROMPTS: Millis = 2_000
+ENGINE_EARLY_LIMIT: Millis = 2_000
 """The same at an engine, where a request may stand in a queue before it is begun, and
 where its first token tells when it was: callers give a stream up after some 3 s."""
 EARLY_WEIGHT = 5
 LATE_WEIGHT = 4
-CONVICTING = 3 * EARLY_WEIGHT
+CONVICTION_WEIGHT = 3 * EARLY_WEIGHT
 """Weight from which on a request is refused: three early ends, two with two late ones,
 or four late ones. Three ends are to be borne, and three sends after them; a fourth end
 leaves two of these for copies that are under way then. One end takes everything that
@@ -42,4 +42,4 @@
 
 def convicts(row: CrashRow) -> bool:
     """Tell whether a request is to be refused."""
-    return weight_of(row) >= CONVICTING
+    return weight_of(row) >= CONVICTION_WEIGHT
--- a/src/leadseam/crashes/suspects.py
+++ b/src/leadseam/crashes/suspects.py
@@ -15,7 +15,7 @@
 
 from leadseam.clock import Millis
 from leadseam.crashes import evidence
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.table import CrashTable
 from leadseam.wire.crashes import CrashRow
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class Findings:
     """What was learned from ends of upstreams.
 
     Args:
@@ -88,23 +88,23 @@
     """Breaks that are undecided, and what all entries know.
 
     Attributes:
-        book: What this entry and the others have seen.
+        table: What this entry and the others have seen.
     """
 
     def __init__(self) -> None:
-        self.book = CrashBook()
+        self.table = CrashTable()
         self._breaks: dict[Incarnation, _Break] = {}
         self._undecided = 0
 
     def __repr__(self) -> str:
-        return f"Suspects(undecided={self._undecided}, {self.book!r})"
+        return f"Suspects(undecided={self._undecided}, {self.table!r})"
 
     @property
     def undecided(self) -> bool:
         """Whether it is not known yet of some upstream if it has ended."""
         return bool(self._breaks)
 
-    def broke(
+    def record_break(
         self, suspect: Suspect, incarnation: Incarnation, now: Millis, *, early: bool
     ) -> bool:
         """Note an attempt that broke.
@@ -134,32 +134,34 @@
         if broken is not None and now - broken.at >= SIGN_OF_LIFE:
             self._drop(incarnation)
 
-    def ended(self, incarnation: Incarnation, now: Millis) -> News:
+    def ended(self, incarnation: Incarnation, now: Millis) -> Findings:
         """Note that an upstream has ended; return what is learned from it."""
         broken = self._drop(incarnation)
         if broken is None:
-            return News()
+            return Findings()
         rows = [
             _row(suspect, incarnation, early=early)
             for suspect, early in broken.suspects.items()
         ]
-        free = [row for row in rows if not self.book.convicts(row.fingerprint)]
-        merged = [self.book.merge(row, now) for row in rows]
-        return News(
+        free = [row for row in rows if not self.table.convicts(row.fingerprint)]
+        merged = [self.table.merge(row, now) for row in rows]
+        return Findings(
             tuple(row for row in merged if row is not None),
             tuple(
-                row.fingerprint for row in free if self.book.convicts(row.fingerprint)
+                row.fingerprint for row in free if self.table.convicts(row.fingerprint)
             ),
         )
 
-    def review(self, presence: Callable[[Incarnation], Presence], now: Millis) -> News:
+    def review(
+        self, presence: Callable[[Incarnation], Presence], now: Millis
+    ) -> Findings:
         """Look at what registrations say; return what is learned from it."""
-        news = News()
+        news = Findings()
         for incarnation, broken in list(self._breaks.items()):
             match presence(incarnation):
                 case Presence.GONE:
                     ended = self.ended(incarnation, now)
-                    news = News(
+                    news = Findings(
                         news.rows + ended.rows, news.convicted + ended.convicted
                     )
                 case Presence.LEAVES:
@@ -168,37 +170,39 @@
                     self._drop(incarnation)
         return news
 
-    def told(self, rows: Iterable[CrashRow], now: Millis) -> tuple[Fingerprint, ...]:
+    def merge_reports(
+        self, rows: Iterable[CrashRow], now: Millis
+    ) -> tuple[Fingerprint, ...]:
         """Take what others have seen; return the requests that are convicted by it."""
         fresh = []
         for row in rows:
-            known = self.book.convicts(row.fingerprint)
-            self.book.merge(row, now)
-            if not known and self.book.convicts(row.fingerprint):
+            known = self.table.convicts(row.fingerprint)
+            self.table.merge(row, now)
+            if not known and self.table.convicts(row.fingerprint):
                 fresh.append(row.fingerprint)
         return tuple(fresh)
 
-    def answered_whole(self, suspect: Suspect, now: Millis) -> CrashRow | None:
+    def acquit(self, suspect: Suspect, now: Millis) -> CrashRow | None:
         """Acquit a request that has run to its end; return what is news, if any."""
         for broken in self._breaks.values():
             if suspect in broken.suspects:
                 del broken.suspects[suspect]
                 self._undecided -= 1
-        return self.book.void(suspect.fingerprint, now)
+        return self.table.void(suspect.fingerprint, now)
 
-    def on_trial(self, suspect: Suspect) -> bool:
+    def would_be_convicted(self, suspect: Suspect) -> bool:
         """Tell whether a request would be convicted if its upstreams have ended."""
         undecided = sum(
             evidence.weight(early=one.suspects[suspect])
             for one in self._breaks.values()
             if suspect in one.suspects
         )
-        known = self.book.weight(suspect.fingerprint)
-        return known + undecided >= evidence.CONVICTING
+        known = self.table.weight(suspect.fingerprint)
+        return known + undecided >= evidence.CONVICTION_WEIGHT
 
-    def may_know(self, account: str, size: int) -> bool:
+    def may_match(self, account: str, size: int) -> bool:
         """Tell whether a request may be known, before its body is digested."""
-        return self.book.may_hold(account, size) or any(
+        return self.table.may_hold(account, size) or any(
             (one.account, one.size) == (account, size)
             for broken in self._breaks.values()
             for one in broken.suspects
--- a/src/leadseam/crashes/book.py
+++ b/src/leadseam/crashes/table.py
@@ -27,14 +27,14 @@
 of three incarnations takes some 0.5 KB."""
 MAX_ACCOUNTS = 1_000
 """Client accounts with rows: 60 of today's largest deployment, and room to grow."""
-SUSPECT_LIFE: Millis = 600_000
+SUSPECT_TTL: Millis = 600_000
 """Time after which a suspect without a further end is forgotten: callers give a request
 up after seconds, and send it again within minutes."""
 
 _Rows = OrderedDict["Fingerprint", "CrashRow"]
 
 
-class CrashBook:
+class CrashTable:
     """Rows by fingerprint; one client account cannot push out another's.
 
     Args:
@@ -54,7 +54,7 @@
             self.merge(row)
 
     def __repr__(self) -> str:
-        return f"CrashBook(rows={len(self)})"
+        return f"CrashTable(rows={len(self)})"
 
     def __len__(self) -> int:
         return len(self._account_of)
@@ -121,12 +121,12 @@
             return None
         return self.merge(msgspec.structs.replace(row, void=row.ended), now)
 
-    def fade(self, now: Millis) -> None:
+    def expire_suspects(self, now: Millis) -> None:
         """Forget suspects of long ago; who is convicted stays."""
         old = [
             fingerprint
             for fingerprint, at in self._changed_at.items()
-            if now - at > SUSPECT_LIFE and not self.convicts(fingerprint)
+            if now - at > SUSPECT_TTL and not self.convicts(fingerprint)
         ]
         for fingerprint in old:
             self._forget(fingerprint)
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import MILLIS_PER_SECOND, Millis
-from leadseam.crashes.book import CrashBook
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.crashes.suspects import Suspect, Suspects
-from leadseam.feed.crash_server import TOLD
+from leadseam.crashes.table import CrashTable
+from leadseam.feed.crash_server import REPORT_THRESHOLD
 from leadseam.incarnation import Incarnation
 
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
         self._names = itertools.count(1)
         self._upstreams = [_Upstream(self._start()) for _ in range(cfg.upstreams)]
         self._entries = [Suspects() for _ in range(cfg.entries)]
-        self._book = CrashBook()
+        self._book = CrashTable()
         self._first_crash: Millis = -1
 
     def __repr__(self) -> str:
@@ -182,10 +182,10 @@
     def _try(self, call: _Call, entry: int, number: int) -> None:
         """Send an attempt to the least loaded upstream, if it may be."""
         suspects = self._entries[entry]
-        if suspects.book.convicts(call.suspect.fingerprint):
+        if suspects.table.convicts(call.suspect.fingerprint):
             self._refuse(call)
             return
-        if suspects.on_trial(call.suspect):
+        if suspects.would_be_convicted(call.suspect):
             self.tally.put_off += not call.deadly
             self._come_back(call)
             return
@@ -225,7 +225,7 @@
         self.tally.answered += 1
         self.tally.hit_answered += attempt.call.hit
         entry = self._entries[attempt.entry]
-        row = entry.answered_whole(attempt.call.suspect, self._now)
+        row = entry.acquit(attempt.call.suspect, self._now)
         if row is not None:
             self._tell((row,))
 
@@ -263,7 +263,7 @@
         if not call.deadly and not call.hit:
             call.hit = True
             self.tally.hit += 1
-        self._entries[attempt.entry].broke(
+        self._entries[attempt.entry].record_break(
             call.suspect, incarnation, self._now, early=self._is_early(attempt)
         )
         if attempt.number < self._cfg.attempts:
@@ -298,18 +298,18 @@
     def _hear(self, rows: list[CrashRow]) -> None:
         self.tally.rows += len(rows) * len(self._entries)
         for suspects in self._entries:
-            suspects.told(rows, self._now)
+            suspects.merge_reports(rows, self._now)
         self._look_whether_known()
 
     def _look_whether_known(self) -> None:
         if self.tally.known_after >= 0 or self._first_crash < 0:
             return
-        if all(one.book.convicts(DEADLY.fingerprint) for one in self._entries):
+        if all(one.table.convicts(DEADLY.fingerprint) for one in self._entries):
             self.tally.known_after = self._now - self._first_crash
 
 
 def _is_told(row: CrashRow) -> bool:
-    return len(row.counted) >= TOLD or bool(row.void)
+    return len(row.counted) >= REPORT_THRESHOLD or bool(row.void)
 
 
 def render(name: str, tallies: list[CrashTally]) -> str:
--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -19,12 +19,12 @@
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
-from leadseam.feed.pace import SHORTEST, interval_for
-from leadseam.feed.totals import LoadSummer
+from leadseam.feed.load_aggregator import LoadAggregator
+from leadseam.feed.report_interval import MIN_INTERVAL, interval_for
 from leadseam.incarnation import Incarnation
 from leadseam.outcome import Reason
 from leadseam.routing.admitted import AdmittedRequest
-from leadseam.routing.balance import service_of
+from leadseam.routing.balance import expected_service
 from leadseam.routing.exchange import MAX_RETRY_PAUSE, MAX_SENDS, RETRY_AFTER_SHARE
 from leadseam.routing.health import UpstreamHealth
 from leadseam.routing.placer import Placer
@@ -73,7 +73,7 @@
     def cold_until(self, _: Registration) -> Millis:
         return 0
 
-    def part_left(self, _: Iterable[str]) -> float:
+    def available_fraction(self, _: Iterable[str]) -> float:
         return 1.0
 
 
@@ -108,7 +108,7 @@
         feed = cast("FeedClient", _Feed(rows, cfg))
         self._placers = [self._placer(feed) for _ in range(cfg.entries)]
         self._routes = {kind.name: _route(kind) for kind in cfg.kinds}
-        self._summer = LoadSummer()
+        self._summer = LoadAggregator()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
@@ -135,7 +135,7 @@
 
     async def _serve(self, arrival: Arrival) -> None:
         """Send a request, and once more to another entry if it is refused."""
-        self.tally.arrived(arrival, service_of(arrival.req))
+        self.tally.arrived(arrival, expected_service(arrival.req))
         deadline = self._clock.now() + arrival.kind.patience
         if await self._try(arrival, arrival.entry, deadline):
             return
@@ -158,7 +158,7 @@
             arrived=now,
             deadline=deadline,
         )
-        placer.asked(arrival.account, arrival.req, now)
+        placer.record_request(arrival.account, arrival.req, now)
         tried: set[Incarnation] = set()
         while len(tried) < MAX_SENDS:
             flight = await placer.place(admitted, tried, again=bool(tried))
@@ -188,9 +188,9 @@
         def first() -> None:
             flight.first_byte()
             now = self._clock.now()
-            placer.answered(flight.upstream)
+            placer.record_answer(flight.upstream)
             in_time = now - arrival.at <= arrival.kind.objective
-            service = service_of(arrival.req)
+            service = expected_service(arrival.req)
             self.tally.answered(arrival, service, now, in_time=in_time)
 
         def arrive() -> None:
@@ -209,20 +209,20 @@
     # Shared sums
 
     async def _report(self, number: int) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         await sleep(self._rng.randrange(interval))
         while True:
             await sleep(interval)
             report = self._placers[number].load_report()
-            self._summer.take(number, report, self._clock.now())
+            self._summer.update(number, report, self._clock.now())
 
     async def _add_up(self) -> None:
-        interval = self._cfg.interval or SHORTEST
+        interval = self._cfg.interval or MIN_INTERVAL
         while True:
             await sleep(interval)
             for number, totals in self._summer.totals(self._clock.now()).items():
                 sums = decode(totals.data, LoadSums)
-                self._placers[number].take_sums(totals.included, sums)
+                self._placers[number].apply_sums(totals.included, sums)
                 interval = self._cfg.interval or interval_for(len(totals.data))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -21,15 +21,15 @@
     Decline,
     Dispatch,
     Final,
-    Free,
     Grant,
     Head,
     Leaving,
     OthersService,
     Query,
+    QueryReply,
     Refused,
     Service,
-    Testimony,
+    SlotStatus,
 )
 from leadseam.wire.link import LINK_ERRORS, dial
 from leadseam.wire.messages import Hello
@@ -152,7 +152,7 @@
     def _open(self, link: Link, hello: Hello) -> None:
         if hello.incarnation != self._incarnation:
             self.leaving = False
-        self._backoff.reached()
+        self._backoff.reset()
         self._incarnation = hello.incarnation
         self._dispatcher.merge(self.upstream.pool).connect(
             self.upstream.name, hello.incarnation
@@ -212,7 +212,7 @@
                 self._attempts.pop(message.attempt, None)
             case Grant():
                 self._on_grant(message)
-            case Free(healthy=healthy):
+            case SlotStatus(healthy=healthy):
                 self.healthy = healthy
                 self.tried = True
                 self._dispatcher.note_health()
@@ -222,7 +222,7 @@
             case Leaving():
                 self.leaving = True
                 self._dispatcher.note_health()
-            case Testimony(attempt=attempt, started=started):
+            case QueryReply(attempt=attempt, started=started):
                 self._end_lost(attempt, started=started)
             case _:
                 return
@@ -304,7 +304,7 @@
             # A sidecar judges a new account by what the others gave it.
             accounts = [row.account for row in rows if row.waiting]
             merge = self._dispatcher.merge(self.upstream.pool)
-            news = merge.introduce(self.upstream.name, accounts)
+            news = merge.report_unsent(self.upstream.name, accounts)
             if news:
                 link.send(OthersService(news))
             link.send(Backlog(tuple(rows)))
--- a/src/leadseam/membership/view.py
+++ b/src/leadseam/membership/view.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis
-from leadseam.membership.addresses import AddressBook
+from leadseam.membership.addresses import AddressTable
 from leadseam.membership.departures import Departures
 from leadseam.membership.registry import DEFAULT_HEARTBEAT
 
@@ -67,7 +67,7 @@
         self._by_pool: dict[str, list[Registration]] | None = None
         self._by_scope: dict[tuple[str, frozenset[str]], list[Registration]] = {}
         self._slots: dict[str, tuple[int, int]] = {}
-        self._addresses = AddressBook()
+        self._addresses = AddressTable()
 
     def __repr__(self) -> str:
         return f"UpstreamView(known={len(self._known)}, {self._departed!r})"
@@ -142,7 +142,7 @@
         """Tell whether no upstream at all is cold: so it is nearly always."""
         return now >= self._last_cold
 
-    def part_left(self, pools: Iterable[str]) -> float:
+    def available_fraction(self, pools: Iterable[str]) -> float:
         """Return the part of the places of some pools that is not evacuated."""
         self._pools()
         counts = [self._slots.get(pool, (0, 0)) for pool in pools]
@@ -250,7 +250,7 @@
         return over
 
     def _note_cold(self, known: _Known, now: Millis) -> None:
-        left = known.registration.cold_left
+        left = known.registration.cold_remaining
         known.cold_until = now + left if left else 0
         self._last_cold = max(self._last_cold, known.cold_until)
 
--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -64,7 +64,7 @@
         try:
             configuration = read_manifest(await http.read())
         except DocumentError as exc:
-            self._service.note_unreadable(exc)
+            self._service.log_unreadable_document(exc)
             return _refusal(400, exc.message)
         return _response(await self._service.replace(configuration))
 
@@ -94,7 +94,7 @@
         except UnknownWriterError as exc:
             return self._unknown_writer(instance, exc)
         if start is None:
-            return _response(await self._service.leave_unstated(instance))
+            return _response(await self._service.leave_without_start(instance))
         return _response(await self._service.leave(Incarnation(instance, start)))
 
     async def _evacuate(self, http: web.Request) -> web.Response:
@@ -113,7 +113,9 @@
         return _response(await self._service.evacuate(domain, evacuated=evacuated))
 
     def _unknown_writer(self, instance: str, exc: UnknownWriterError) -> web.Response:
-        self._service.note_unknown_writer(instance, exc.fault.value, exc.message)
+        self._service.record_refused_registration(
+            instance, exc.fault.value, exc.message
+        )
         return _refusal(400, exc.message)
 
 
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -11,8 +11,8 @@
 from aiohttp import web
 
 from leadseam.clock import Clock, Millis, SystemClock, process_start, sleep
-from leadseam.control.folder import prepare_folder
 from leadseam.control.replica import Replica
+from leadseam.control.replica_identity import prepare_folder
 from leadseam.control.service import ControlService
 from leadseam.control.storage import Storage
 from leadseam.errors import StorageError
@@ -31,7 +31,7 @@
     from aiohttp.web import AppRunner
     from websockets.asyncio.server import Server as LinkServer
 
-    from leadseam.control.storage import Recovered
+    from leadseam.control.storage import RecoveredState
     from leadseam.platform.settings import NodeSettings
 
 FAILURE_POLL: Millis = 200
@@ -70,7 +70,7 @@
         seeds = {endpoint.ip: endpoint for endpoint in settings.seeds}
         founding = settings.founding and settings.ip in seeds
         identity = prepare_folder(
-            folder, settings.ip, founders=tuple(seeds) if founding else ()
+            folder, settings.ip, bootstrap_boxes=tuple(seeds) if founding else ()
         )
         self._settings = settings
         self._metrics = Metrics()
@@ -90,7 +90,7 @@
             metrics=metrics,
             traffic=self._metrics.traffic,
             seed=secrets.randbits(64),
-            losses=settings.loss_tolerance,
+            tolerated_losses=settings.loss_tolerance,
             # After a failed write it is the same process that answered leaders before.
             silent_since=None if renew else process_start(),
         )
@@ -168,9 +168,9 @@
         self.replica.close()
         self._storage.close()
 
-    def _renew(self, recovered: Recovered) -> None:
+    def _renew(self, recovered: RecoveredState) -> None:
         try:
-            self._storage.renew(recovered)
+            self._storage.rewrite(recovered)
         except StorageError:
             self._storage.close()
             raise
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -10,7 +10,7 @@
 
 from leadseam.clock import Clock, Millis, SystemClock, sleep
 from leadseam.feed.client import FeedClient
-from leadseam.feed.pace import SHORTEST, interval_for, report_size
+from leadseam.feed.report_interval import MIN_INTERVAL, interval_for, report_size
 from leadseam.feed.staleness import Staleness
 from leadseam.membership.view import UpstreamView
 from leadseam.platform.front import FrontServer, ReadyServer
@@ -171,14 +171,14 @@
                 self._gateway.crash_guard.review()
                 self._gateway.request_log.update_dropped_lines()
                 self._gateway.placer.sweep()
-                paused = self._gateway.placer.paused()
+                paused = self._gateway.placer.paused_count()
                 self._routing_metrics.paused_upstreams.set({}, paused)
             evacuated = len(self._view.evacuated)
             self._routing_metrics.evacuated_domains.set({}, evacuated)
 
     async def _report_load(self) -> None:
         assert self._gateway is not None
-        interval = SHORTEST
+        interval = MIN_INTERVAL
         while True:
             await sleep(interval)
             report = self._gateway.placer.load_report()
@@ -198,7 +198,7 @@
 
     def _take_sums(self, included: int, sums: LoadSums) -> None:
         assert self._gateway is not None
-        self._gateway.placer.take_sums(included, sums)
+        self._gateway.placer.apply_sums(included, sums)
 
     def _end_attempts(self, over: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
@@ -229,6 +229,6 @@
             return "stopping"
         if not self._feed.confirmed:
             return "no confirmed configuration"
-        if self._staleness.holds():
+        if self._staleness.is_stale():
             return "suspended, and not confirmed since"
         return ""
--- a/src/leadseam/routing/account_log.py
+++ b/src/leadseam/routing/account_log.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from leadseam.outcome import Reason
-    from leadseam.routing.usage import UsageBook
+    from leadseam.routing.usage import UsageTable
 
 INTERVAL: Millis = 1_000
 """Pause between two lines: fairness is judged second by second."""
@@ -43,7 +43,7 @@
         clock: Source of time.
     """
 
-    def __init__(self, usage: UsageBook, clock: Clock) -> None:
+    def __init__(self, usage: UsageTable, clock: Clock) -> None:
         self._usage = usage
         self._clock = clock
         self._accounts: dict[str, _Second] = {}
@@ -51,15 +51,15 @@
     def __repr__(self) -> str:
         return f"AccountLog(accounts={len(self._accounts)})"
 
-    def asked(self, account: str, service: int) -> None:
+    def record_requested(self, account: str, service: int) -> None:
         """Count a request that arrived."""
         self._second(account).asked += service
 
-    def placed(self, account: str, service: int) -> None:
+    def record_placed(self, account: str, service: int) -> None:
         """Count a request that was sent to an upstream."""
         self._second(account).placed += service
 
-    def refused(self, account: str, reason: Reason) -> None:
+    def record_refusal(self, account: str, reason: Reason) -> None:
         """Count a request that did not run."""
         self._second(account).refused[reason.value] += 1
 
@@ -102,7 +102,7 @@
             "asked": second.asked,
             "placed": second.placed,
             "refused": dict(second.refused),
-            "served_of_late": self._usage.level(name, now),
+            "served_of_late": self._usage.recent_service(name, now),
             "standing": self._usage.standing(name, now).name.lower(),
         }
 
--- a/src/leadseam/routing/admission.py
+++ b/src/leadseam/routing/admission.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis
-from leadseam.routing.order import MAX_LOOKED
-from leadseam.routing.spare import SpareRoom
+from leadseam.routing.engine_order import MAX_LOOKED
+from leadseam.routing.spare_capacity import SpareRoom
 from leadseam.routing.usage import Standing
 
 if TYPE_CHECKING:
@@ -29,13 +29,13 @@
 
 ENTITLED_PART = 0.85
 """Part of the objective that the expected first token may take."""
-LEAST_WAIT_PART = 0.22
+MIN_WAIT_PART = 0.22
 """Part of the objective that a request waits at least, also one whose prompt is too
 long for the objective: it may find an engine with nothing to read."""
-READING_AHEAD: Millis = 100
+MAX_READING_AHEAD: Millis = 100
 """Reading that may be ahead of a request at an engine. The rest waits here, where those
 that are short go first and none stands behind a long prompt by chance."""
-BEYOND_AHEAD: Millis = 0
+MAX_READING_AHEAD_BEYOND_SHARE: Millis = 0
 """The same for an account beyond its share of the stated capacity: it gets an engine
 that has nothing else to read, while there is no room to spare."""
 
@@ -83,13 +83,13 @@
         balancer: Loads and estimates.
         candidates: Returns the upstreams of a scope that may be used.
         standing: Returns what an account may claim.
-        level: Returns the service that an account got of late.
+        recent_service: Returns the service that an account got of late.
     """
 
     balancer: Balancer
     candidates: Callable[[Scope], Sequence[Registration]]
     standing: Callable[[str, Millis], Standing]
-    level: Callable[[str, Millis], int]
+    recent_service: Callable[[str, Millis], int]
     _waiting: list[Waiter] = field(default_factory=list)
     _spare: SpareRoom = field(init=False)
 
@@ -105,7 +105,7 @@
     def enter(self, waiter: Waiter, now: Millis) -> None:
         """Take a request; it is woken at once if there is room and no other's turn."""
         waiter.refuse_at = waiter.arrived + self._longest_wait(waiter)
-        turn = self.level(waiter.account, now) <= self._lowest_level(now)
+        turn = self.recent_service(waiter.account, now) <= self._lowest_level(now)
         placement = self._place(waiter, now) if turn else None
         self._waiting.append(waiter)
         if placement is not None:
@@ -118,7 +118,7 @@
         """Return how long a request may wait and still be in time, if it is alone."""
         alone = self.balancer.alone(waiter.scope.pool, waiter.req)
         in_time = waiter.objective * ENTITLED_PART - alone
-        return round(max(in_time, waiter.objective * LEAST_WAIT_PART))
+        return round(max(in_time, waiter.objective * MIN_WAIT_PART))
 
     def _may_wait(self, waiter: Waiter, now: Millis) -> bool:
         """Tell whether a request has a claim to room that becomes free."""
@@ -153,7 +153,7 @@
 
     def _sort(self, now: Millis) -> None:
         levels = {
-            account: self.level(account, now)
+            account: self.recent_service(account, now)
             for account in {one.account for one in self._waiting}
         }
         self._waiting.sort(key=lambda one: (levels[one.account], one.arrived))
@@ -169,7 +169,9 @@
 
     def _lowest_level(self, now: Millis) -> float:
         accounts = {one.account for one in self._waiting}
-        return min((self.level(name, now) for name in accounts), default=float("inf"))
+        return min(
+            (self.recent_service(name, now) for name in accounts), default=float("inf")
+        )
 
     def _finish(self, waiter: Waiter, placement: Placement | None) -> None:
         waiter.done = True
@@ -209,12 +211,16 @@
     def _ahead(self, waiter: Waiter, now: Millis) -> Millis | None:
         """Return the reading that may be ahead of a request, or None for no room."""
         if not waiter.account:
-            return READING_AHEAD
+            return MAX_READING_AHEAD
         match self.standing(waiter.account, now):
             case Standing.WITHIN:
-                return READING_AHEAD
+                return MAX_READING_AHEAD
             case Standing.EVEN | Standing.AHEAD:
-                return READING_AHEAD if self._has_spare(waiter, now) else BEYOND_AHEAD
+                return (
+                    MAX_READING_AHEAD
+                    if self._has_spare(waiter, now)
+                    else MAX_READING_AHEAD_BEYOND_SHARE
+                )
             case Standing.STOPPED:
                 return None
 
@@ -226,7 +232,7 @@
         rows = self.candidates(waiter.scope)
         if rows is not waiter.rows and rows != waiter.rows:
             waiter.rows = rows
-            order = self.balancer.orders.of(waiter.scope, rows, waiter.req)
+            order = self.balancer.orders.order_for(waiter.scope, rows, waiter.req)
             waiter.ranked = [
                 row for row in order if row.incarnation not in waiter.tried
             ]
--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import Millis, sleep
-from leadseam.crashes.suspects import News, Presence, Suspect, Suspects
+from leadseam.crashes.suspects import Findings, Presence, Suspect, Suspects
 from leadseam.outcome import Reason
 from leadseam.routing.attempt import FIRST_REDIRECTION, Broken, Streaming, Whole
 from leadseam.runtime.tasks import spawn
@@ -78,9 +78,9 @@
         if not self._may_have_evidence(admitted):
             return None
         suspect = _suspect(admitted)
-        if self._suspects.book.convicts(suspect.fingerprint):
+        if self._suspects.table.convicts(suspect.fingerprint):
             return Reason.CRASHES_UPSTREAMS
-        if self._suspects.on_trial(suspect):
+        if self._suspects.would_be_convicted(suspect):
             return Reason.MAY_CRASH_UPSTREAMS
         return None
 
@@ -120,18 +120,18 @@
     def review(self) -> None:
         """Check if upstreams of broken attempts are gone, and drop old evidence."""
         now = self._clock.now()
-        self._suspects.book.fade(now)
+        self._suspects.table.expire_suspects(now)
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
     def receive(self, message: Crashes) -> None:
         """Process a report of other entries."""
-        convicted = self._suspects.told(message.rows, self._clock.now())
+        convicted = self._suspects.merge_reports(message.rows, self._clock.now())
         self._convict(convicted)
 
     def initial_report(self) -> Crashes | None:
         """Return the report for a replica that is newly followed, or None."""
-        rows = self._suspects.book.rows()
+        rows = self._suspects.table.rows()
         return Crashes(rows) if rows else None
 
     def _note_broken(
@@ -140,7 +140,7 @@
         suspect = _suspect(admitted)
         incarnation = upstream.incarnation
         now = self._clock.now()
-        if self._suspects.broke(suspect, incarnation, now, early=early):
+        if self._suspects.record_break(suspect, incarnation, now, early=early):
             spawn(self._probe(upstream))
 
     async def _probe(self, upstream: Registration) -> None:
@@ -156,12 +156,12 @@
         self._suspects.answered(upstream.incarnation, now)
         if not self._may_have_evidence(admitted):
             return
-        row = self._suspects.answered_whole(_suspect(admitted), now)
+        row = self._suspects.acquit(_suspect(admitted), now)
         if row is not None:
-            self._feed.tell(Crashes((row,)))
+            self._feed.broadcast(Crashes((row,)))
 
     def _may_have_evidence(self, admitted: AdmittedRequest) -> bool:
-        return self._suspects.may_know(admitted.account or "", len(admitted.body))
+        return self._suspects.may_match(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
         if self._feed.view.has_left(incarnation):
@@ -171,10 +171,10 @@
         # An entry without a connection to the feed drops upstreams that still run.
         return Presence.GONE if self._feed.fresh else Presence.UNKNOWN
 
-    def _report(self, news: News) -> None:
+    def _report(self, news: Findings) -> None:
         if not news.rows:
             return
-        self._feed.tell(Crashes(news.rows))
+        self._feed.broadcast(Crashes(news.rows))
         extra = {
             "instance": str(news.rows[0].ended[-1]),
             "requests": len(news.rows),
@@ -186,7 +186,7 @@
     def _convict(self, fingerprints: tuple[Fingerprint, ...]) -> None:
         """Log convictions, and end the attempts in progress of convicted requests."""
         for fingerprint in fingerprints:
-            row = self._suspects.book.get(fingerprint)
+            row = self._suspects.table.get(fingerprint)
             ended = [one for one in self._running if self._matches(one, fingerprint)]
             for exchange in ended:
                 exchange.end_attempt()
--- a/src/leadseam/routing/estimate.py
+++ b/src/leadseam/routing/estimate.py
@@ -45,7 +45,7 @@
         """Return the expected time to the first token behind so many prompt tokens."""
         return self.base + unread / self.rate
 
-    def measured(self, unread: int, millis: int) -> None:
+    def add_measurement(self, unread: int, millis: int) -> None:
         """Learn from an answer.
 
         Args:
@@ -62,7 +62,7 @@
         self.rate = 1 / (1 / self.rate + WEIGHT * (1 / rate - 1 / self.rate))
 
 
-class EstimateBook:
+class EstimateTable:
     """What was learned of each engine and of each pool."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self._pools: dict[str, FirstTokenEstimate] = {}
 
     def __repr__(self) -> str:
-        return f"EstimateBook(engines={len(self._engines)}, pools={self._pools!r})"
+        return f"EstimateTable(engines={len(self._engines)}, pools={self._pools!r})"
 
     def engine(self, row: Registration) -> FirstTokenEstimate:
         """Return the estimate of an engine, or its pool's before its first answer."""
@@ -80,16 +80,16 @@
         """Return the estimate of all engines of a pool together."""
         return self._pools.setdefault(pool, FirstTokenEstimate())
 
-    def measured(self, row: Registration, unread: int, millis: int) -> None:
-        """Learn from an answer of an engine; see `FirstTokenEstimate.measured`."""
+    def add_measurement(self, row: Registration, unread: int, millis: int) -> None:
+        """Add a measurement; see `FirstTokenEstimate.add_measurement`."""
         pool = self.pool(row.pool)
         engine = self._engines.get(row.incarnation)
         if engine is None:
             engine = FirstTokenEstimate(pool.rate, pool.base)
             self._engines[row.incarnation] = engine
             self._bound()
-        engine.measured(unread, millis)
-        pool.measured(unread, millis)
+        engine.add_measurement(unread, millis)
+        pool.add_measurement(unread, millis)
 
     def _bound(self) -> None:
         while len(self._engines) > MAX_ENGINES:
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -206,7 +206,9 @@
 
     async def _attempt_and_relay(self, flight: Flight, watch: SilenceWatch) -> Ending:
         route = self._request.route
-        watch.reset(first_byte_limit(route.latency_objective, flight.expected))
+        watch.reset(
+            first_byte_limit(route.latency_objective, flight.expected_first_token)
+        )
         ending = await self._attempt(flight.upstream)
         if isinstance(ending, Streaming):
             ending = await self._relay(ending, flight, watch)
--- a/src/leadseam/routing/flight.py
+++ b/src/leadseam/routing/flight.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from leadseam.crashes.evidence import EARLY_LIMIT, EARLY_LIMIT_OF_PROMPTS
+from leadseam.crashes.evidence import EARLY_LIMIT, ENGINE_EARLY_LIMIT
 from leadseam.routing.load import Load
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         return self._placement
 
     @property
-    def expected(self) -> float:
+    def expected_first_token(self) -> float:
         """Milliseconds that the first token is expected to take; 0 if unknown."""
         if not self._placement.unread:
             return 0.0
@@ -74,14 +74,14 @@
         incarnation = self.upstream.incarnation
         self._balancer.loads.read(incarnation, self._placement.load.unread)
         self._balancer.prompts.sent(incarnation, self._req.parts, now)
-        self._balancer.estimates.measured(
+        self._balancer.estimates.add_measurement(
             self.upstream, self._placement.unread, now - self._sent
         )
         self._on_room()
 
     def ended_early(self) -> bool:
         """Tell whether the attempt ends now soon after its send, with no answer."""
-        limit = EARLY_LIMIT_OF_PROMPTS if self._req.parts else EARLY_LIMIT
+        limit = ENGINE_EARLY_LIMIT if self._req.parts else EARLY_LIMIT
         return not self._read and self._clock.now() - self._sent <= limit
 
     def end(self) -> None:
--- a/src/leadseam/routing/load.py
+++ b/src/leadseam/routing/load.py
@@ -20,7 +20,7 @@
     from leadseam.incarnation import Incarnation
     from leadseam.wire.feed import LoadSums
 
-TOTALS_LIMIT: Millis = 1_000
+MAX_TOTALS_AGE: Millis = 1_000
 """Age beyond which totals are ignored: five of their longest intervals."""
 KEPT_REPORTS = 64
 """Own reports kept to be taken off the totals that contain them: 3 s of them."""
@@ -60,20 +60,20 @@
 NOTHING = Load()
 
 
-class LoadBook:
+class LoadTable:
     """Loads by upstream, as this entry knows them."""
 
     def __init__(self) -> None:
         self._own: dict[Incarnation, Load] = {}
         self._others: dict[int, Load] = {}
-        self._others_at: Millis = -TOTALS_LIMIT
+        self._others_at: Millis = -MAX_TOTALS_AGE
         self._reports: deque[LoadReport] = deque(maxlen=KEPT_REPORTS)
         self._sequence = 0
         self._sums: dict[Incarnation, Load] = {}
         self._stale = True
 
     def __repr__(self) -> str:
-        return f"LoadBook(own={len(self._own)}, others={len(self._others)})"
+        return f"LoadTable(own={len(self._own)}, others={len(self._others)})"
 
     def begin(self, incarnation: Incarnation, load: Load) -> None:
         """Count a request that is sent."""
@@ -99,7 +99,7 @@
 
     def total(self, incarnation: Incarnation, now: Millis) -> Load:
         """Return what all entries have in flight there, as far as is known."""
-        stale = now - self._others_at > TOTALS_LIMIT
+        stale = now - self._others_at > MAX_TOTALS_AGE
         if stale is not self._stale:
             self._stale = stale
             self._sums.clear()
@@ -119,7 +119,7 @@
         self._reports.append(report)
         return report
 
-    def take_sums(
+    def apply_sums(
         self, included: int, sums: LoadSums, now: Millis
     ) -> LoadReport | None:
         """Take the sums of all entries.
--- a/src/leadseam/routing/placer.py
+++ b/src/leadseam/routing/placer.py
@@ -11,13 +11,18 @@
 from leadseam.outcome import Reason
 from leadseam.routing.account_log import AccountLog
 from leadseam.routing.admission import Admission, Waiter
-from leadseam.routing.balance import Balancer, service_of
-from leadseam.routing.cold import ColdBudget
+from leadseam.routing.balance import Balancer, expected_service
+from leadseam.routing.cold_budget import ColdBudget
 from leadseam.routing.flight import Flight
 from leadseam.routing.pauses import PauseTable
-from leadseam.routing.plain import PLACES, WAIT_PART, PlainQueue, PlainWaiter
+from leadseam.routing.plain_queue import (
+    MAX_PER_SLOT,
+    WAIT_PART,
+    PlainQueue,
+    PlainWaiter,
+)
 from leadseam.routing.scope import Scope
-from leadseam.routing.usage import MEMORY, UsageBook
+from leadseam.routing.usage import DECAY_TIME, UsageTable
 
 if TYPE_CHECKING:
     import random
@@ -93,16 +98,16 @@
             entry,
             rate_of=self._cold_rate,
             cold_until=feed.view.cold_until,
-            entries=feed.entries.most,
+            entries=feed.entries.recent_max,
         )
         self._balancer = Balancer(rng, allows=self._allows, on_begin=self._note_begin)
-        self._usage = UsageBook()
+        self._usage = UsageTable()
         self.account_log = AccountLog(self._usage, clock)
         self._admission = Admission(
             balancer=self._balancer,
             candidates=self._candidates,
             standing=self._usage.standing,
-            level=self._usage.level,
+            recent_service=self._usage.recent_service,
         )
         self._plain = PlainQueue(
             candidates=self._candidates,
@@ -115,14 +120,14 @@
     def __repr__(self) -> str:
         return f"Placer(waiting={len(self._admission)}, {self._balancer!r})"
 
-    def asked(self, account: str, req: RoutedRequest, now: Millis) -> None:
+    def record_request(self, account: str, req: RoutedRequest, now: Millis) -> None:
         """Count a request of a client account, placed later or not."""
-        self.asked_service(account, service_of(req), now)
+        self.record_requested_service(account, expected_service(req), now)
 
-    def asked_service(self, account: str, service: int, now: Millis) -> None:
+    def record_requested_service(self, account: str, service: int, now: Millis) -> None:
         """Count a request of a client account by the service that it would take."""
-        self._usage.asked(account, service, now)
-        self.account_log.asked(account, service)
+        self._usage.record_requested(account, service, now)
+        self.account_log.record_requested(account, service)
 
     def standing(self, account: str, now: Millis) -> Standing:
         """Return what a client account may claim."""
@@ -157,9 +162,9 @@
                 Reason.UPSTREAMS_PAUSED if self.pause_left(admitted.scope) else reason
             )
         if admitted.account is not None:
-            service = service_of(admitted.req)
-            self._usage.served(admitted.account, service, self._clock.now())
-            self.account_log.placed(admitted.account, service)
+            service = expected_service(admitted.req)
+            self._usage.record_served(admitted.account, service, self._clock.now())
+            self.account_log.record_placed(admitted.account, service)
         return Flight(
             placement, admitted.req, self._balancer, self._clock, self._pump_soon
         )
@@ -181,7 +186,7 @@
         self._pauses.pause(row.incarnation, until)
         self._sound.clear()
 
-    def answered(self, row: Registration) -> None:
+    def record_answer(self, row: Registration) -> None:
         """Note a good answer of an upstream, which may get more after a pause."""
         if self._pauses.answered(row, self._clock.now()):
             self._pump_soon()
@@ -198,7 +203,7 @@
         ends = (self._pauses.until(row.incarnation) for row in self._upstreams(scope))
         return max(min(ends, default=0) - now, 0)
 
-    def paused(self) -> int:
+    def paused_count(self) -> int:
         """Return the number of upstreams that are paused."""
         return self._pauses.count(self._clock.now())
 
@@ -206,7 +211,7 @@
         """Forget what is over."""
         self._pauses.sweep(self._clock.now())
 
-    def look(self) -> None:
+    def place_waiting(self) -> None:
         """Look at all that waits now, whatever its timers say."""
         now = self._clock.now()
         self._admission.pump(now)
@@ -216,16 +221,16 @@
         """Return this entry's counts for the other entries."""
         return self._balancer.loads.report(self._usage.rows(self._clock.now()))
 
-    def take_sums(self, included: int, sums: LoadSums) -> None:
+    def apply_sums(self, included: int, sums: LoadSums) -> None:
         """Take the counts of all entries, with the own report of a number in them."""
         now = self._clock.now()
-        own = self._balancer.loads.take_sums(included, sums, now)
+        own = self._balancer.loads.apply_sums(included, sums, now)
         cfg = self._feed.configuration
         engines = [name for name, pool in cfg.pools.items() if pool.engine is not None]
         # What is evacuated makes no tokens, so nobody may count on a share of it.
-        rate = cfg.limits.tokens_per_s * self._feed.view.part_left(engines)
-        capacity = round(rate * MEMORY / MILLIS_PER_SECOND)
-        self._usage.take_sums(sums, own, capacity=capacity, now=now)
+        rate = cfg.limits.tokens_per_s * self._feed.view.available_fraction(engines)
+        capacity = round(rate * DECAY_TIME / MILLIS_PER_SECOND)
+        self._usage.apply_sums(sums, own, capacity=capacity, now=now)
         self._pump_soon()
 
     def _place_at_once(
@@ -241,7 +246,7 @@
                 return self._balancer.least_loaded(_without(rows, tried), now)
             return _Wait() if _without(rows, tried) else None
         if again:
-            order = self._balancer.orders.of(admitted.scope, rows, admitted.req)
+            order = self._balancer.orders.order_for(admitted.scope, rows, admitted.req)
             ranked = _without(order, tried)
             return self._balancer.place_anyway(ranked, admitted.req, now)
         return profile if _without(rows, tried) else None
@@ -256,7 +261,7 @@
             return None
         row = placement.upstream
         taken = self._balancer.loads.total(row.incarnation, now).requests
-        return placement if taken < PLACES * row.slots else None
+        return placement if taken < MAX_PER_SLOT * row.slots else None
 
     async def _wait_for_plain(
         self, admitted: AdmittedRequest, tried: set[Incarnation]
@@ -360,7 +365,7 @@
 
     def _pump(self) -> None:
         self._pumping = False
-        self.look()
+        self.place_waiting()
 
 
 def _without(
--- a/src/leadseam/routing/plain.py
+++ b/src/leadseam/routing/plain_queue.py
@@ -23,13 +23,13 @@
     from leadseam.routing.scope import Scope
     from leadseam.wire.feed import Registration
 
-PLACES = 3.0
+MAX_PER_SLOT = 3.0
 """Requests under way at an upstream for each of its slots, up to which it has room. The
 loads of other entries are some 100 ms old, and slots must not stand empty meanwhile."""
 WAIT_PART = 0.25
 """Part of the objective that a request waits at most: the upstream's queue and its work
 take the rest, and a caller that is refused so early may still come back in time."""
-MEMORY: Millis = 2_000
+DECAY_TIME: Millis = 2_000
 """Time after which 0.37 of a request that was sent still counts."""
 
 
@@ -66,7 +66,7 @@
     at: Millis = 0
 
     def until(self, now: Millis) -> float:
-        return self.count * exp(-max(now - self.at, 0) / MEMORY)
+        return self.count * exp(-max(now - self.at, 0) / DECAY_TIME)
 
 
 @dataclass(slots=True)
--- a/src/leadseam/routing/usage.py
+++ b/src/leadseam/routing/usage.py
@@ -15,7 +15,7 @@
 from math import exp
 from typing import TYPE_CHECKING
 
-from leadseam.routing.load import TOTALS_LIMIT
+from leadseam.routing.load import MAX_TOTALS_AGE
 from leadseam.wire.feed import UsageRow
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from leadseam.clock import Millis
     from leadseam.wire.feed import LoadReport, LoadSums
 
-MEMORY: Millis = 2_000
+DECAY_TIME: Millis = 2_000
 """Time after which 0.37 of a service still counts. It makes a steady rate count as two
 seconds of it; the mean age of what counts is that of the 4 s in which the platform
 takes shares."""
@@ -36,7 +36,7 @@
 STOP_LEAD = 1.3
 """How far an account may be ahead of one that is short at all. The platform compares
 spans of six seconds, and counts lag; so it is well below 2 too."""
-SCARCE = 1.25
+SCARCITY_RATIO = 1.25
 """How much more must be asked for than served for engines to be taken as full: more
 than what waits for up to its objective while there is room for all."""
 GIVEN_PART = 0.75
@@ -106,7 +106,7 @@
         """Return what is left of it."""
         if not self.value:
             return 0.0
-        return self.value * exp(-max(now - self.at, 0) / MEMORY)
+        return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)
 
 
 @dataclass(slots=True)
@@ -115,8 +115,8 @@
     asked: _Decaying = field(default_factory=_Decaying)
 
 
-class UsageBook:
-    """Service by account of late, fading with `MEMORY`."""
+class UsageTable:
+    """Service by account of late, fading with `DECAY_TIME`."""
 
     def __init__(self) -> None:
         self._own: dict[str, _Account] = {}
@@ -125,17 +125,17 @@
         self.shares = Shares()
 
     def __repr__(self) -> str:
-        return f"UsageBook(accounts={len(self._own)}, {self.shares!r})"
+        return f"UsageTable(accounts={len(self._own)}, {self.shares!r})"
 
-    def asked(self, account: str, service: int, now: Millis) -> None:
+    def record_requested(self, account: str, service: int, now: Millis) -> None:
         """Count a request that arrived."""
         self._account(account).asked.add(service, now)
 
-    def served(self, account: str, service: int, now: Millis) -> None:
+    def record_served(self, account: str, service: int, now: Millis) -> None:
         """Count a request that was sent to an upstream."""
         self._account(account).served.add(service, now)
 
-    def level(self, account: str, now: Millis) -> int:
+    def recent_service(self, account: str, now: Millis) -> int:
         """Return the service that an account got of late, as far as is known."""
         others = self._others.get(account) if self._knows_others(now) else None
         own = round(self._account(account).served.until(now))
@@ -149,7 +149,7 @@
         """
         if not self._knows_others(now):
             return Standing.WITHIN
-        level = self.level(account, now)
+        level = self.recent_service(account, now)
         return self.shares.standing(level)
 
     def sums_age(self, now: Millis) -> Millis:
@@ -168,7 +168,7 @@
                 del self._own[name]
         return tuple(rows)
 
-    def take_sums(
+    def apply_sums(
         self,
         sums: LoadSums,
         own: LoadReport | None,
@@ -181,7 +181,7 @@
         Args:
             sums: The sums.
             own: The own report that they contain, or None.
-            capacity: Service that all upstreams give in `MEMORY`; 0 if unknown.
+            capacity: Service that all upstreams give in `DECAY_TIME`; 0 if unknown.
             now: Current time.
         """
         self._totals_at = now
@@ -192,7 +192,7 @@
         self.shares = shares_of(sums.usage, capacity)
 
     def _knows_others(self, now: Millis) -> bool:
-        return self._totals_at is not None and now - self._totals_at <= TOTALS_LIMIT
+        return self._totals_at is not None and now - self._totals_at <= MAX_TOTALS_AGE
 
     def _account(self, name: str) -> _Account:
         return self._own.setdefault(name, _Account())
@@ -203,10 +203,10 @@
 
     Args:
         rows: The sums of all entries.
-        capacity: Service that all upstreams give in `MEMORY` as the operators state it;
-            0 if they do not.
+        capacity: Service that all upstreams give in `DECAY_TIME` as the operators
+            state it; 0 if they do not.
     """
-    demands = [max(row.asked, row.served) for row in rows]
+    demands = [max(row.requested, row.served) for row in rows]
     given = given_capacity(rows, capacity)
     # Unequal to the level below where engines give more than is stated: an account
     # within this share must not be refused for what others get beyond it.
@@ -222,7 +222,7 @@
 
 
 def given_capacity(rows: Sequence[UsageRow], capacity: int) -> int:
-    """Return the service that upstreams give in `MEMORY`, as far as is known.
+    """Return the service that upstreams give in `DECAY_TIME`, as far as is known.
 
     They may give more than is stated, or far less: engines are gone, their places are
     taken by long answers, or shared parts of prompts are read again. Were shares taken
@@ -237,8 +237,8 @@
     served = sum(row.served for row in rows)
     if served >= capacity * GIVEN_PART:
         return max(served, capacity)
-    asked = sum(max(row.asked, row.served) for row in rows)
-    return served if asked > SCARCE * served else capacity
+    asked = sum(max(row.requested, row.served) for row in rows)
+    return served if asked > SCARCITY_RATIO * served else capacity
 
 
 def fair_level(demands: Iterable[int], capacity: int) -> float:
@@ -280,7 +280,7 @@
     short = [
         row.served
         for row in rows
-        if row.asked >= level and row.served < SHORT_PART * level
+        if row.requested >= level and row.served < SHORT_PART * level
     ]
     if not short:
         return float("inf")
@@ -291,5 +291,7 @@
     if own is None:
         return row
     return UsageRow(
-        row.account, max(row.served - own.served, 0), max(row.asked - own.asked, 0)
+        row.account,
+        max(row.served - own.served, 0),
+        max(row.requested - own.requested, 0),
     )
--- a/src/leadseam/wire/feed.py
+++ b/src/leadseam/wire/feed.py
@@ -14,14 +14,14 @@
         incarnation: Its incarnation.
         version: Highest version it holds, 0 for none.
         clock: The subscriber's clock.
-        width: Number of replicas that it follows if it can.
+        replica_count: Number of replicas that it follows if it can.
     """
 
     node: str
     incarnation: int
     version: int
     clock: int = -1
-    width: int = 1
+    replica_count: int = 1
 
 
 class Snapshot(Message, frozen=True, array_like=True, tag=31):
@@ -93,7 +93,7 @@
     slots: int
     ready: bool
     sequence: int
-    cold_left: int = 0
+    cold_remaining: int = 0
 
     @property
     def instance(self) -> str:
@@ -160,12 +160,12 @@
     Args:
         account: The client account.
         served: Service of requests that were sent to upstreams.
-        asked: Service of requests that arrived.
+        requested: Service of requests that arrived.
     """
 
     account: str
     served: int
-    asked: int
+    requested: int
 
 
 class LoadReport(Message, frozen=True, array_like=True, tag=39):
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -11,10 +11,10 @@
     EntryKind,
     HardState,
     Membership,
-    SnapshotMark,
-    base_name,
+    SnapshotMetadata,
+    box_name,
 )
-from leadseam.control.raft_work import RaftMessage, Role
+from leadseam.control.raft_types import RaftMessage, Role
 from leadseam.wire.codec import encode
 from leadseam.wire.consensus import LogEntry
 
@@ -30,7 +30,7 @@
     """What is synced on a box."""
 
     identity: str
-    mark: SnapshotMark
+    metadata: SnapshotMetadata
     hard_state: HardState = field(default_factory=HardState)
     snapshot: bytes = b""
     log: list[LogEntry] = field(default_factory=list)
@@ -38,7 +38,7 @@
     def store(self, entries: tuple[LogEntry, ...]) -> None:
         """Append entries as the journal does."""
         for entry in entries:
-            position = entry.index - self.mark.index - 1
+            position = entry.index - self.metadata.index - 1
             del self.log[position:]
             self.log.append(entry)
 
@@ -63,7 +63,7 @@
     def __init__(self, names: tuple[str, ...] = BOXES, *, seed: int = 0) -> None:
         self.now = 0
         self.seed = seed
-        self.losses = (len(names) - 1) // 2
+        self.tolerated_losses = (len(names) - 1) // 2
         self.boxes: dict[str, Box] = {}
         self.cut_off: set[str] = set()
         self.suspended: dict[str, list[tuple[str, RaftMessage]]] = {}
@@ -73,8 +73,8 @@
         self.lost_disks = 0
         voters = tuple(f"{name}#first" for name in names)
         for name in names:
-            mark = SnapshotMark(membership=Membership(voters))
-            self.boxes[name] = Box(Disk(f"{name}#first", mark))
+            metadata = SnapshotMetadata(membership=Membership(voters))
+            self.boxes[name] = Box(Disk(f"{name}#first", metadata))
             self.start(name)
 
     def start(self, name: str) -> None:
@@ -86,11 +86,11 @@
         box.raft = Raft(
             disk.identity,
             hard_state=disk.hard_state,
-            mark=disk.mark,
+            metadata=disk.metadata,
             log=list(disk.log),
             now=self.now,
             seed=self.seed,
-            losses=self.losses,
+            tolerated_losses=self.tolerated_losses,
         )
         box.raft.set_snapshot_data(disk.snapshot)
         box.applied = decode_applied(disk.snapshot)
@@ -114,8 +114,8 @@
                 return
             self._persist(box, box.raft)
             if ready.snapshot is not None:
-                mark, data = ready.snapshot
-                box.disk.mark, box.disk.snapshot = mark, data
+                metadata, data = ready.snapshot
+                box.disk.metadata, box.disk.snapshot = metadata, data
                 box.applied = decode_applied(data)
             box.disk.log = list(box.raft.log.entries)
             for to, message in ready.send:
@@ -129,7 +129,7 @@
 
     def _send(self, sender: str, to: str, message: RaftMessage) -> None:
         others = [name for name in self.boxes if name != sender]
-        targets = [base_name(to)] if to else others
+        targets = [box_name(to)] if to else others
         for target in targets:
             if self.cut_off & {sender, target}:
                 continue
@@ -216,10 +216,10 @@
     def propose(self, data: bytes) -> bool:
         """Propose through the leader."""
         leader = self.leader()
-        if leader is None or base_name(leader.identity) in self.suspended:
+        if leader is None or box_name(leader.identity) in self.suspended:
             return False
         index = leader.propose(self.now, EntryKind.COMMAND, data)
-        self.work(base_name(leader.identity))
+        self.work(box_name(leader.identity))
         return index is not None
 
     def suspend_between_quorum_and_answer(self, data: bytes) -> bool:
@@ -239,7 +239,7 @@
             self.deliver(position)
         if leader.commit_index < index:
             return False
-        self.suspend(base_name(leader.identity))
+        self.suspend(box_name(leader.identity))
         return True
 
     def stop(self, name: str) -> None:
@@ -254,8 +254,8 @@
         """Start a box, new or known, with an empty disk; it has to join."""
         self.lost_disks += 1
         identity = f"{name}#{self.lost_disks}"
-        mark = SnapshotMark(membership=Membership(()))
-        self.boxes[name] = Box(Disk(identity, mark))
+        metadata = SnapshotMetadata(membership=Membership(()))
+        self.boxes[name] = Box(Disk(identity, metadata))
         self.start(name)
 
 
--- /dev/null
+++ b/tests/feed/test_aggregator_selector.py
@@ -0,0 +1,73 @@
+"""Which replica adds up loads, and what entries do while it says nothing.
+
+A control box froze. Its links stayed open for two seconds, every entry went on sending
+its reports there, and for that time none knew what the others had in flight: engines
+got twice the requests that they take. Others' service of before the freeze was counted
+for as long as it lasted, so accounts that had asked for nothing since were held back.
+"""
+
+from __future__ import annotations
+
+from leadseam.feed.aggregator_selector import (
+    PROBE_INTERVAL,
+    SILENCE_LIMIT,
+    AggregatorSelector,
+)
+from leadseam.routing.load import MAX_TOTALS_AGE
+from leadseam.routing.usage import Standing, UsageTable
+from leadseam.wire.feed import LoadSums, UsageRow
+
+NAMES = {"10.2.0.1:7", "10.1.0.1:7", "10.3.0.1:7"}
+FIRST, SECOND, _ = sorted(NAMES)
+INTERVAL = 50
+
+
+def test_all_entries_choose_the_same_replica() -> None:
+    selector = AggregatorSelector()
+    assert selector.targets(NAMES, 0) == (FIRST,)
+    assert selector.answered(FIRST)
+    assert not selector.answered(SECOND)
+    assert selector.targets(NAMES - {FIRST}, 50) == (SECOND,)
+    assert selector.targets((), 100) == ()
+    assert selector.chosen is None
+
+
+def test_a_frozen_replica_is_passed_over_before_totals_are_too_old() -> None:
+    selector = AggregatorSelector()
+    selector.targets(NAMES, 0)
+    selector.answered(FIRST)
+    now = 0
+    while selector.chosen == FIRST:
+        now += INTERVAL
+        selector.targets(NAMES, now)
+    assert selector.chosen == SECOND
+    assert SILENCE_LIMIT < now <= SILENCE_LIMIT + 2 * INTERVAL
+    assert now < MAX_TOTALS_AGE
+    assert selector.answered(SECOND)
+
+
+def test_a_replica_that_is_passed_over_is_asked_now_and_then_until_it_answers() -> None:
+    selector = AggregatorSelector()
+    selector.targets(NAMES, 0)
+    now = SILENCE_LIMIT + 1
+    asked = 0
+    while now <= SILENCE_LIMIT + 4 * PROBE_INTERVAL:
+        targets = selector.targets(NAMES, now)
+        selector.answered(SECOND)
+        asked += FIRST in targets
+        assert SECOND in targets
+        now += INTERVAL
+    assert asked == 4
+    # Its first answer comes before it is chosen again, and is not used.
+    assert not selector.answered(FIRST)
+    assert selector.targets(NAMES, now) == (FIRST,)
+
+
+def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
+    book = UsageTable()
+    rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
+    book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
+    assert book.standing("notes", MAX_TOTALS_AGE) is Standing.STOPPED
+    assert book.recent_service("notes", MAX_TOTALS_AGE) == 900
+    assert book.standing("notes", MAX_TOTALS_AGE + 1) is Standing.WITHIN
+    assert book.recent_service("notes", MAX_TOTALS_AGE + 1) == 0
--- a/tests/routing/test_any_deployment.py
+++ b/tests/routing/test_any_deployment.py
@@ -10,7 +10,7 @@
 
 from leadseam.control.routes import EngineProfile
 from leadseam.routing.admission import Admission, Waiter
-from leadseam.routing.balance import MEMORY_PART, Balancer, memory_need
+from leadseam.routing.balance import MEMORY_PART, Balancer, expected_memory
 from leadseam.routing.dialect import PromptPart
 from leadseam.routing.scope import Scope
 from leadseam.routing.usage import Standing
@@ -44,11 +44,11 @@
     balancer = Balancer(random.Random(seed))
     for row, millis in zip(rows, millis_per_1k, strict=False):
         for _ in range(50):
-            balancer.estimates.measured(row, 10_000, 45 + 10 * millis)
+            balancer.estimates.add_measurement(row, 10_000, 45 + 10 * millis)
     parts = (PromptPart("shared", shared), PromptPart("own", own))
     req = replace(make_request(), parts=parts, tokens_in=shared + own)
     profile = EngineProfile(
-        slots=slots, memory_tokens=round(memory_need(req) / MEMORY_PART) + 1
+        slots=slots, memory_tokens=round(expected_memory(req) / MEMORY_PART) + 1
     )
     waiter = Waiter(
         req=req,
@@ -64,7 +64,7 @@
         balancer=balancer,
         candidates=lambda pool: rows,
         standing=lambda account, now: standing,
-        level=lambda account, now: 0,
+        recent_service=lambda account, now: 0,
     )
     admission.enter(waiter, 0)
     # Independent of prompt length, engine speed and latency objective.
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -19,10 +19,10 @@
 from leadseam.membership.view import UpstreamView
 from leadseam.outcome import NotRun, Reason
 from leadseam.routing.attempt import Declined, Whole
-from leadseam.routing.budget import RetryLimits
 from leadseam.routing.busy import SHORTEST_PAUSE
 from leadseam.routing.dialect import Sender
 from leadseam.routing.gateway import EXCESS_LAG, MAX_LAG, Gateway
+from leadseam.routing.retry_budget import RetryLimits
 from leadseam.routing.router import Router
 from leadseam.routing.usage import Standing
 from leadseam.runtime.logs import LINES_PER_SECOND
@@ -142,7 +142,7 @@
     assert refusal.reason is Reason.ENTRY_BUSY
     # 100 prompt tokens of its own, and 50 generated ones that count twice.
     usage = entry.gateway.placer.load_report().usage
-    assert usage == (UsageRow("small", served=0, asked=200),)
+    assert usage == (UsageRow("small", served=0, requested=200),)
 
 
 def test_answers_tell_which_incarnation_holds_an_address() -> None:
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -12,14 +12,14 @@
 import pytest
 
 from leadseam.clock import ManualClock, Millis
-from leadseam.crashes.book import CrashBook
+from leadseam.crashes.table import CrashTable
 from leadseam.incarnation import Incarnation
 from leadseam.membership.registry import Registry
 from leadseam.membership.view import UpstreamView
-from leadseam.routing.budget import PoolRetryBudget, RetryLimits
 from leadseam.routing.health import UpstreamHealth
-from leadseam.routing.load import Load, LoadBook
-from leadseam.routing.usage import UsageBook
+from leadseam.routing.load import Load, LoadTable
+from leadseam.routing.retry_budget import PoolRetryBudget, RetryLimits
+from leadseam.routing.usage import UsageTable
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.wire.crashes import CrashRow
 from tests.control.cluster import elected
@@ -71,7 +71,7 @@
 
 def load_of_others() -> Ask:
     """Requests of others that count at an engine."""
-    books = [LoadBook(), LoadBook()]
+    books = [LoadTable(), LoadTable()]
     books[1].begin(ENGINE, Load(requests=1))
     exchange(books)
     return lambda now: books[0].total(ENGINE, now).requests
@@ -79,8 +79,8 @@
 
 def service_of_late() -> Ask:
     """Service of an account that still counts, of 1,000 tokens."""
-    book = UsageBook()
-    book.served("tellers", 1_000, 0)
+    book = UsageTable()
+    book.record_served("tellers", 1_000, 0)
     return lambda now: sum(row.served for row in book.rows(now))
 
 
@@ -107,11 +107,11 @@
 
 def suspected_request() -> Ask:
     """Whether a suspect of 590 s ago is still known."""
-    book = CrashBook()
+    book = CrashTable()
     book.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
 
     def ask(now: Millis) -> int:
-        book.fade(590_000 + now)
+        book.expire_suspects(590_000 + now)
         return len(book)
 
     return ask
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -35,7 +35,7 @@
 DEADLY = "tests/platform/test_deadly_request.py"
 EVACUATIONS = "tests/control/test_evacuations.py"
 EVACUATION = "tests/platform/test_evacuation.py"
-COLD = "tests/routing/test_cold.py"
+COLD = "tests/routing/test_cold_budget.py"
 WORDS = "tests/routing/test_upstream_announcements.py"
 
 VARIANTS = (
@@ -231,14 +231,14 @@
     Variant(
         "service never fades",
         "routing/usage.py",
-        "        return self.value * exp(-max(now - self.at, 0) / MEMORY)\n",
+        "        return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)\n",
         "        return self.value\n",
         "tests/routing/test_usage.py::test_service_fades_steadily",
     ),
     Variant(
         "the stated capacity is believed",
         "routing/usage.py",
-        "    return served if asked > SCARCE * served else capacity\n",
+        "    return served if asked > SCARCITY_RATIO * served else capacity\n",
         "    return capacity\n",
         f"{SHARES}::test_floods_get_alike_where_engines_give_less_than_is_stated",
     ),
@@ -259,7 +259,7 @@
     Variant(
         "pools that nobody named are taken",
         "feed/server.py",
-        "        return self._is_named(registration) or",
+        "        return self._has_configured_pool(registration) or",
         "        return True or",
         "tests/control/test_departed.py"
         "::test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is",
@@ -275,7 +275,7 @@
     Variant(
         "nobody is told of upstreams that have ended",
         "feed/crash_server.py",
-        "        self._tell_all(Crashes(told))\n",
+        "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
         f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
     ),
@@ -304,7 +304,7 @@
     Variant(
         "nobody is acquitted",
         "crashes/suspects.py",
-        "        return self.book.void(suspect.fingerprint, now)\n",
+        "        return self.table.void(suspect.fingerprint, now)\n",
         "        return None\n",
         "tests/crashes/test_fleet.py",
     ),
@@ -362,7 +362,7 @@
     ),
     Variant(
         "each entry uses all that a cold upstream bears",
-        "routing/cold.py",
+        "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
         f"{COLD}::test_no_second_holds_more_than_a_cold_upstream_bears",
@@ -436,15 +436,15 @@
     Variant(
         "a full plain pool lets nobody wait",
         "routing/placer.py",
-        "        return placement if taken < PLACES * row.slots else None",
+        "        return placement if taken < MAX_PER_SLOT * row.slots else None",
         "        return placement",
         "tests/emulate/test_plain_entries.py",
     ),
     Variant(
         "who got least of a plain pool does not go first",
-        "routing/plain.py",
+        "routing/plain_queue.py",
         "        return self._level(waiter, now), waiter.arrived",
         "        return 0.0, waiter.arrived",
-        "tests/routing/test_plain.py",
+        "tests/routing/test_plain_queue.py",
     ),
 )
