--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -171,17 +171,17 @@
         # An entry without a connection to the feed drops upstreams that still run.
         return Presence.GONE if self._feed.fresh else Presence.UNKNOWN
 
-    def _report(self, news: Findings) -> None:
-        if not news.rows:
+    def _report(self, findings: Findings) -> None:
+        if not findings.rows:
             return
-        self._feed.broadcast(Crashes(news.rows))
+        self._feed.broadcast(Crashes(findings.rows))
         extra = {
-            "instance": str(news.rows[0].ended[-1]),
-            "requests": len(news.rows),
-            "most_ended": max(len(row.counted) for row in news.rows),
+            "instance": str(findings.rows[0].ended[-1]),
+            "requests": len(findings.rows),
+            "most_ended": max(len(row.counted) for row in findings.rows),
         }
         log.info("upstream has ended under requests", extra=extra)
-        self._convict(news.convicted)
+        self._convict(findings.convicted)
 
     def _convict(self, fingerprints: tuple[Fingerprint, ...]) -> None:
         """Log convictions, and end the attempts in progress of convicted requests."""
