--- a/src/leadseam/routing/crash_guard.py
+++ b/src/leadseam/routing/crash_guard.py
@@ -1,9 +1,9 @@
-"""Keeps requests that end upstreams from ending more of them, at one entry.
+"""Refuses requests that have crashed upstreams, at one entry.
 
-Load: one caller repeats one request that crashes whatever begins it, three times a
-second for 10 s, beside six callers of good ones (four upstreams, two entries, real
-processes). Unguarded it ended 58 upstreams, and 406 good requests were answered;
-guarded it ends 3, and 1,183 are.
+Measured with real processes (two entries, four upstreams): for 10 s, one caller repeats
+a request that crashes every upstream that starts it, three times a second, beside six
+callers of good requests. Without the guard 58 upstreams crashed and 406 good requests
+were answered; with it 3 crash and 1,183 are answered.
 """
 
 from __future__ import annotations
@@ -31,21 +31,23 @@
     from leadseam.routing.exchange import Exchange
     from leadseam.wire.feed import Registration
 
-LOOK_DELAY: Millis = 20
-"""Time after a broken attempt until a connection is tried: the end of a process closes
-its sockets one after another, within some ms."""
+PROBE_DELAY: Millis = 20
+"""Delay between a broken attempt and the connection that probes its upstream: a process
+that ends closes its sockets one after another, within some ms."""
 
 log = logging.getLogger(__name__)
 
 
 class CrashGuard:
-    """Learns from attempts and from the other entries, and says what is refused.
+    """Collects evidence against requests, and decides which are refused.
+
+    Evidence comes from this entry's attempts and from reports of other entries.
 
     Args:
-        feed: Registered upstreams, and the way to the other entries.
-        client: Connections to upstreams.
+        feed: Source of registered upstreams; carries reports to the other entries.
+        client: HTTP client for upstreams.
         clock: Source of time.
-        running: Requests under way, kept up to date by their owner.
+        running: Exchanges in progress; the owner keeps it up to date.
     """
 
     def __init__(
@@ -66,13 +68,14 @@
         return f"CrashGuard({self._suspects!r})"
 
     def refusal(self, admitted: AdmittedRequest) -> Reason | None:
-        """Return why a request must not be sent to an upstream now, if so.
+        """Return the reason not to send a request to an upstream now, or None.
 
-        One that would be convicted by an end that is not certain yet is not sent
-        either: a repeat ended four upstreams without that, three with it (six plays
+        A request is not sent either while it is undecided whether the upstreams of its
+        broken attempts have crashed, if it would be convicted in that case. Without
+        this rule a repeated request crashed four upstreams, with it three (six runs
         each, two entries, four upstreams, real processes).
         """
-        if not self._may_know(admitted):
+        if not self._may_have_evidence(admitted):
             return None
         suspect = _suspect(admitted)
         if self._suspects.table.convicts(suspect.fingerprint):
@@ -89,17 +92,19 @@
         *,
         early: bool,
     ) -> None:
-        """Learn from an attempt; one that this entry has cut itself is none.
+        """Add the end of an attempt to the evidence.
+
+        Attempts that this entry has ended itself must not be passed.
 
         Args:
-            upstream: Where it was made.
+            upstream: Upstream of the attempt.
             admitted: Its request.
             ending: How it ended.
-            early: Whether it ended soon after its send, before a byte of an answer.
+            early: Whether it ended soon after its send, before any byte of an answer.
         """
         match ending:
             case Broken():
-                self._broke(upstream, admitted, early=early)
+                self._note_broken(upstream, admitted, early=early)
             case Whole(status=status) if status < FIRST_REDIRECTION:
                 self._answered_whole(upstream, admitted)
             case Streaming(resp=resp) if resp.status < FIRST_REDIRECTION:
@@ -108,39 +113,39 @@
                 self._suspects.answered(upstream.incarnation, self._clock.now())
 
     def ended(self, incarnation: Incarnation) -> None:
-        """Note that an upstream refuses connections, or has started again."""
+        """Note that an upstream refuses connections or has restarted."""
         if self._suspects.undecided:
             self._report(self._suspects.ended(incarnation, self._clock.now()))
 
     def review(self) -> None:
-        """Look whether upstreams where attempts broke have gone, and forget the old."""
+        """Check if upstreams of broken attempts are gone, and drop old evidence."""
         now = self._clock.now()
         self._suspects.table.expire_suspects(now)
         if self._suspects.undecided:
             self._report(self._suspects.review(self._presence, now))
 
     def receive(self, message: Crashes) -> None:
-        """Take what other entries have seen."""
+        """Process a report of other entries."""
         convicted = self._suspects.merge_reports(message.rows, self._clock.now())
         self._convict(convicted)
 
     def initial_report(self) -> Crashes | None:
-        """Return what a replica has to know that is followed anew, or None."""
+        """Return the report for a replica that is newly followed, or None."""
         rows = self._suspects.table.rows()
         return Crashes(rows) if rows else None
 
-    def _broke(
+    def _note_broken(
         self, upstream: Registration, admitted: AdmittedRequest, *, early: bool
     ) -> None:
         suspect = _suspect(admitted)
         incarnation = upstream.incarnation
         now = self._clock.now()
         if self._suspects.record_break(suspect, incarnation, now, early=early):
-            spawn(self._look(upstream))
+            spawn(self._probe(upstream))
 
-    async def _look(self, upstream: Registration) -> None:
-        """Try a connection, as nobody else may for a while."""
-        await sleep(LOOK_DELAY)
+    async def _probe(self, upstream: Registration) -> None:
+        """Try a connection, as no other attempt may be made there for a while."""
+        await sleep(PROBE_DELAY)
         if await self._client.is_refused(upstream.ip, upstream.port):
             self.ended(upstream.incarnation)
 
@@ -149,13 +154,13 @@
     ) -> None:
         now = self._clock.now()
         self._suspects.answered(upstream.incarnation, now)
-        if not self._may_know(admitted):
+        if not self._may_have_evidence(admitted):
             return
         row = self._suspects.acquit(_suspect(admitted), now)
         if row is not None:
             self._feed.broadcast(Crashes((row,)))
 
-    def _may_know(self, admitted: AdmittedRequest) -> bool:
+    def _may_have_evidence(self, admitted: AdmittedRequest) -> bool:
         return self._suspects.may_match(admitted.account or "", len(admitted.body))
 
     def _presence(self, incarnation: Incarnation) -> Presence:
@@ -163,26 +168,26 @@
             return Presence.LEAVES
         if self._feed.view.serves(incarnation):
             return Presence.SERVES
-        # An entry that is cut off forgets upstreams that go on.
+        # An entry without a connection to the feed drops upstreams that still run.
         return Presence.GONE if self._feed.fresh else Presence.UNKNOWN
 
-    def _report(self, news: Findings) -> None:
-        if not news.rows:
+    def _report(self, findings: Findings) -> None:
+        if not findings.rows:
             return
-        self._feed.broadcast(Crashes(news.rows))
+        self._feed.broadcast(Crashes(findings.rows))
         extra = {
-            "instance": str(news.rows[0].ended[-1]),
-            "requests": len(news.rows),
-            "most_ended": max(len(row.counted) for row in news.rows),
+            "instance": str(findings.rows[0].ended[-1]),
+            "requests": len(findings.rows),
+            "most_ended": max(len(row.counted) for row in findings.rows),
         }
         log.info("upstream has ended under requests", extra=extra)
-        self._convict(news.convicted)
+        self._convict(findings.convicted)
 
     def _convict(self, fingerprints: tuple[Fingerprint, ...]) -> None:
-        """Refuse requests from now on, and end their attempts under way."""
+        """Log convictions, and end the attempts in progress of convicted requests."""
         for fingerprint in fingerprints:
             row = self._suspects.table.get(fingerprint)
-            ended = [one for one in self._running if self._is_of(one, fingerprint)]
+            ended = [one for one in self._running if self._matches(one, fingerprint)]
             for exchange in ended:
                 exchange.end_attempt()
             extra = {
@@ -193,9 +198,11 @@
             }
             log.warning("request crashes upstreams and is refused", extra=extra)
 
-    def _is_of(self, exchange: Exchange, fingerprint: Fingerprint) -> bool:
+    def _matches(self, exchange: Exchange, fingerprint: Fingerprint) -> bool:
         admitted = exchange.admitted
-        return self._may_know(admitted) and admitted.fingerprint() == fingerprint
+        return (
+            self._may_have_evidence(admitted) and admitted.fingerprint() == fingerprint
+        )
 
 
 def _suspect(admitted: AdmittedRequest) -> Suspect:
--- a/src/leadseam/routing/events.py
+++ b/src/leadseam/routing/events.py
@@ -1,4 +1,4 @@
-"""Splits an event stream into whole events."""
+"""Splits an event stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Args:
-        data: Its bytes, with the empty line that ends it.
-        identity: Value of its `id` line, or None.
+        data: Its bytes, including the empty line that ends it.
+        event_id: Value of its `id` line, or None.
     """
 
     data: bytes
-    identity: str | None
+    event_id: str | None
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events, byte for byte."""
+    """Buffers bytes and returns complete events with their bytes unchanged."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -31,37 +31,37 @@
 
     @property
     def pending(self) -> bytes:
-        """Bytes of an event that has not ended yet."""
+        """Bytes of the event that is not complete yet."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
+        """Add bytes and return the events that they complete."""
         if not self._buffer and _is_one_event(data):
-            # One whole event at a time is what upstreams send nearly always.
-            return [Event(data, _identity(data))]
+            # Fast path: upstreams nearly always send one complete event at a time.
+            return [Event(data, _event_id(data))]
         self._buffer += data
         events = []
         while (end := self._end_of_event()) > 0:
             block, self._buffer = self._buffer[:end], self._buffer[end:]
-            events.append(Event(block, _identity(block)))
+            events.append(Event(block, _event_id(block)))
         return events
 
     def _end_of_event(self) -> int:
         ends = [
-            position + len(mark)
-            for mark in (_END, b"\r\n\r\n")
-            if (position := self._buffer.find(mark)) >= 0
+            position + len(terminator)
+            for terminator in (_END, b"\r\n\r\n")
+            if (position := self._buffer.find(terminator)) >= 0
         ]
         return min(ends, default=0)
 
 
-class Unsplit:
-    """Gives out bytes as they come: a body that is no sequence of events."""
+class PassThrough:
+    """Returns bytes as they arrive, for a body that is not an event stream."""
 
     pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return them, with no identity to go on from."""
+        """Return the bytes as one event without an id to resume from."""
         return [Event(data, None)] if data else []
 
 
@@ -73,7 +73,7 @@
     )
 
 
-def _identity(block: bytes) -> str | None:
+def _event_id(block: bytes) -> str | None:
     start = 0 if block.startswith(b"id:") else block.find(b"\nid:") + 1
     if start == 0 and not block.startswith(b"id:"):
         return None
--- a/src/leadseam/routing/exchange.py
+++ b/src/leadseam/routing/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way: attempts, retries, and what the caller is told."""
+"""Runs one admitted request: attempts, retries, and the response to the caller."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 from leadseam.routing.dialect import AttemptHead
 from leadseam.routing.reply import Reply
-from leadseam.routing.silence import SilenceWatch, first_limit, pause_limit
+from leadseam.routing.silence import SilenceWatch, first_byte_limit, gap_limit
 
 if TYPE_CHECKING:
     from leadseam.clock import Millis
@@ -37,27 +37,28 @@
     from leadseam.wire.feed import Registration
 
 MAX_SENDS = 4
-"""Upstreams tried for one request, those that did not run it included."""
+"""Sends of one request at most, including those to upstreams that did not run it."""
 MIN_TIME_LEFT: Millis = 20
-"""Time left below which nothing more is sent: a few round trips between boxes."""
+"""Time to the deadline below which no further attempt is made: a few round trips
+between boxes."""
 RETRY_AFTER_SHARE = 1 / 3
-"""Part of the time left that a caller may be told to wait; more is not heeded."""
+"""Largest Retry-After pause as a share of the time left; callers ignore longer ones."""
 MAX_RETRY_PAUSE: Millis = 4_000
-"""Longest pause told: bursts last a few seconds."""
-RETURN_SPREAD: Millis = 500
-"""Time over which callers come back once an upstream takes requests again."""
+"""Longest Retry-After pause: bursts last a few seconds."""
+RETURN_JITTER: Millis = 500
+"""Time over which retries of callers are spread once an upstream's pause is over."""
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What was tried so far.
+    """Attempts made so far.
 
     Args:
-        sends: Upstreams that the request was sent to.
-        runs: Those among them that may have run it.
-        tried: Their incarnations.
-        last: Incarnation that was sent to last, or None.
-        retry_taken: Whether a retry of the shared budget is taken and not yet used.
+        sends: Number of upstreams that the request was sent to.
+        runs: Number of those that may have run it.
+        tried: Incarnations of the upstreams that were tried.
+        last: Incarnation that was tried last, or None.
+        retry_taken: Whether a retry was taken from the budget and is not yet used.
     """
 
     sends: int = 0
@@ -68,12 +69,12 @@
 
 
 class Exchange:
-    """Runs one admitted request to its end.
+    """Runs one admitted request until the caller has its response.
 
     Args:
-        gateway: What it shares with the others.
+        gateway: Gateway with the state that all exchanges share.
         http: The caller's HTTP request.
-        admitted: The request.
+        admitted: The admitted request.
     """
 
     def __init__(
@@ -82,12 +83,12 @@
         self._gateway = gateway
         self._request = admitted
         self._progress = _Progress()
-        self._limit: asyncio.Timeout | None = None
+        self._timeout: asyncio.Timeout | None = None
         self._watch: SilenceWatch | None = None
-        self._ended_here = False
+        self._ended_by_guard = False
         self._reply = Reply(
             http,
-            prepare=gateway.prepare,
+            prepare=gateway.set_keep_alive,
             now=gateway.now,
             last_event=admitted.req.resume_after,
         )
@@ -96,45 +97,49 @@
 
     @property
     def admitted(self) -> AdmittedRequest:
-        """The request."""
+        """The admitted request."""
         return self._request
 
     @property
     def instance(self) -> str:
-        """How lines name the upstream that was sent to last, or an empty text."""
+        """Name of the last upstream tried, as in log lines; empty if there is none."""
         return str(self._progress.last or "")
 
     @property
     def sends(self) -> int:
-        """Upstreams that it was sent to."""
+        """Number of upstreams that the request was sent to."""
         return self._progress.sends
 
     @property
     def first_byte_at(self) -> Millis:
-        """When the first byte went to the caller, `NOT_YET` before."""
+        """Time of the first byte sent to the caller, or `NOT_SENT`."""
         return self._reply.first_byte_at
 
     def reset_deadline_timer(self) -> None:
-        """Set the timer to the time that is left: it leaves out suspended time."""
-        if self._limit is not None:
+        """Set the timer to the time left, as it does not count suspended time."""
+        if self._timeout is not None:
             left = self._request.deadline - self._gateway.now()
             loop = asyncio.get_running_loop()
-            self._limit.reschedule(loop.time() + seconds(max(left, 1)))
+            self._timeout.reschedule(loop.time() + seconds(max(left, 1)))
 
     def end_attempt(self) -> None:
-        """End the attempt under way, if any: the request must not reach upstreams."""
+        """End the current attempt, if any, as the request crashes upstreams."""
         if self._watch is not None:
-            self._ended_here = True
+            self._ended_by_guard = True
             self._watch.end()
 
     async def run(self) -> web.StreamResponse:
-        """Return the finished response; the caller's connection may be cut instead."""
+        """Return the finished response.
+
+        Raises:
+            CallerGoneError: If the caller's connection is closed or was aborted.
+        """
         try:
-            async with asyncio.timeout(None) as self._limit:
+            async with asyncio.timeout(None) as self._timeout:
                 self.reset_deadline_timer()
                 return await self._forward()
         except TimeoutError:
-            return self._out_of_time()
+            return self._deadline_passed()
 
     async def _forward(self) -> web.StreamResponse:
         self._gateway.budget.note_request(self._request.pool, self._gateway.now())
@@ -147,11 +152,11 @@
                 return self._not_placed(flight)
             reason = self._gateway.crash_guard.refusal(self._request)
             if self._gateway.now() >= self._request.deadline:
-                # The box was suspended while it waited, and the timer is late.
+                # The box was suspended while the request waited; the timer is late.
                 flight.end()
-                return self._out_of_time()
+                return self._deadline_passed()
             if reason is not None:
-                # It may have been convicted while it waited for room.
+                # It may have been convicted while it waited for a free slot.
                 flight.end()
                 return self._give_up(reason)
             ending = await self._send(flight)
@@ -166,7 +171,7 @@
         progress.last = flight.upstream.incarnation
         self.placement = flight.placement
         try:
-            ending = await self._watched(flight)
+            ending = await self._attempt_watched(flight)
         finally:
             flight.end()
         match ending:
@@ -178,8 +183,8 @@
                 progress.runs += 1
         return ending
 
-    async def _watched(self, flight: Flight) -> Ending:
-        """Make an attempt; it may be given up if the upstream is silent or gone."""
+    async def _attempt_watched(self, flight: Flight) -> Ending:
+        """Make an attempt; end it if the upstream is silent or has restarted."""
         watch = SilenceWatch(lambda: self._on_silence(flight))
         reason = Reason.UPSTREAM_SILENT
 
@@ -193,35 +198,37 @@
         try:
             async with watch:
                 with restarts:
-                    return await self._answered(flight, watch)
+                    return await self._attempt_and_relay(flight, watch)
         except TimeoutError:
-            return Broken(Reason.CRASHES_UPSTREAMS if self._ended_here else reason)
+            return Broken(Reason.CRASHES_UPSTREAMS if self._ended_by_guard else reason)
         finally:
             self._watch = None
 
-    async def _answered(self, flight: Flight, watch: SilenceWatch) -> Ending:
+    async def _attempt_and_relay(self, flight: Flight, watch: SilenceWatch) -> Ending:
         route = self._request.route
-        watch.wait(first_limit(route.latency_objective, flight.expected_first_token))
+        watch.reset(
+            first_byte_limit(route.latency_objective, flight.expected_first_token)
+        )
         ending = await self._attempt(flight.upstream)
         if isinstance(ending, Streaming):
-            ending = await self._stream(ending, flight, watch)
+            ending = await self._relay(ending, flight, watch)
         return ending
 
-    async def _stream(
+    async def _relay(
         self, streaming: Streaming, flight: Flight, watch: SilenceWatch
     ) -> Ending:
-        limit = pause_limit(self._request.route.max_pause)
+        limit = gap_limit(self._request.route.max_pause)
 
         def on_data() -> None:
             flight.first_byte()
-            watch.wait(limit)
+            watch.reset(limit)
 
         return await self._reply.relay(streaming, on_data)
 
     def _on_silence(self, flight: Flight) -> bool:
-        """Tell whether a silent attempt is to end, as another one may take over."""
+        """Return whether to end a silent attempt because a retry is allowed."""
         self._gateway.note_silence(flight.upstream, self._request)
-        # This attempt may have run too, and is counted only once it has ended.
+        # The silent attempt may have run too; it is not counted before its end.
         runs = self._progress.runs + 1
         if self._too_late() or not self._may_run_again(runs):
             return False
@@ -257,10 +264,10 @@
         self, flight: Flight, ending: Ending
     ) -> web.StreamResponse | None:
         """Return the response, or None to try another upstream."""
-        cut_here = self._ended_here and isinstance(ending, Broken)
-        if not cut_here:
-            # A cut says nothing of the upstream or the request; an answer that was
-            # whole by then does.
+        ended_by_guard = self._ended_by_guard and isinstance(ending, Broken)
+        if not ended_by_guard:
+            # An attempt that the guard ended is no evidence about the upstream or the
+            # request, unless the answer was complete by then.
             self._gateway.note_ending(flight.upstream, ending)
             self._gateway.crash_guard.note_ending(
                 flight.upstream, self._request, ending, early=flight.ended_early()
@@ -305,14 +312,14 @@
                 return False
 
     def _may_run_again(self, runs: int) -> bool:
-        """Tell whether a request that may have run so often may run once more."""
+        """Check whether a request that may have run so many times may run again."""
         route = self._request.route
-        if self._reply.begun and not route.resumable:
+        if self._reply.started and not route.resumable:
             return False
         return route.repeatable and runs < route.max_attempts
 
     def _may_send_again(self) -> bool:
-        """Use a retry of the shared budget, or the one taken for a silent attempt."""
+        """Use the retry taken for a silent attempt, or take one from the budget."""
         if self._progress.retry_taken:
             self._progress.retry_taken = False
             return True
@@ -324,9 +331,9 @@
     # Answers
 
     def _deliver_whole(self, whole: Whole) -> web.StreamResponse:
-        if self._reply.begun:
-            # A refusal by the upstream that should have gone on with a stream.
-            self._cut(Reason.UPSTREAM_BROKEN)
+        if self._reply.started:
+            # The upstream that should have resumed the stream refused to.
+            self._abort(Reason.UPSTREAM_BROKEN)
         self.outcome = Answered(whole.status)
         self._reply.note_first_byte()
         return web.Response(
@@ -334,53 +341,53 @@
         )
 
     def _not_placed(self, reason: Reason) -> web.StreamResponse:
-        """End a request for which there is no upstream, or no further one."""
-        if self._reply.begun:
-            self._cut(reason)
+        """End a request for which there is no upstream, or no other one to retry."""
+        if self._reply.started:
+            self._abort(reason)
         return self._give_up(Reason.UPSTREAM_BROKEN if self._progress.runs else reason)
 
     def _give_up(self, reason: Reason) -> web.StreamResponse:
-        """End a request after its last attempt, with no answer of an upstream."""
-        if self._reply.begun:
-            self._cut(reason)
+        """End a request after its last attempt, without an upstream's answer."""
+        if self._reply.started:
+            self._abort(reason)
         if self._progress.runs == 0:
             return self._refuse(reason)
         if reason in (Reason.CRASHES_UPSTREAMS, Reason.MAY_CRASH_UPSTREAMS):
-            # It has run, and 503 would say that it has not.
+            # The request has run, and 503 would state that it has not.
             reason = Reason.UPSTREAM_BROKEN
-        lost = self._lost(reason)
+        lost = self._outcome_without_answer(reason)
         self.outcome = lost
         return self._gateway.error(lost)
 
-    def _lost(self, reason: Reason) -> Failed | Unknown:
+    def _outcome_without_answer(self, reason: Reason) -> Failed | Unknown:
         """Return the outcome of a request that may have run, without an answer."""
         unsafe = self._request.route.repeat is Repeat.ONCE
         return Unknown(reason) if unsafe else Failed(reason)
 
     def _refuse(self, reason: Reason) -> web.StreamResponse:
         """End a request that has certainly not run."""
-        pause = None if reason is Reason.CRASHES_UPSTREAMS else self._come_back()
+        pause = None if reason is Reason.CRASHES_UPSTREAMS else self._retry_pause()
         self.outcome = NotRun(reason, pause)
         return self._gateway.error(self.outcome)
 
-    def _come_back(self) -> Millis:
+    def _retry_pause(self) -> Millis:
         paused = self._gateway.placer.pause_left(self._request.scope)
         if paused:
-            # Sooner there is nobody to serve it, and not all are to return at once.
-            return paused + self._gateway.jitter(RETURN_SPREAD)
+            # No upstream takes it earlier; jitter keeps callers from retrying at once.
+            return paused + self._gateway.jitter(RETURN_JITTER)
         left = max(self._request.deadline - self._gateway.now(), 0)
         return self._gateway.jitter(
             min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
         )
 
-    def _out_of_time(self) -> web.StreamResponse:
-        if self._reply.begun:
-            self._cut(Reason.DEADLINE_PASSED)
+    def _deadline_passed(self) -> web.StreamResponse:
+        if self._reply.started:
+            self._abort(Reason.DEADLINE_PASSED)
         if self._progress.sends == 0:
             return self._refuse(Reason.NO_UPSTREAM)
         self.outcome = Unknown(Reason.DEADLINE_PASSED)
         return self._gateway.error(self.outcome)
 
-    def _cut(self, reason: Reason) -> NoReturn:
-        self.outcome = self._lost(reason)
-        self._reply.cut(reason)
+    def _abort(self, reason: Reason) -> NoReturn:
+        self.outcome = self._outcome_without_answer(reason)
+        self._reply.abort(reason)
--- a/src/leadseam/routing/restarts.py
+++ b/src/leadseam/routing/restarts.py
@@ -1,7 +1,8 @@
-"""Ends attempts at upstreams that have started again since. No I/O.
+"""Ends attempts at upstreams that have restarted in the meantime. No I/O.
 
-What ran at the start before is lost: an upstream knows nothing of it any more. Its
-connection may stay silent for seconds, if the box went with it, so nobody waits for it.
+A restarted upstream has lost all requests of its previous incarnation. Their
+connections may stay silent for seconds if the box failed too, so the attempts are ended
+at once.
 """
 
 from __future__ import annotations
@@ -16,35 +17,35 @@
 
 
 class Restarts:
-    """Attempts under way, by the incarnation that they are at."""
+    """Callbacks that end current attempts, by the incarnation of their upstream."""
 
     def __init__(self) -> None:
-        self._attempts: dict[Incarnation, list[Callable[[], None]]] = {}
+        self._callbacks: dict[Incarnation, list[Callable[[], None]]] = {}
 
     def __repr__(self) -> str:
-        return f"Restarts(incarnations={len(self._attempts)})"
+        return f"Restarts(incarnations={len(self._callbacks)})"
 
     @contextmanager
     def watch(
         self, incarnation: Incarnation, on_restart: Callable[[], None]
     ) -> Iterator[None]:
-        """Have something called if the incarnation is over while this is entered."""
-        attempts = self._attempts.setdefault(incarnation, [])
-        attempts.append(on_restart)
+        """Register a callback for the end of an incarnation within a `with` block."""
+        callbacks = self._callbacks.setdefault(incarnation, [])
+        callbacks.append(on_restart)
         try:
             yield
         finally:
-            attempts.remove(on_restart)
-            if not attempts:
-                self._attempts.pop(incarnation, None)
+            callbacks.remove(on_restart)
+            if not callbacks:
+                self._callbacks.pop(incarnation, None)
 
     def end_attempts(self, incarnations: Iterable[Incarnation]) -> int:
         """End the attempts at incarnations that are over; return their number."""
-        ended = [
+        called = [
             on_restart
             for incarnation in incarnations
-            for on_restart in self._attempts.get(incarnation, ())
+            for on_restart in self._callbacks.get(incarnation, ())
         ]
-        for on_restart in ended:
+        for on_restart in called:
             on_restart()
-        return len(ended)
+        return len(called)
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -1,8 +1,8 @@
-"""Entries' own data path before modelled upstreams, in virtual time.
+"""Entries with simulated upstreams, in virtual time.
 
-Each entry is a whole `Gateway`; only the client that opens connections is replaced. It
-takes its time for a connection, asks for leave as the real one does, and counts what
-reaches an upstream.
+Each entry is a complete `Gateway`; only its HTTP client is replaced. The fake client
+takes time to open a connection, calls `may_send` as the real one does, and records the
+requests that reach an upstream.
 """
 
 from __future__ import annotations
@@ -37,39 +37,37 @@
     from leadseam.outcome import Outcome
     from leadseam.wire.feed import Registration
 
-HOP = 0.002
-"""Seconds from box to box."""
-WORK = 0.05
-"""Seconds that an upstream works on a request."""
-
-
+NETWORK_DELAY = 0.002
+"""One-way delay between boxes, in seconds."""
+SERVICE_TIME = 0.05
+"""Seconds for which an upstream processes a request."""
 SUBJECTS = 20
-"""Shared parts of prompts that requests ask about in turn."""
+"""Number of shared prompt parts that requests use in turn."""
 
 
 @dataclass(frozen=True, slots=True)
-class Spell:
-    """A time in which an upstream turns away all that reaches it.
+class RefusalPeriod:
+    """A period in which an upstream refuses all requests.
 
     Args:
         begin: When it begins, in seconds.
         end: When it ends.
-        rest: Seconds of rest for which the upstream asks each time.
+        pause: Pause that the upstream requests with each refusal, in seconds.
     """
 
     begin: float
     end: float
-    rest: float
+    pause: float
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A word of an upstream that an entry has heard.
+class Announcement:
+    """An upstream's announcement that it accepts no requests, as received by an entry.
 
     Args:
         entry: The entry.
-        at: When it heard it, in seconds.
-        until: Until when nothing is wanted; infinite for one that leaves.
+        at: When the entry received it, in seconds.
+        until: Until when no request is accepted; infinite for a leaving upstream.
     """
 
     entry: int
@@ -83,7 +81,7 @@
 
     Args:
         entry: Entry that sent it.
-        at: When it was written, in seconds.
+        at: When it was sent, in seconds.
     """
 
     entry: int
@@ -91,41 +89,42 @@
 
 
 @dataclass
-class Modelled:
-    """A modelled upstream.
+class SimulatedUpstream:
+    """A simulated upstream.
 
     Args:
         row: Its registration.
-        spells: When it turns requests away.
-        leaves_at: When its answers begin to say that it leaves, in seconds.
-        arrivals: What has reached it.
-        words: What entries have heard of it.
-        ran: Requests that it ran.
+        periods: Periods in which it refuses requests.
+        leaves_at: When its answers begin to announce that it leaves, in seconds.
+        arrivals: Requests that have reached it.
+        announcements: Its announcements that entries have received.
+        ran: Number of requests that it ran.
     """
 
     row: Registration
-    spells: tuple[Spell, ...] = ()
+    periods: tuple[RefusalPeriod, ...] = ()
     leaves_at: float = float("inf")
     arrivals: list[Arrival] = field(default_factory=list)
-    words: list[Heard] = field(default_factory=list)
+    announcements: list[Announcement] = field(default_factory=list)
     ran: int = 0
 
-    def spell_at(self, at: float) -> Spell | None:
-        """Return the spell in which it is, if any."""
-        return next((one for one in self.spells if one.begin <= at < one.end), None)
+    def refusal_period_at(self, at: float) -> RefusalPeriod | None:
+        """Return the refusal period at a time, if any."""
+        return next((one for one in self.periods if one.begin <= at < one.end), None)
 
-    def broken_words(self) -> list[tuple[Heard, Arrival]]:
-        """Return words of it and requests that were written in spite of them."""
+    def ignored_announcements(self) -> list[tuple[Announcement, Arrival]]:
+        """Return announcements and requests that were sent in spite of them."""
         return [
-            (word, arrival)
-            for word in self.words
+            (announcement, arrival)
+            for announcement in self.announcements
             for arrival in self.arrivals
-            if word.entry == arrival.entry and word.at < arrival.at < word.until
+            if announcement.entry == arrival.entry
+            and announcement.at < arrival.at < announcement.until
         ]
 
 
 class _Answer:
-    """An answer as the library hands it out."""
+    """A fake of the HTTP library's response."""
 
     def __init__(self, status: int, headers: dict[str, str]) -> None:
         self.status = status
@@ -133,7 +132,7 @@
         self.content = SimpleNamespace(readany=self.read)
 
     async def read(self) -> bytes:
-        """Return the end of the body."""
+        """Return the end of the empty body."""
         return b""
 
     def close(self) -> None:
@@ -156,7 +155,7 @@
         may_send: Callable[[], bool],
         **_: object,
     ) -> _Answer:
-        """Open a connection, ask for leave, and let the upstream answer."""
+        """Open a connection, check `may_send`, and simulate the upstream's answer."""
         fleet = self._fleet
         await asyncio.sleep(fleet.rng.uniform(0, fleet.connect_s))
         if not may_send():
@@ -164,48 +163,48 @@
         loop = asyncio.get_running_loop()
         upstream = fleet.upstreams[ip]
         upstream.arrivals.append(Arrival(self._entry, loop.time()))
-        await asyncio.sleep(HOP)
+        await asyncio.sleep(NETWORK_DELAY)
         request_id = dict(headers)[names.REQUEST_ID]
-        said = {names.REQUEST_ID: request_id}
+        answer = {names.REQUEST_ID: request_id}
         leaves = loop.time() >= upstream.leaves_at
         if leaves:
-            said[names.LEAVING] = names.LEAVING_SET
-        spell = upstream.spell_at(loop.time())
-        if spell is not None:
-            await asyncio.sleep(HOP)
-            self._hear(upstream, loop.time() + spell.rest)
-            said |= {names.NOT_RUN: "1", names.RETRY_AFTER: f"{spell.rest:.3f}"}
-            return _Answer(503, said)
+            answer[names.LEAVING] = names.LEAVING_SET
+        period = upstream.refusal_period_at(loop.time())
+        if period is not None:
+            await asyncio.sleep(NETWORK_DELAY)
+            self._record(upstream, loop.time() + period.pause)
+            answer |= {names.NOT_RUN: "1", names.RETRY_AFTER: f"{period.pause:.3f}"}
+            return _Answer(503, answer)
         upstream.ran += 1
-        await asyncio.sleep(WORK + HOP)
+        await asyncio.sleep(SERVICE_TIME + NETWORK_DELAY)
         if leaves:
-            self._hear(upstream, float("inf"))
-        return _Answer(200, said | {names.SIGNATURE: "s"})
+            self._record(upstream, float("inf"))
+        return _Answer(200, answer | {names.SIGNATURE: "s"})
 
-    def _hear(self, upstream: Modelled, until: float) -> None:
+    def _record(self, upstream: SimulatedUpstream, until: float) -> None:
         at = asyncio.get_running_loop().time()
-        upstream.words.append(Heard(self._entry, at, until))
+        upstream.announcements.append(Announcement(self._entry, at, until))
 
 
 class GatewayFleet:
-    """Entries and upstreams; needs a running `VirtualLoop`.
+    """A fleet of entries and upstreams; needs a running `VirtualLoop`.
 
     Args:
         upstreams: The upstreams.
         entries: Number of entries.
         engines: Whether the pool's upstreams are engines, for which requests wait.
-        seed: Seed of all that is random.
-        connect_s: Most seconds that opening a connection takes.
+        seed: Seed of all random numbers.
+        connect_s: Longest time to open a connection, in seconds.
     """
 
     def __init__(
         self,
-        upstreams: Iterable[Modelled],
+        upstreams: Iterable[SimulatedUpstream],
         *,
         entries: int = 2,
         engines: bool = True,
         seed: int = 1,
-        connect_s: float = HOP,
+        connect_s: float = NETWORK_DELAY,
     ) -> None:
         self.rng = random.Random(seed)
         self.connect_s = connect_s
@@ -245,8 +244,8 @@
             entry=f"entry-{number}",
         )
 
-    async def call(self, entry: int, *, patience: int = 3_000) -> None:
-        """Make a request through an entry, and note its outcome."""
+    async def call(self, entry: int, *, max_wait: int = 3_000) -> None:
+        """Run a request through an entry, and record its outcome and duration."""
         self._numbers += 1
         now = self._clock.now()
         route = make_route("r", "/chat/", "p")
@@ -260,7 +259,7 @@
             pool="p",
             account="bank",
             arrived=now,
-            deadline=now + patience,
+            deadline=now + max_wait,
         )
         http = SimpleNamespace(transport=None, protocol=None)
         exchange = Exchange(self.gateways[entry], cast("Any", http), admitted)
@@ -270,7 +269,12 @@
         self.outcomes.append(exchange.outcome)
 
     async def keep_calling(self, *, every: float, span: float) -> None:
-        """Make requests at random moments, at each entry every so many seconds."""
+        """Make requests at random times.
+
+        Args:
+            every: Mean seconds between requests at one entry.
+            span: Seconds for which requests are made.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + span
         async with asyncio.TaskGroup() as group:
@@ -279,10 +283,10 @@
                 group.create_task(self.call(self.rng.randrange(len(self.gateways))))
 
 
-def modelled(count: int, **first: Any) -> list[Modelled]:
-    """Return upstreams, the first one with other fields than the rest."""
+def simulated_upstreams(count: int, **first: Any) -> list[SimulatedUpstream]:
+    """Return upstreams, the first one with the given fields."""
     rows = [make_upstream(number) for number in range(1, count + 1)]
     return [
-        Modelled(row, **(first if number == 0 else {}))
+        SimulatedUpstream(row, **(first if number == 0 else {}))
         for number, row in enumerate(rows)
     ]
--- a/tests/routing/test_withheld.py
+++ b/tests/routing/test_withheld.py
@@ -1,4 +1,4 @@
-"""A request passes one place before it is written, whatever waited for a connection."""
+"""`may_send` is checked just before a request is written, on any connection."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
-async def test_a_word_that_comes_while_a_connection_is_opened_counts(
+async def test_may_send_is_checked_after_the_connection_is_open(
     repeatable: bool,
 ) -> None:
     received: list[bytes] = []
-    asked: list[bool] = []
+    checks: list[bool] = []
 
     async def script(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -31,7 +31,7 @@
 
     async def send(*, allowed: bool) -> int:
         def may_send() -> bool:
-            asked.append(allowed)
+            checks.append(allowed)
             return allowed
 
         resp = await client.send(
@@ -56,5 +56,5 @@
     finally:
         await client.close()
         server.close()
-    assert asked == [False, True, False]
+    assert checks == [False, True, False]
     assert len(received) == 1
