--- a/src/leadseam/control/configuration.py
+++ b/src/leadseam/control/configuration.py
@@ -1,7 +1,7 @@
-"""The fleet's configuration: what operators create, and how a change applies.
+"""The fleet's configuration: its records, its operations and its validation.
 
-Records travel as CBOR maps and as YAML under the same field names, so that the
-durable form, the operators' schema and the files they write agree.
+Records are encoded as CBOR and as YAML maps with the same field names, so that the
+stored form, the operators' RPC schema and the operators' files agree.
 """
 
 from __future__ import annotations
@@ -25,14 +25,17 @@
 
 
 class PoolKind(StrEnum):
-    """What serves a pool."""
+    """Kind of upstreams in a pool: inference engines, or plain services."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Section(StrEnum):
-    """The tables of a configuration."""
+    """Tables of a configuration that operations change.
+
+    The values are the names of the fields of `Configuration`.
+    """
 
     ACCOUNTS = "accounts"
     POOLS = "pools"
@@ -45,7 +48,7 @@
 
 
 class ModelGrant(_ConfigRecord, frozen=True):
-    """A model that an account may use.
+    """Permission to use a model.
 
     Args:
         model: Name of the model.
@@ -60,13 +63,13 @@
     """A client account.
 
     Args:
-        name: Its name.
-        share: Weight against other accounts, 1 to `MAX_SHARE`.
+        name: Name of the account.
+        share: Weight relative to other accounts, 1 to `MAX_SHARE`.
         key_hashes: SHA-256 of its bearer keys, in hexadecimal.
         models: Models it may use.
         services: Plain services it may call.
-        max_waiting: Waiting requests allowed at one entry.
-        priority: Rank of its requests, in place of the route's; None leaves that.
+        max_waiting: Maximum number of its requests that wait at one entry.
+        priority: Priority of its requests; None uses the priority of the route.
         regions: Regions in which its requests may be served; empty allows all.
     """
 
@@ -81,17 +84,17 @@
 
 
 class Pool(_ConfigRecord, frozen=True, tag="pool"):
-    """Upstreams that can stand in for each other.
+    """A pool of interchangeable upstreams.
 
     Args:
-        name: Its name; that of the service for a service pool.
-        kind: What serves it.
+        name: Name of the pool; for a service pool, the name of the service.
+        kind: Whether engines or a plain service serve it.
         model: Model that its engines run; empty for services.
         version: Version of that model.
-        max_connections: Connections that one upstream takes from all callers.
-        engine: What is stated about its engines; None where nothing is.
-        cold_rate: Requests a second that one of its upstreams bears while it is cold; 0
-            where that is not stated.
+        max_connections: Connections that one upstream accepts from all callers.
+        engine: Stated properties of its engines; None if the operator states none.
+        cold_rate: Requests per second that one of its upstreams can serve while it is
+            cold; 0 if not stated.
     """
 
     name: str
@@ -104,19 +107,19 @@
 
 
 class Upstream(_ConfigRecord, frozen=True, tag="upstream"):
-    """One server and the sidecar beside it.
+    """A server together with its sidecar.
 
     Args:
-        name: Its name.
-        pool: Pool that it serves.
-        ip: IP number of the server.
-        port: Its port.
-        sidecar_ip: IP number of the sidecar for entries.
-        sidecar_port: Its port.
-        slots: Requests that the server takes at once.
-        box: Box that both run on.
+        name: Name of the upstream.
+        pool: Name of the pool that it serves.
+        ip: IP address of the server.
+        port: Port of the server.
+        sidecar_ip: IP address at which entries reach the sidecar.
+        sidecar_port: Port at which entries reach the sidecar.
+        slots: Maximum number of concurrent requests.
+        box: Box on which the server and the sidecar run.
         failure_domain: Failure domain of that box.
-        draining: Whether it takes no new work.
+        draining: Whether it accepts no new requests.
     """
 
     name: str
@@ -132,13 +135,13 @@
 
 
 class NeverRepeat(_ConfigRecord, frozen=True, tag="never_repeat"):
-    """Requests that must run at most once.
+    """A rule for requests that must run at most once.
 
     Args:
         name: Name of the rule.
-        account: Client account, or `ANY`.
-        pool: Pool, or `ANY`.
-        path_prefix: Start of the path towards the upstream.
+        account: Client account that it applies to, or `ANY`.
+        pool: Pool that it applies to, or `ANY`.
+        path_prefix: Prefix of the path that is sent to the upstream.
     """
 
     name: str
@@ -151,20 +154,20 @@
 
 
 class Put(msgspec.Struct, frozen=True, tag="put"):
-    """Create or replace a row."""
+    """Creates or replaces a row."""
 
     record: ConfigRecord
 
 
 class Delete(msgspec.Struct, frozen=True, tag="delete"):
-    """Remove a row."""
+    """Removes a row."""
 
     section: Section
     name: str
 
 
 class Drain(msgspec.Struct, frozen=True, tag="drain"):
-    """Set whether an upstream takes new work."""
+    """Sets whether an upstream is draining and accepts no new requests."""
 
     upstream: str
     draining: bool
@@ -174,17 +177,17 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """All tables at one version; each maps names to rows.
+    """One version of the configuration. Each table maps names to rows.
 
     Args:
-        version: Grows with each accepted change.
+        version: Version number, which increases with each accepted change.
         accounts: Client accounts.
         pools: Pools of upstreams.
-        upstreams: Upstreams that operators list; registered ones are not here.
-        never_repeat: Rules on requests that must run at most once.
-        routes: Routes by name; only a whole configuration brings them.
-        limits: Bounds on what callers may send.
-        document: Bytes of the operator's document that this was read from, if any.
+        upstreams: Upstreams that operators configure, without those that register.
+        never_repeat: Rules for requests that must run at most once.
+        routes: Routes; set only by replacing the whole configuration.
+        limits: Limits on callers' requests.
+        document: The operator's document that this was parsed from, or empty.
     """
 
     version: int = 0
@@ -203,7 +206,7 @@
         )
 
     def must_not_repeat(self, account: str, pool: str, path: str) -> bool:
-        """Tell whether an operator's rule forbids to run a request twice."""
+        """Return whether a rule forbids running a request more than once."""
         return any(
             rule.account in (ANY, account)
             and rule.pool in (ANY, pool)
@@ -212,7 +215,10 @@
         )
 
     def apply(self, operations: tuple[Operation, ...]) -> Configuration:
-        """Return the next version with operations applied in order, unchecked."""
+        """Return the next version, with operations applied in order.
+
+        The result is not validated; see `faults`.
+        """
         tables: dict[Section, dict[str, ConfigRecord]] = {
             section: dict(self.table(section)) for section in Section
         }
@@ -224,12 +230,12 @@
         )
 
     def table(self, section: Section) -> dict[str, ConfigRecord]:
-        """Return one table."""
+        """Return the table of a section."""
         table: dict[str, ConfigRecord] = getattr(self, section.value)
         return table
 
     def faults(self) -> tuple[str, ...]:
-        """Name everything that is wrong, one line each."""
+        """Validate the configuration and return one line for each fault."""
         found: list[str] = []
         for account in self.accounts.values():
             found += _account_faults(account)
@@ -285,7 +291,7 @@
 def operation_faults(
     configuration: Configuration, operations: tuple[Operation, ...]
 ) -> tuple[str, ...]:
-    """Name operations that refer to rows which do not exist."""
+    """Return one line for each operation on a row that does not exist."""
     found = []
     for operation in operations:
         match operation:
@@ -363,7 +369,7 @@
 
 
 def is_ip(text: str) -> bool:
-    """Tell whether a text is an IP number."""
+    """Return whether a text is an IP address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -1,4 +1,8 @@
-"""The replicated state machine: configuration, its history and claims."""
+"""The replicated state machine: commands, their results and the state they change.
+
+The state holds the configuration with its history, claims on idempotency keys,
+departed upstreams, requests that crash upstreams, and evacuated failure domains.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 
 class ChangeStatus(StrEnum):
-    """What became of a change."""
+    """Outcome of a change."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -36,13 +40,13 @@
 
 
 class Change(Record, frozen=True, array_like=True, tag=1):
-    """An operator's change.
+    """An operator's change to the configuration.
 
     Args:
-        change_id: Chosen by the operator; a resend carries the same.
-        expect_version: Version that the operator saw.
-        operations: What to do, all or nothing.
-        operator: Who asked.
+        change_id: Chosen by the operator; a resend carries the same id.
+        expect_version: Version of the configuration that the change is based on.
+        operations: Operations, applied all together or not at all.
+        operator: Name of the operator.
         at: Wall time stamped by the leader.
     """
 
@@ -54,14 +58,21 @@
 
 
 class Claims(Record, frozen=True, array_like=True, tag=2):
-    """A batch of claim commands at one wall time."""
+    """A batch of claim commands.
+
+    Args:
+        commands: The commands, in the order in which they are applied.
+        at: Wall time stamped by the leader, the same for the whole batch.
+    """
 
     commands: tuple[ClaimCommand, ...]
     at: int = 0
 
 
 class Barrier(Record, frozen=True, array_like=True, tag=3):
-    """Changes nothing; its result is read after all that came before.
+    """A command that changes nothing.
+
+    Once it is applied, every command committed before it has been applied too.
 
     Args:
         at: Wall time stamped by the leader.
@@ -71,10 +82,10 @@
 
 
 class Replace(Record, frozen=True, array_like=True, tag=4):
-    """A whole configuration; it takes effect if its version is above the one held.
+    """Replaces the configuration if the new version is above the current one.
 
     Args:
-        configuration: The configuration, checked by whoever proposes it.
+        configuration: The configuration, already validated by the proposer.
         at: Wall time stamped by the leader.
     """
 
@@ -83,12 +94,12 @@
 
 
 class Leave(Record, frozen=True, array_like=True, tag=5):
-    """A registered upstream leaves; final for its incarnation.
+    """Records that a registered upstream leaves. This is final for its incarnation.
 
     Args:
-        instance: Its id.
+        instance: Id of the upstream.
         at: Wall time stamped by the leader.
-        start: Its start; logs of older versions state none.
+        start: Start number of the upstream; logs of older versions have none.
     """
 
     instance: str
@@ -97,15 +108,15 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Which start of the upstream leaves."""
+        """Incarnation of the upstream that leaves."""
         return Incarnation(self.instance, self.start)
 
 
 class RecordCrashes(Record, frozen=True, array_like=True, tag=6):
-    """Requests that have ended upstreams; merged with what is known of them.
+    """Records requests that have crashed upstreams.
 
     Args:
-        rows: What to merge.
+        rows: Rows to merge into the table of crashes.
         at: Wall time stamped by the leader.
     """
 
@@ -114,12 +125,13 @@
 
 
 class Evacuate(Record, frozen=True, array_like=True, tag=7):
-    """Evacuate a failure domain, or take it back.
+    """Evacuates a failure domain, or restores it.
 
     Args:
-        domain: Its name.
-        evacuated: What it is to be.
-        expected: Switches of the domain known to the replica that took the order.
+        domain: Name of the failure domain.
+        evacuated: Whether it is to be evacuated (True) or restored (False).
+        expected: Number of switches of the domain that the replica had applied when it
+            received the order.
         at: Wall time stamped by the leader.
     """
 
@@ -139,7 +151,7 @@
 
     Args:
         status: A `ChangeStatus`.
-        version: Version it led to, or the version it met.
+        version: Version that the change created, or the current one if it was rejected.
         faults: Every fault of an invalid change.
     """
 
@@ -149,26 +161,30 @@
 
 
 class ClaimResults(Record, frozen=True, array_like=True, tag=2):
-    """Outcomes of a batch, in its order."""
+    """Outcomes of a batch of claim commands, in the same order."""
 
     results: tuple[ClaimResult, ...]
 
 
 class BarrierResult(Record, frozen=True, array_like=True, tag=3):
-    """Version in force when the barrier was committed."""
+    """Outcome of a barrier: the configuration's version when it was applied."""
 
     version: int
 
 
 class LeaveResult(Record, frozen=True, array_like=True, tag=4):
-    """The incarnation is known to be leaving."""
+    """Outcome of `Leave`: the incarnation is recorded as departed."""
 
     instance: str
     start: int = NO_START
 
 
 class CrashesRecorded(Record, frozen=True, array_like=True, tag=5):
-    """The rows are merged."""
+    """Outcome of `RecordCrashes`.
+
+    Args:
+        rows: Number of rows that were merged.
+    """
 
     rows: int
 
@@ -177,7 +193,7 @@
     """Outcome of an order on a failure domain.
 
     Args:
-        as_ordered: Whether the domain is as ordered.
+        as_ordered: Whether the domain is now in the state that was ordered.
         revision: Revision of the table of evacuations.
     """
 
@@ -196,7 +212,7 @@
 
 
 class HistoryRow(Record, frozen=True, array_like=True):
-    """An accepted change, for `leadseamctl history`."""
+    """An accepted change, as `leadseamctl history` lists it."""
 
     version: int
     change_id: str
@@ -218,14 +234,18 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedOperations:
-    """Operations that led to a version."""
+    """The operations that created a version of the configuration."""
 
     version: int
     operations: tuple[Operation, ...]
 
 
 class ControlState:
-    """State that every replica derives from the same log."""
+    """State that every replica derives from the same log.
+
+    Applying a command must be deterministic: it depends on the state and the command
+    only, so that all replicas reach the same state.
+    """
 
     def __init__(self) -> None:
         self.configuration = Configuration()
@@ -242,7 +262,7 @@
 
     @property
     def claim_count(self) -> int:
-        """Number of claims held."""
+        """Number of claims in the table."""
         return len(self._claims.rows)
 
     def apply(self, command: Command) -> CommandResult:
@@ -271,7 +291,7 @@
                 return EvacuationResult(as_ordered, self.evacuations.revision)
 
     def deltas_after(self, version: int) -> list[VersionedOperations] | None:
-        """Return the operations since a version, or None if some are forgotten."""
+        """Return the operations since a version, or None if some are discarded."""
         if version == self.configuration.version:
             return []
         if not self.deltas or self.deltas[0].version > version + 1:
@@ -293,7 +313,10 @@
         return encode(saved)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by one that `save` encoded; empty means initial."""
+        """Replace the state by one that `save` encoded.
+
+        Empty data stands for the initial state and changes nothing.
+        """
         if not data:
             return
         saved = decode(data, _SavedState)
@@ -311,7 +334,8 @@
     def _replace(self, configuration: Configuration) -> ChangeResult:
         if configuration.version > self.configuration.version:
             self.configuration = configuration
-            # Versions may rise unevenly, so no delta leads from one to the other.
+            # Versions of whole configurations may skip numbers, so there are no
+            # operations from which subscribers could build the new one.
             self.deltas.clear()
         return ChangeResult(ChangeStatus.ACCEPTED, self.configuration.version)
 
