--- a/src/leadseam/routing/dialect.py
+++ b/src/leadseam/routing/dialect.py
@@ -56,7 +56,7 @@
         target: Raw path and query.
         headers: End-to-end headers to pass on unchanged.
         key: The caller's bearer key, or None.
-        patience: Milliseconds that the caller will wait, or None if it does not say.
+        max_wait: Milliseconds that the caller will wait, or None if it does not say.
         parts: Parts of the prompt in order; empty for other work.
         tokens_in: Tokens of the prompt.
         tokens_out: Most tokens to be generated.
@@ -69,7 +69,7 @@
     target: str
     headers: Headers
     key: str | None
-    patience: Millis | None
+    max_wait: Millis | None
     parts: tuple[PromptPart, ...]
     tokens_in: int
     tokens_out: int
@@ -89,14 +89,14 @@
         instance: Id of the upstream that must answer; any other has to refuse. It
             does not tell two starts of one upstream apart.
         account: Client account that pays, or None.
-        keyed: Whether bearer keys are this system's own and stay here.
+        uses_account_keys: Whether bearer keys are this system's own and stay here.
         time_left: Milliseconds until the request is given up.
         resume_after: Identity of the last event already delivered, or None.
     """
 
     instance: str
     account: str | None
-    keyed: bool
+    uses_account_keys: bool
     time_left: Millis
     resume_after: str | None
 
@@ -112,7 +112,7 @@
         event_stream: Whether the body is a sequence of events.
         pause: Milliseconds in which the upstream wants nothing more from this entry;
             0 if it does not say.
-        odd_pause: What it said of a pause that could not be read, or an empty text.
+        invalid_pause: What it said of a pause that could not be read, or an empty text.
         leaving: Whether it says that it is about to end.
     """
 
@@ -121,7 +121,7 @@
     signed: bool
     event_stream: bool
     pause: Millis = 0
-    odd_pause: str = ""
+    invalid_pause: str = ""
     leaving: bool = False
 
 
