--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -1,4 +1,4 @@
-"""What a control replica does for operators and registering upstreams."""
+"""Commands of operators and registering upstreams, handled at a control replica."""
 
 from __future__ import annotations
 
@@ -23,35 +23,36 @@
     from leadseam.wire.feed import Registration
 
 CALL_TIMEOUT: Millis = 900
-"""Time for one call: callers turn to another replica after a second of silence."""
+"""Timeout of a call. Callers try another replica after a second without a reply."""
 VOTER_WAIT_LIMIT: Millis = 2_500
-"""How long after its start a replica waits for enough voters before it commits. The
-group normally gathers within a second; a change should not wait for four."""
+"""Time after its start for which a replica waits for enough voters before it commits.
+The voters normally connect within a second; a change should not wait for four."""
 VOTER_POLL_INTERVAL: Millis = 20
+"""Interval at which the number of voters is checked."""
 UNKNOWN_POOL = "the configuration does not name its pool"
 REFUSAL_LINES_PER_S = 5
-"""Lines a second on registrations that name no upstream; a counter has them all."""
+"""Maximum log lines per second about refused registrations. A metric counts all."""
 MAX_LOGGED_ID = 128
-"""Characters of an id that is logged: as many as a valid one has."""
+"""Characters of an id that are logged: the maximum length of a valid id."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """It is committed and will not be lost."""
+    """The command is committed, so it will not be lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """It cannot be accepted by any replica at any time."""
+    """The command is invalid; no replica will accept it."""
 
     faults: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Nobody can say what became of it; it may be sent again."""
+    """The outcome of the command is unknown; the caller may send it again."""
 
     reason: str
 
@@ -60,15 +61,15 @@
 
 
 class ControlService:
-    """Configuration and membership at one replica.
+    """Handles configuration, registrations and evacuations at one replica.
 
     Args:
-        replica: The replica.
-        feed: Where entries are told.
+        replica: The replica that commits commands.
+        feed: Feed that notifies entries.
         clock: Source of time.
-        metrics: Counters.
-        min_voters: Voters wanted before the first commit, so that the tolerated
-            losses right after it take no copy that counts.
+        metrics: Metrics of the replica.
+        min_voters: Number of voters required before the first commit, so that a commit
+            survives the tolerated number of losses right after it.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         self._started = clock.now()
 
     async def replace(self, configuration: Configuration) -> Reply:
-        """Commit a whole configuration if its version is above the one held."""
+        """Commit a configuration if its version is above the current one."""
         faults = configuration.faults()
         if faults:
             extra = {"version": configuration.version, "faults": faults[:5]}
@@ -109,7 +110,11 @@
         log.info("configuration refused", extra={"error": exc.message})
 
     async def read_document(self) -> bytes | None:
-        """Return the newest configuration's document, or None if that is not known."""
+        """Return the document of the newest configuration.
+
+        Returns:
+            None if no quorum confirms which one is newest, or if it has no document.
+        """
         try:
             async with asyncio.timeout(seconds(CALL_TIMEOUT)):
                 current = await self._replica.catch_up()
@@ -122,7 +127,10 @@
         return document
 
     async def heartbeat(self, registration: Registration) -> Reply:
-        """Take an upstream's heartbeat; leaving is acknowledged once committed."""
+        """Handle a heartbeat of an upstream.
+
+        One that is not ready leaves; that is acknowledged once it is committed.
+        """
         if not self._feed.accepts(registration):
             return Invalid((UNKNOWN_POOL,))
         if not registration.ready:
@@ -131,7 +139,7 @@
         return Accepted()
 
     async def evacuate(self, domain: str, *, evacuated: bool) -> Reply:
-        """Commit that a failure domain is evacuated, or taken back."""
+        """Commit that a failure domain is evacuated or restored."""
         status = await self._feed.evacuations.order(
             domain, evacuated=evacuated, submit=self._submit
         )
@@ -148,10 +156,11 @@
                 return Unavailable("no quorum confirmed it in time")
 
     async def leave_without_start(self, instance: str) -> Reply:
-        """Commit that an upstream leaves that does not say which start of it does.
+        """Commit that an upstream leaves, given only its id and not its start.
 
-        It is the one that is heard here. Where upstreams state their starts and this
-        one is not heard here, another replica has to tell.
+        The start is that of its latest heartbeat at this replica. If upstreams state
+        their starts but this replica receives no heartbeats of this one, only another
+        replica can resolve the id.
         """
         start = self._feed.start_of(instance)
         if start is None:
@@ -159,7 +168,7 @@
         return await self.leave(Incarnation(instance, start))
 
     async def leave(self, incarnation: Incarnation) -> Reply:
-        """Commit that an upstream leaves."""
+        """Commit that an incarnation of an upstream leaves."""
         if incarnation in self._replica.state.departed:
             return Accepted()
         extra = {"instance": str(incarnation)}
@@ -175,12 +184,12 @@
     def record_refused_registration(
         self, instance: str, fault: str, message: str
     ) -> None:
-        """Count a registration that names no upstream, and log it within a budget.
+        """Count a refused registration, and log it within the line budget.
 
         Args:
-            instance: The id that it was sent for.
-            fault: Stable name of what is wrong.
-            message: One line for a person.
+            instance: Id in the registration.
+            fault: Stable name of the fault.
+            message: One-line description for operators.
         """
         self._metrics.registrations_refused.inc(fault)
         if self._line_budget.take():
@@ -196,7 +205,7 @@
             return None
 
     async def _wait_for_voters(self) -> None:
-        """Wait for enough voters, but not for long."""
+        """Wait for `min_voters` voters, until `VOTER_WAIT_LIMIT` after the start."""
         while (
             self._replica.voters < self._min_voters
             and self._clock.now() - self._started < VOTER_WAIT_LIMIT
