--- a/src/leadseam/control/evacuations.py
+++ b/src/leadseam/control/evacuations.py
@@ -1,9 +1,10 @@
-"""Failure domains that operators have evacuated, as the log decides it. No I/O.
+"""The replicated table of evacuated failure domains. No I/O.
 
 Operators' orders carry no version, and a resent order may reach any replica late. So a
-replica that takes an order states the last switch of the domain that it knew of then;
-an order that meets another switch in the log changes nothing. That covers every delay
-inside the group. `leadseam.control.order_guard` covers copies that arrive late.
+replica that receives an order adds the number of switches of the domain that it has
+applied; if the number differs when the order is applied, the order changes nothing.
+That covers every delay inside the group. `leadseam.control.order_guard` covers copies
+that arrive late.
 """
 
 from __future__ import annotations
@@ -18,18 +19,19 @@
     from collections.abc import Iterable
 
 MAX_DOMAINS = 1_000
-"""Failure domains remembered, evacuated or not: far more than a fleet has."""
+"""Maximum number of failure domains in the table, evacuated or restored. It is far
+above the number in a fleet."""
 
 
 class EvacuationRow(Record, frozen=True, array_like=True):
-    """One failure domain that was evacuated at some time.
+    """A failure domain that is or was evacuated.
 
     Args:
-        domain: Its name.
+        domain: Name of the failure domain.
         evacuated: Whether it is evacuated now.
-        switches: How often that has changed.
-        revision: Revision of the whole table at the last change.
-        at: Wall time of the last change, stamped by the leader.
+        switches: How often it was evacuated or restored.
+        revision: Revision of the whole table at its last switch.
+        at: Wall time of its last switch, stamped by the leader.
     """
 
     domain: str
@@ -40,10 +42,10 @@
 
 
 class EvacuationTable:
-    """The table of evacuated failure domains; equal on every replica.
+    """The table of failure domains, which is the same on every replica.
 
     Args:
-        rows: Rows of a snapshot.
+        rows: Rows of a snapshot to start from.
     """
 
     def __init__(self, rows: Iterable[EvacuationRow] = ()) -> None:
@@ -54,37 +56,37 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the table; grows with each change, 0 before the first."""
+        """Revision of the table: 0 at first, and one more with each switch."""
         return max((row.revision for row in self._rows.values()), default=0)
 
     @property
     def evacuated(self) -> tuple[str, ...]:
-        """Names of the failure domains that are evacuated, in order."""
+        """Sorted names of the failure domains that are evacuated."""
         return tuple(sorted(row.domain for row in self._rows.values() if row.evacuated))
 
     def rows(self) -> tuple[EvacuationRow, ...]:
-        """Return all rows, for a snapshot or a list."""
+        """Return all rows."""
         return tuple(self._rows.values())
 
     def row(self, domain: str) -> EvacuationRow:
-        """Return the row of a failure domain, also of one never evacuated."""
+        """Return the row of a failure domain; an initial row if there is none."""
         return self._rows.get(domain) or EvacuationRow(domain, False, 0, 0)
 
     def is_full_for(self, domain: str) -> bool:
-        """Tell whether there is no room for a further failure domain."""
+        """Return whether a failure domain can't be added as the table is full."""
         return domain not in self._rows and len(self._rows) >= MAX_DOMAINS
 
     def switch(self, domain: str, evacuated: bool, *, expected: int, at: int) -> bool:
-        """Evacuate a failure domain or take it back.
+        """Evacuate a failure domain or restore it.
 
         Args:
-            domain: Its name.
-            evacuated: What it is to be.
-            expected: Switches of the domain that the order is based on.
+            domain: Name of the failure domain.
+            evacuated: Whether it is to be evacuated (True) or restored (False).
+            expected: Number of switches of the domain that the order is based on.
             at: Wall time of the order.
 
         Returns:
-            Whether the domain is now as ordered, by this order or an earlier one.
+            Whether the domain is in the ordered state, by this order or an earlier one.
         """
         row = self.row(domain)
         if row.evacuated is evacuated:
--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -1,8 +1,8 @@
-"""Orders on failure domains: the log's table, late copies, snapshots.
+"""Orders on failure domains: the replicated table, late copies, snapshots.
 
-Orders carry no version and may be sent again for 5 s, to any replica. A day of the
-users' bench gave each start of an evacuation 404; the first design has to say which of
-two equal orders came last.
+Orders carry no version and may be resent to any replica for 5 s, so a replica has to
+tell a new order from a late copy of an equal one. Before there were such orders, each
+start of an evacuation in a day of the users' benchmark was answered with 404.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 def seen(table: EvacuationTable, guard: OrderGuard, now: int, evacuated: bool) -> None:
-    """Switch a domain and let a replica see it."""
+    """Switch a domain and let a replica's guard record it."""
     expected = table.row("north").switches
     assert table.switch("north", evacuated, expected=expected, at=0)
     guard.record_applied(table.rows(), now)
@@ -81,7 +81,7 @@
     assert guard.may_be_late(table, "north", True, 1_000 + RESEND)
     assert not guard.may_be_late(table, "north", True, 1_001 + RESEND)
     seen(table, guard, 7_000, True)
-    # A copy of the order that took it back came 4.999 s after the first.
+    # A copy of the order to restore it may come until 5 s after that took effect.
     assert guard.may_be_late(table, "north", False, 2_000 + RESEND)
     assert not guard.may_be_late(table, "north", False, 2_001 + RESEND)
 
@@ -91,7 +91,7 @@
     seen(table, OrderGuard(RESEND), 0, True)
     once = OrderGuard(RESEND)
     once.record_applied(table.rows(), 100)
-    # It was never taken back, so no copy of that can be on its way.
+    # It was never restored, so no copy of such an order can be on its way.
     assert not once.may_be_late(table, "north", False, 100)
     seen(table, OrderGuard(RESEND), 0, False)
     twice = OrderGuard(RESEND)
@@ -101,10 +101,11 @@
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """An operator, copies of its orders, three replicas that lag or start again.
+    """An operator, copies of its orders, and three replicas that lag or restart.
 
-    The operator gives an order once the one before was acknowledged, and copies of an
-    order leave within `RESEND` of its first send. Whatever is acknowledged last holds.
+    The operator sends an order once the one before was acknowledged, and copies of an
+    order are sent within `RESEND` of its first send. The order that was acknowledged
+    last must stay in effect.
     """
 
     def __init__(self) -> None:
@@ -118,7 +119,7 @@
         self.pending: tuple[bool, int] | None = None
 
     def _take(self, evacuated: bool, replica: int) -> bool:
-        """Let a replica carry an order out; return whether it is acknowledged."""
+        """Have a replica execute an order; return whether it is acknowledged."""
         guard = self.guards[replica]
         guard.record_applied(self.table.rows(), self.now)
         if guard.may_be_late(self.table, "north", evacuated, self.now):
