--- a/src/leadseam/control/claims.py
+++ b/src/leadseam/control/claims.py
@@ -1,4 +1,4 @@
-"""Claims: the sole right to run a request that carries a caller's key."""
+"""Claims: the exclusive right to run a request with an idempotency key."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
     from leadseam.clock import Millis
 
 RETENTION: Millis = 24 * 3_600 * 1_000
+"""Time from its grant after which a claim expires."""
 MAX_STORED_BODY = 4_096
+"""Maximum size of a recorded answer's body, in bytes."""
 
 
 class Verdict(StrEnum):
-    """Answer to a claim."""
+    """Outcome of a claim command."""
 
     GRANTED = "granted"
     HELD = "held"
@@ -26,7 +28,14 @@
 
 
 class Acquire(Record, frozen=True, array_like=True, tag=1):
-    """Take a claim, or learn who holds it."""
+    """Acquires a claim for an owner.
+
+    Args:
+        account: Client account of the request.
+        key: Idempotency key of the request.
+        digest: Hash of the request, to detect a key that is used for another request.
+        owner: The run that is to hold the claim.
+    """
 
     account: str
     key: str
@@ -35,7 +44,7 @@
 
 
 class Complete(Record, frozen=True, array_like=True, tag=2):
-    """Record the answer of the owner's run."""
+    """Records the answer of the run that holds the claim."""
 
     account: str
     key: str
@@ -46,7 +55,7 @@
 
 
 class Release(Record, frozen=True, array_like=True, tag=3):
-    """Give up a claim whose request did not run."""
+    """Releases a claim whose request did not run."""
 
     account: str
     key: str
@@ -57,7 +66,14 @@
 
 
 class ClaimResult(Record, frozen=True, array_like=True):
-    """Outcome of one command; the last three are of a recorded answer."""
+    """Outcome of one command.
+
+    Args:
+        verdict: A `Verdict`.
+        status: Status of the recorded answer, 0 if there is none.
+        content_type: Content type of the recorded answer.
+        body: Body of the recorded answer.
+    """
 
     verdict: str
     status: int = 0
@@ -70,11 +86,11 @@
 
     Args:
         digest: Hash of the request.
-        owner: The run that holds it.
-        expires: Wall time at which it is forgotten.
+        owner: The run that holds the claim.
+        expires: Wall time at which the claim expires.
         status: Status of the recorded answer, 0 while there is none.
-        content_type: Its content type.
-        body: Its body.
+        content_type: Content type of the recorded answer.
+        body: Body of the recorded answer.
     """
 
     digest: int
@@ -87,10 +103,11 @@
 
 @dataclass(slots=True)
 class ClaimTable:
-    """All claims, by account and key, in order of expiry.
+    """All claims, by account and key.
 
     Args:
-        rows: Claims; a dict keeps the order of insertion, which is that of expiry.
+        rows: Claims in the order of their expiry: a dict keeps the order of insertion,
+            and all claims have the same retention.
     """
 
     rows: dict[tuple[str, str], ClaimRow]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on Idempotency-Keys."""
+"""The table of claims on idempotency keys: owners, recorded answers, expiry."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def acquire(owner: str, *, digest: int = 1) -> Acquire:
-    """Return a command for one key."""
+    """Return a command that acquires one fixed key."""
     return Acquire("tellers", "slip-1", digest, owner)
 
 
