--- a/src/leadseam/control/order_guard.py
+++ b/src/leadseam/control/order_guard.py
@@ -1,10 +1,11 @@
-"""Tells an operator's new order from a late copy of an earlier one. No I/O.
-
-An order may be sent again, to any replica, for a limited time after it was first sent,
-and says nothing of when that was. If a domain was evacuated and taken back within that
-time, one more evacuation may be a copy of the first, and a copy that is carried out
-would hold for good. Nobody can tell, so neither is carried out until the time is over.
-The caller is told to ask again; a copy is not asked for again.
+"""Detects orders that may be late copies of earlier ones. No I/O.
+
+An order may be resent to any replica for a limited time after it was first sent, and
+does not carry the time of its first send. If a domain was evacuated and restored within
+that time, another evacuation may be a late copy of the first, which would stay in
+effect if it were executed. New orders and copies can't be distinguished, so both are
+rejected until the time is over. The caller of a new order is asked to retry; a late
+copy has no caller that retries.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 
 
 class OrderGuard:
-    """When this replica has seen each order on a failure domain take effect.
+    """Records when this replica has seen each order on a failure domain take effect.
 
     Args:
-        resend_limit: Milliseconds for which an order may be sent again.
+        resend_limit: Milliseconds for which an order may be resent.
     """
 
     def __init__(self, resend_limit: Millis) -> None:
@@ -34,7 +35,10 @@
         return f"OrderGuard(domains={len(self._switches)})"
 
     def record_applied(self, rows: Iterable[EvacuationRow], now: Millis) -> None:
-        """Note the table as it is; what was missed counts as seen now."""
+        """Record the switches since the last call.
+
+        Where several were missed, orders in both directions count as seen now.
+        """
         for row in rows:
             missed = row.switches - self._switches.get(row.domain, 0)
             if missed > 0:
@@ -46,7 +50,7 @@
     def may_be_late(
         self, table: EvacuationTable, domain: str, evacuated: bool, now: Millis
     ) -> bool:
-        """Tell whether an order may be a copy of one that was undone since."""
+        """Return whether an order may be a late copy of one that was reverted since."""
         if table.row(domain).evacuated is evacuated:
             return False
         seen = self._seen_at.get((domain, evacuated))
