--- a/src/leadseam/control/operator_service.py
+++ b/src/leadseam/control/operator_service.py
@@ -1,4 +1,4 @@
-"""The operators' RPC on a control replica."""
+"""The operators' gRPC service of a control replica."""
 
 from __future__ import annotations
 
@@ -26,19 +26,20 @@
     from leadseam.runtime.metrics import ControlMetrics
 
 DEFAULT_HISTORY = 20
+"""Changes that `History` returns if the request sets no limit."""
 BEARER = "Bearer "
 
 T = TypeVar("T")
 
 
 class OperatorService(OperatorBase):
-    """Checks operators and hands their changes to the replica.
+    """Authenticates operators and submits their changes to the replica.
 
     Args:
-        replica: The replica beside it.
-        feed: Its subscribers.
+        replica: The replica in the same process.
+        feed: The feed, whose subscribers `Status` lists.
         operators: SHA-256 of each operator's token, by name.
-        metrics: Counters.
+        metrics: Metrics of the replica.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._metrics = metrics
 
     async def Apply(self, stream: Stream[pb.ApplyRequest, pb.ApplyReply]) -> None:
-        """Apply a change, all of it or nothing."""
+        """Apply all operations of a change or none."""
         operator = self._authenticate(stream)
         request = await _receive_request(stream)
         if not request.change_id:
@@ -74,7 +75,7 @@
         await stream.send_message(reply)
 
     async def Get(self, stream: Stream[pb.GetRequest, pb.Configuration]) -> None:
-        """Send the configuration in force."""
+        """Send the newest configuration."""
         self._authenticate(stream)
         await _receive_request(stream)
         await self._catch_up()
@@ -82,7 +83,7 @@
         await stream.send_message(configuration_to_message(configuration))
 
     async def History(self, stream: Stream[pb.HistoryRequest, pb.HistoryReply]) -> None:
-        """Send accepted changes, the newest first."""
+        """Send accepted changes, newest first."""
         self._authenticate(stream)
         request = await _receive_request(stream)
         await self._catch_up()
@@ -101,7 +102,7 @@
         await stream.send_message(pb.HistoryReply(rows=rows))
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusReply]) -> None:
-        """Describe this replica; answers without a quorum too."""
+        """Send the status of this replica, which needs no quorum."""
         self._authenticate(stream)
         await _receive_request(stream)
         await stream.send_message(self._describe())
@@ -128,7 +129,11 @@
         )
 
     async def _catch_up(self) -> None:
-        """Have reads show every change that was acknowledged before."""
+        """Wait until this replica has applied every change acknowledged before.
+
+        Raises:
+            GRPCError: If no quorum confirms which change is the newest.
+        """
         if not await self._replica.catch_up():
             raise GRPCError(Status.UNAVAILABLE, "no quorum confirmed what is newest")
 
