--- a/src/leadseam/control/routes.py
+++ b/src/leadseam/control/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which callers' requests go to which pools, and under what limits."""
+"""Routes: which pools serve which requests, and under what limits."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class Repeat(StrEnum):
-    """How often a request may run."""
+    """Whether a request may run more than once (`SAFE`) or not (`ONCE`)."""
 
     SAFE = "safe"
     ONCE = "once"
 
 
 class ReplyForm(StrEnum):
-    """What an answer looks like."""
+    """Form of an answer: a whole body, or a stream of events."""
 
     WHOLE = "whole"
     EVENTS = "events"
 
 
 class PoolShare(msgspec.Struct, frozen=True):
-    """Part of a route's requests that goes to one pool.
+    """Share of a route's requests that is sent to one pool.
 
     Args:
         pool: Name of the pool.
-        weight: Weight against the route's other pools; 0 sends nothing.
+        weight: Weight relative to the route's other pools; 0 sends nothing.
     """
 
     pool: str
@@ -38,22 +38,23 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """One route; the longest matching prefix of a host wins.
+    """A route. Of a host's routes, the one with the longest matching prefix is used.
 
     Args:
         name: Name, unique in a configuration.
-        host: Host name that callers address.
-        prefix: Start of the path; begins and ends with a slash.
-        pools: Where requests go.
+        host: Host name in the callers' requests.
+        prefix: Prefix of the path, which begins and ends with a slash.
+        pools: Pools that serve the requests, with their weights.
         repeat: Whether a request may run more than once.
         reply: Form of the answer.
-        resumable: Whether a broken event stream may go on at another upstream.
-        max_attempts: Upstreams that one request may run on.
-        time_limit: Milliseconds after which a request is given up.
+        resumable: Whether another upstream may continue a broken event stream.
+        max_attempts: Maximum number of upstreams that one request may run on.
+        time_limit: Time limit of a request, in milliseconds.
         latency_objective: Milliseconds within which the first byte is in time.
-        max_pause: Longest pause between events in time, in ms; 0 for no such limit.
-        priority: Rank, 0 is the most urgent.
-        anonymous: Whether a request without a key is taken.
+        max_pause: Longest pause between events that is in time, in milliseconds; 0 for
+            no limit.
+        priority: Priority; 0 is the most urgent.
+        anonymous: Whether requests without a key are accepted.
         regions: Regions in which requests may be served; empty allows all.
     """
 
@@ -79,14 +80,15 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what a caller may send, and the pools' token capacity.
+    """Limits on callers' requests, and the token capacity of all engines.
 
     Args:
-        header_bytes: Largest request head.
-        body_bytes: Largest request body.
-        header_timeout: Milliseconds in which a head must have arrived.
-        idle_timeout: Milliseconds that an idle connection is kept.
-        tokens_per_s: Tokens a second that all engines make together; 0 if unknown.
+        header_bytes: Maximum size of a request's head, in bytes.
+        body_bytes: Maximum size of a request's body, in bytes.
+        header_timeout: Milliseconds within which a head must arrive.
+        idle_timeout: Milliseconds for which an idle connection is kept open.
+        tokens_per_s: Tokens per second that all engines generate together; 0 if
+            unknown.
     """
 
     header_bytes: int = 16_384
@@ -97,12 +99,12 @@
 
 
 class EngineProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """What an operator states about the engines of a pool.
+    """Properties of a pool's engines, as stated by the operator.
 
     Args:
-        slots: Requests that one engine runs in a batch.
-        memory_tokens: Tokens that fit into its KV cache.
-        tokens_per_event: Tokens in one event of a stream.
+        slots: Maximum number of requests in one engine's batch.
+        memory_tokens: Number of tokens that fit into an engine's KV cache.
+        tokens_per_event: Number of tokens in one event of a stream.
     """
 
     slots: int
@@ -111,7 +113,7 @@
 
 
 def route_faults(routes: Iterable[Route], pools: Collection[str]) -> list[str]:
-    """Name everything that is wrong with routes, one line each."""
+    """Validate routes and return one line for each fault."""
     found: list[str] = []
     places: dict[tuple[str, str], str] = {}
     for route in routes:
