--- a/src/leadseam/control/desired.py
+++ b/src/leadseam/control/desired.py
@@ -1,4 +1,4 @@
-"""Files of operators: a desired configuration, and the change that leads to it."""
+"""Operators' files: the desired configuration, and the operations that create it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Desired(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file says; a section that it leaves out stays as it is."""
+    """Content of a file. A section that the file omits is not changed."""
 
     accounts: tuple[Account, ...] | None = None
     pools: tuple[Pool, ...] | None = None
@@ -33,16 +33,21 @@
     never_repeat: tuple[NeverRepeat, ...] | None = None
 
     def section(self, section: Section) -> Sequence[ConfigRecord] | None:
-        """Return the rows of a section, or None if the file leaves it out."""
+        """Return the rows of a section, or None if the file omits it."""
         rows: Sequence[ConfigRecord] | None = getattr(self, section.value)
         return rows
 
 
 def parse_desired(data: object, name: str) -> Desired:
-    """Check the content of a file.
+    """Validate the content of a file.
+
+    Args:
+        data: The parsed YAML or JSON.
+        name: Name of the file, for the error message.
 
     Raises:
-        SettingsError: With file, key path and what was expected.
+        SettingsError: If it is invalid; names the file, the key path and what was
+            expected.
     """
     try:
         return msgspec.convert(data, Desired)
@@ -51,7 +56,7 @@
 
 
 def difference(current: Configuration, desired: Desired) -> tuple[Operation, ...]:
-    """Return the operations that lead from one to the other."""
+    """Return the operations that turn the current configuration into the desired."""
     operations: list[Operation] = []
     for section in Section:
         rows = desired.section(section)
@@ -65,7 +70,7 @@
 
 
 def describe(operations: Sequence[Operation], current: Configuration) -> list[str]:
-    """Return one line for each operation, for a person."""
+    """Return a readable line for each operation."""
     return [_describe_one(operation, current) for operation in operations]
 
 
