--- a/src/leadseam/control/__init__.py
+++ b/src/leadseam/control/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated configuration and claims: consensus, storage, feed, operators' RPC."""
+"""The control group: replicated configuration and claims, and the operators' RPC."""
--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -1,4 +1,4 @@
-"""The control program: a replica, its feed, the operators' RPC and admin routes."""
+"""The control process: a replica, its feed, the operators' RPC and the admin routes."""
 
 from __future__ import annotations
 
@@ -30,33 +30,34 @@
 
 
 def open_folder(settings: ControlSettings, *, bootstrap: bool) -> str:
-    """Format the data folder if it is empty.
+    """Initialize the data folder if it is empty.
 
     Args:
-        settings: The settings.
-        bootstrap: Whether to bootstrap a new group, rather than join one.
+        settings: Settings of the process.
+        bootstrap: Whether to bootstrap a new group rather than join one.
 
     Returns:
         The replica's identity.
 
     Raises:
-        StorageError: If the folder cannot be used, or `bootstrap` meets a used one.
+        StorageError: If the folder cannot be used, or if `bootstrap` is set and the
+            folder is already in use.
     """
     folder = Path(settings.data_dir)
     known = read_identity(folder)
     if known is not None and bootstrap:
-        raise StorageError(f"{folder}: holds {known}; cannot found a group again")
+        raise StorageError(f"{folder}: holds {known}; cannot bootstrap a group again")
     initial_members = tuple(settings.replicas) if bootstrap else ()
     return prepare_folder(folder, settings.identity.node, founders=initial_members)
 
 
 class ControlProgram:
-    """One control replica and everything it serves.
+    """A control replica and all services of its process.
 
     Args:
-        settings: Its settings.
-        bootstrap: Whether to bootstrap a new group on an empty folder.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the process.
+        bootstrap: Whether to bootstrap a new group with an empty data folder.
+        clock: Source of time. Defaults to the system clock.
     """
 
     def __init__(
@@ -115,11 +116,14 @@
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
-        """Nothing is in flight for long; the group is told that this box stops."""
+        """Notify the group that this replica stops.
+
+        Requests take too little time here to wait for them.
+        """
         await self.replica.leave()
 
     async def stop(self) -> None:
-        """Release all sockets and the disk."""
+        """Close all sockets and the storage."""
         self._operator.close()
         if self._links is not None:
             self._links.close()
