--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -1,4 +1,4 @@
-"""A node's side of the feed: its configuration, and what replicas tell it besides."""
+"""Client of the control feed: receives the configuration, registrations and loads."""
 
 from __future__ import annotations
 
@@ -46,34 +46,36 @@
     from leadseam.wire.traffic import Traffic
 
 SILENCE_LIMIT: Millis = 2_000
-"""Silence of a replica after which another one is followed: four feed heartbeats."""
+"""Time without a message after which another replica is followed: four feed
+heartbeats."""
 MAX_RECONNECT_DELAY: Millis = 800
-"""Longest pause before another replica is tried."""
+"""Maximum delay before another replica is tried."""
 FRESH_LIMIT: Millis = 2_000
-"""Age of a confirmation beyond which nothing is called absent: four feed heartbeats."""
+"""Maximum age of a confirmation with which something may be reported as absent: four
+feed heartbeats."""
 
 log = logging.getLogger(__name__)
 
 
 class FeedClient:
-    """Follows the configuration through one or more replicas at a time.
+    """Follows the feed of one or more control replicas.
 
     Args:
         node: Name of this process.
-        incarnation: Its incarnation.
-        endpoints: Inner addresses of the control replicas known at the start.
+        incarnation: Incarnation of this process.
+        endpoints: Internal addresses of the control replicas known at the start.
         clock: Source of time.
-        traffic: Bytes on inner links.
-        on_change: Called with each configuration put in force.
-        width: Replicas followed at once. Defaults to 1.
-        view: Where registered upstreams are noted. Defaults to an unused one.
-        address_of: Returns the inner address of a control box by its name, or None.
-        on_sums: Called with the sums of all entries' loads, and with the number of the
-            own report in them.
-        on_restarts: Called with incarnations of upstreams that are over, as a later
-            start of theirs is known.
-        on_crashes: Called with what others know of requests that end upstreams.
-        greeting: Returns what a replica has to know that is followed anew, or None.
+        traffic: Counter of bytes on internal links.
+        on_change: Called with each configuration that is put in force.
+        width: Number of replicas to follow at once. Defaults to 1.
+        view: View that registered upstreams are added to. Defaults to an unused one.
+        address_of: Returns the internal address of a control box by its name, or None.
+        on_sums: Called with the sequence number of the node's own report that the sums
+            include, and with the sums of all entries' loads.
+        on_restarts: Called with incarnations of upstreams that have ended, as a later
+            start of the same upstream is known.
+        on_crashes: Called with reports of requests that crash upstreams.
+        greeting: Returns the message to send to a newly followed replica, or None.
     """
 
     def __init__(
@@ -100,7 +102,7 @@
         self.view = view or UpstreamView()
         self._node = node
         self._incarnation = incarnation
-        # Shuffled, so that the nodes of a fleet do not all try the same one first.
+        # Shuffled, so that the nodes of a fleet don't all try the same replica first.
         self._directory = ReplicaDirectory(random.sample(endpoints, len(endpoints)))
         self._clock = clock
         self._traffic = traffic
@@ -124,7 +126,7 @@
 
     @property
     def version(self) -> int:
-        """Version in force here; 0 before the first."""
+        """Version of the configuration in force; 0 before the first one."""
         return self.configuration.version
 
     @property
@@ -134,19 +136,19 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether what is absent from the configuration may be called absent."""
+        """Whether the configuration is recent enough to report something as absent."""
         return self.confirmed and self.age < FRESH_LIMIT
 
     async def first_configuration(self) -> None:
-        """Wait until there is one in force."""
+        """Wait until a configuration is in force."""
         await self._configured.wait()
 
     def set_seeds(self, endpoints: Iterable[Endpoint]) -> None:
-        """Take the replicas of new settings; a link that is open is not cut."""
+        """Set the replicas named in the settings. Open links are kept."""
         self._directory.set_seeds(endpoints)
 
     async def run(self) -> None:
-        """Follow the feed until cancelled, changing replica after a failure."""
+        """Follow the feed until cancelled, switching replicas after failures."""
         async with asyncio.TaskGroup() as group:
             for _ in range(self._width):
                 group.create_task(self._keep_following())
@@ -171,7 +173,7 @@
             self.view.disconnected(replica, self._clock.now())
 
     def report(self, report: LoadReport) -> None:
-        """Send a load report to the replica that adds them up."""
+        """Send a load report to the replica that aggregates the reports."""
         links = {name: link for link, name in self._names.items()}
         before = self._aggregator.chosen
         for name in self._aggregator.targets(links, self._clock.now()):
@@ -181,7 +183,7 @@
             log.info("loads are added up by another replica", extra=extra)
 
     def broadcast(self, message: AnyMessage) -> None:
-        """Send a message to all replicas that are followed."""
+        """Send a message to all followed replicas."""
         for link in self._links:
             link.send(message)
 
@@ -222,7 +224,7 @@
             if isinstance(message, Replicas):
                 self._update_members(endpoint, message)
             if isinstance(message, Current) and message.version > self.version:
-                # A delta went missing: subscribe again from what is held.
+                # A delta was lost: subscribe again from the version in force.
                 return
 
     def _subscription(self) -> Subscribe:
@@ -232,7 +234,8 @@
     def _handle(self, link: Link, replica: str, message: AnyMessage) -> None:
         match message:
             case Snapshot(version=version, data=data):
-                # Several replicas may send one; to decode it takes milliseconds.
+                # Several replicas may send the same snapshot, and decoding one takes
+                # milliseconds.
                 if version > self.version:
                     self._put_in_force(link, decode(data, Configuration))
             case Delta(version=version, data=data) if version == self.version + 1:
@@ -304,7 +307,7 @@
         self._on_change(candidate)
         self._configured.set()
         for follower in {link, *self._links}:
-            # Those that have not sent it yet need not.
+            # Replicas that have not sent this version yet then need not send it.
             follower.send(InForce(candidate.version, self._clock.now()))
         extra = {
             "version": candidate.version,
--- a/tests/feed/samples.py
+++ b/tests/feed/samples.py
@@ -1,4 +1,4 @@
-"""A feed of an entry that follows nobody yet."""
+"""A feed client of an entry that is not connected to any replica yet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_feed(clock: Clock) -> FeedClient:
-    """Return the feed of one entry, with one replica that it may follow."""
+    """Return the feed client of an entry that knows one replica."""
     return FeedClient(
         node="entry-1",
         incarnation=1,
--- a/tests/feed/test_client.py
+++ b/tests/feed/test_client.py
@@ -1,4 +1,4 @@
-"""What a node says of its configuration before and after a replica has confirmed it."""
+"""Age and freshness of a node's configuration before and after its confirmation."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.feed.samples import make_feed
 
 
-class Hand:
-    """A clock that is moved by hand."""
+class SettableClock:
+    """A clock whose time is set by the test."""
 
     def __init__(self) -> None:
         self.time: Millis = 16_000_000
@@ -17,7 +17,7 @@
         return self.time
 
     def running(self) -> Millis:
-        """Return the same: nothing is ever suspended here."""
+        """Return the same time, as nothing is ever suspended here."""
         return self.now()
 
     def wall(self) -> Millis:
@@ -25,7 +25,7 @@
 
 
 def test_an_age_is_told_only_once_a_replica_has_confirmed_something() -> None:
-    clock = Hand()
+    clock = SettableClock()
     feed = make_feed(clock)
     assert (feed.age, feed.fresh) == (-1, False)
     feed.confirmed = True
