--- a/src/leadseam/feed/configuration_push.py
+++ b/src/leadseam/feed/configuration_push.py
@@ -1,8 +1,9 @@
-"""What a replica sends of the configuration to those who follow it.
+"""Sends a replica's configuration to its subscribers.
 
-Nodes follow every replica. If each of five sent each version, a node would get it five
-times. So for each node one replica is first, by rendezvous hashing, and the others send
-only what the node has not told to be in force some time later.
+Nodes follow every replica. If each of five replicas sent each version, a node would
+receive it five times. So each node has a primary replica, selected by rendezvous
+hashing, which sends at once; the others send a version later, and only if the node has
+not reported it as in force by then.
 """
 
 from __future__ import annotations
@@ -25,24 +26,24 @@
     from leadseam.wire.link import Link
 
 PRIMARY_HEAD_START: Millis = 150
-"""Time that the first replica has before the others send too: some round trips and
-turns of a busy node's loop, and below a tenth of the least time in which operators want
-a change in force (2 s)."""
+"""Time after which the other replicas send what the primary replica has not. It covers
+some round trips and iterations of a busy node's event loop, and is below a tenth of the
+shortest time within which operators expect a change to be in force (2 s)."""
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """A node on the feed.
+    """A node that is subscribed to the feed of this replica.
 
     Args:
-        number: Its number at this replica.
-        node: Its name.
-        link: Its link.
-        sent: Highest version sent.
-        in_force: Highest version that it reported, from whichever replica it came.
-        clock: Its clock from its last report.
-        replicas: Names of the control boxes that it was last told.
-        alone: Whether it follows no other replica.
+        number: Number of the subscription at this replica.
+        node: Name of the node.
+        link: Link to the node.
+        sent: Highest version sent to it.
+        in_force: Highest version that it reported, whichever replica sent it.
+        clock: Time of the node's clock in its last report.
+        replicas: Names of the control boxes that were last sent to it.
+        single_replica: Whether it follows no other replica.
     """
 
     number: int
@@ -56,16 +57,16 @@
 
     @property
     def known_version(self) -> int:
-        """Highest version that it has or that is on its way."""
+        """Highest version that the node has or that was sent to it."""
         return max(self.sent, self.in_force)
 
 
 class ConfigurationPush:
-    """Sends subscribers what they lack, if this replica may speak for the fleet.
+    """Sends subscribers the versions they lack, if this replica is current.
 
     Args:
         replica: Source of the configuration.
-        metrics: Counters.
+        metrics: Metrics of the replica.
     """
 
     def __init__(self, replica: Replica, metrics: ControlMetrics) -> None:
@@ -77,7 +78,7 @@
         return f"ConfigurationPush(snapshot={self._snapshot.version})"
 
     def is_primary_for(self, subscriber: Subscriber) -> bool:
-        """Tell whether this replica sends a subscriber a change before the others."""
+        """Return whether this is the primary replica of a subscriber."""
         if subscriber.single_replica:
             return True
         own = base_name(self._replica.raft.identity)
@@ -86,7 +87,7 @@
         return bool(own == first)
 
     def send(self, subscriber: Subscriber) -> None:
-        """Send what a subscriber lacks, if this replica is current."""
+        """Send a subscriber the versions it lacks, if this replica is current."""
         state = self._replica.state
         version = state.configuration.version
         if subscriber.known_version >= version or not self._replica.is_current():
@@ -103,7 +104,8 @@
     def _snapshot_of(self, configuration: Configuration) -> Snapshot:
         """Return a snapshot, encoded once for all subscribers.
 
-        Nodes do not need the operators' document that it was read from, half of it.
+        The operators' document that the configuration was parsed from is left out:
+        nodes don't need it, and it is half of the size.
         """
         if self._snapshot.version != configuration.version:
             bare = msgspec.structs.replace(configuration, document=b"")
--- a/tests/feed/test_configuration_push.py
+++ b/tests/feed/test_configuration_push.py
@@ -1,10 +1,10 @@
-"""A change of the configuration goes to each node once, not once for each replica.
+"""A change of the configuration is sent to each node once, not once by each replica.
 
-A day of 54 s on 68 entries and five control boxes moved 0.52 GB between failure
-domains. Every replica sent each of some 30 changes to every entry, with the operators'
-document that no entry reads; it was encoded for each entry, and decoded five times
-there. Before: five snapshots for a node and change. After: one, if the replica that is
-first for it is up.
+Guards against needless traffic: every replica sent each of some 30 changes to every
+entry, including the operators' document, which no entry reads. Each snapshot was
+encoded for each entry and decoded five times there. A benchmark day of 54 s with 68
+entries and five control boxes moved 0.52 GB between failure domains. Now a node gets
+one snapshot for each change instead of five, if its primary replica is up.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass
 class FakeReplica:
-    """A replica with a state of its own that is current unless told otherwise."""
+    """A replica with its own state, which is current unless the test changes that."""
 
     raft: FakeRaft
     members: set[str] = field(default_factory=lambda: set(BOXES))
@@ -61,7 +61,7 @@
 
 
 class Box:
-    """One control box with the subscribers of all entries."""
+    """A control box with one subscriber for each entry."""
 
     def __init__(self, name: str, *, single_replica: bool = False) -> None:
         self.replica = FakeReplica(FakeRaft(f"{name}#first"))
@@ -81,13 +81,13 @@
         self.replica.state.apply(Replace(new))
 
     def send_as_primary(self) -> None:
-        """Send to those for whom this box is first."""
+        """Send to the subscribers whose primary replica is this box."""
         for subscriber in self.subscribers:
             if self.push.is_primary_for(subscriber):
                 self.push.send(subscriber)
 
     def send_to_all(self) -> None:
-        """Send to all that lack something."""
+        """Send to all subscribers that lack a version."""
         for subscriber in self.subscribers:
             self.push.send(subscriber)
 
@@ -97,7 +97,7 @@
 
 
 def report_in_force(boxes: list[Box], version: int) -> None:
-    """Let the entries that got a version tell every box."""
+    """Have the entries that received a version report it to every box."""
     for number in range(ENTRIES):
         if any(box.links[number].sent for box in boxes):
             for box in boxes:
@@ -110,7 +110,7 @@
         box.change(7)
         box.send_as_primary()
     assert sum(box.sent for box in boxes) == ENTRIES
-    # No box has to send to all.
+    # The entries are spread over the boxes: none serves them all.
     assert max(box.sent for box in boxes) <= 24
     report_in_force(boxes, 7)
     for box in boxes:
