--- a/src/leadseam/feed/crash_server.py
+++ b/src/leadseam/feed/crash_server.py
@@ -1,9 +1,10 @@
-"""The replica's part in knowing requests that end upstreams.
+"""Detection of requests that crash upstreams, at a replica.
 
-Entries tell every replica they follow. A replica merges what it hears and tells entries
-of a request once a second upstream has ended under it; the third one convicts it. That
-needs no quorum. A verdict is written to the log besides, so that it outlives the loss
-of power everywhere: it is rare, so the write costs nothing that matters.
+Entries report ended upstreams to every replica they follow. A replica merges the
+reports, and notifies entries of a request once two upstreams have ended while running
+it; with the third one the request is convicted. That needs no quorum. A verdict is also
+written to the log, so that it survives a power loss of all boxes. Verdicts are rare, so
+the cost of the write is negligible.
 """
 
 from __future__ import annotations
@@ -30,27 +31,28 @@
     from leadseam.wire.crashes import CrashRow
 
 REPORT_THRESHOLD = 2
-"""Ends from which on entries are told. Of an end, nearly all that ran there end well at
-their next attempt, so telling all entries of each would be waste."""
+"""Number of ended upstreams from which on a request is reported to entries. Nearly all
+requests that were running on an upstream that ended succeed at their next attempt, so
+reporting each of them to all entries would be wasteful."""
 FOLLOWER_DELAY: Millis = 300
-"""Time that the leader has to write a verdict before the others ask it to."""
+"""Time for the leader to write a verdict before the followers ask it to."""
 VERDICT_LIFETIME: Millis = 3_600_000
-"""Time after which a verdict is lifted, counted by whoever leads since it knows of it.
-A request that is innocent after all, or whose upstreams were mended, is served again;
-one that is not crashes three more upstreams an hour."""
+"""Time after which the leader lifts a verdict, counted from when that replica first
+has it. A request that was convicted wrongly, or whose upstreams were fixed, is served
+again then; any other crashes three more upstreams an hour."""
 RETRY_DELAY: Millis = 200
-"""Pause after a write that no quorum has confirmed."""
+"""Delay after a write that no quorum has confirmed."""
 
 log = logging.getLogger(__name__)
 
 
 class CrashServer:
-    """Merges what entries have seen, and tells them.
+    """Merges entries' reports of ended upstreams, and notifies entries of the result.
 
     Args:
-        replica: Where verdicts are written.
+        replica: Replica that commits verdicts.
         clock: Source of time.
-        metrics: Where the number of verdicts is shown.
+        metrics: Metrics, for the number of verdicts.
         broadcast: Sends a message to all subscribers.
     """
 
@@ -74,33 +76,33 @@
         return f"CrashServer({self._table!r})"
 
     def greeting(self) -> Crashes | None:
-        """Return what a new subscriber has to know, or None."""
+        """Return the message for a new subscriber, or None if there is none."""
         self._merge(self._replica.state.crashes.rows())
         rows = tuple(row for row in self._table.rows() if _is_reportable(row))
         return Crashes(rows) if rows else None
 
     def receive(self, message: Crashes) -> None:
-        """Merge what an entry has seen, and tell the others what is news."""
+        """Merge an entry's report, and notify all entries of changes."""
         self._publish(self._merge(message.rows))
 
     def on_applied(self) -> None:
-        """Tell entries of verdicts that have come through the log."""
+        """Notify entries of verdicts that were committed in the log."""
         if self._replica.state.crashes.changes == self._applied_changes:
             return
         self._applied_changes = self._replica.state.crashes.changes
         self._publish(self._merge(self._replica.state.crashes.rows()))
 
     def verdicts(self) -> tuple[CrashRow, ...]:
-        """Return the requests that are refused, as far as this replica knows."""
+        """Return the requests that are refused according to this replica."""
         self._merge(self._replica.state.crashes.rows())
         return tuple(filter(evidence.convicts, self._table.rows()))
 
     async def lift(self, fingerprint: Fingerprint) -> bool:
-        """Let nothing that is known so far count against a request.
+        """Void all evidence against a request so far.
 
         Returns:
-            Whether that is written; if not, entries hear of it all the same, and it is
-            written later.
+            Whether that is committed. If not, entries are notified all the same, and it
+            is written later.
         """
         row = self._table.void(fingerprint, self._clock.now())
         if row is None:
@@ -110,7 +112,7 @@
         return await self._replica.submit(RecordCrashes((row,))) is not None
 
     def expire(self) -> None:
-        """Forget suspects of long ago, and lift verdicts that are old."""
+        """Drop old suspects, and lift old verdicts if this replica leads."""
         now = self._clock.now()
         self._table.fade(now)
         current = {row.fingerprint for row in self.verdicts()}
@@ -142,7 +144,7 @@
         log.info("verdict written", extra=extra)
 
     def _merge(self, rows: Iterable[CrashRow]) -> tuple[CrashRow, ...]:
-        """Merge rows and return those that are news."""
+        """Merge rows and return those that changed the table."""
         now = self._clock.now()
         merged = (self._table.merge(row, now) for row in rows)
         return tuple(row for row in merged if row is not None)
@@ -164,7 +166,7 @@
         self._wake.set()
 
     def _unwritten(self) -> tuple[CrashRow, ...]:
-        """Return verdicts, and what voids them, that the log does not hold yet."""
+        """Return rows whose verdict, or the lifting of it, is not in the log yet."""
         written = self._replica.state.crashes
         return tuple(
             row
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -1,4 +1,4 @@
-"""What a replica tells of requests that end upstreams, and what it writes."""
+"""What a replica reports of requests that crash upstreams, and what it writes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Box:
-    """A replica that commits at once, where it has a quorum."""
+    """A replica that commits at once while it has a quorum."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -38,7 +38,7 @@
 
 
 class Fixture:
-    """A replica's part, and what it has told."""
+    """A crash server, and the messages that it has sent."""
 
     def __init__(self) -> None:
         self.box = Box()
@@ -52,7 +52,7 @@
         )
 
     async def settle(self) -> None:
-        """Let it write."""
+        """Let the server write its verdicts."""
         task = asyncio.create_task(self.server.run())
         for _ in range(10):
             await asyncio.sleep(0)
@@ -120,7 +120,7 @@
     assert one.sent[-1] == Crashes((lifted,))
     assert one.server.verdicts() == ()
     assert not one.box.state.crashes.convicts(DEADLY.fingerprint)
-    # An entry that has not heard of it repeats what it knows.
+    # An entry that was not notified of it yet repeats its report.
     one.server.receive(Crashes((make_row(1, 2, 3),)))
     assert one.server.verdicts() == ()
     assert await one.server.lift("unknown")
