--- a/src/leadseam/feed/evacuation_server.py
+++ b/src/leadseam/feed/evacuation_server.py
@@ -1,4 +1,4 @@
-"""The replica's part in evacuating failure domains: takes orders, tells entries."""
+"""Evacuation of failure domains at a replica: executes orders and notifies entries."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
     from leadseam.runtime.metrics import ControlMetrics
 
 RESEND_LIMIT: Millis = 5_000
-"""Time for which operators may send an order again, where the settings give none."""
+"""Default of the time for which operators may resend an order."""
 
 log = logging.getLogger(__name__)
 
 
 class OrderStatus(Enum):
-    """What became of an operator's order."""
+    """Outcome of an operator's order."""
 
     TAKEN = auto()
-    """The domain is as ordered; that is committed."""
+    """The domain is in the ordered state, and that is committed."""
     TOO_MANY_DOMAINS = auto()
-    """There is no room for one more failure domain."""
+    """The table of failure domains is full."""
     MAY_BE_LATE = auto()
-    """It may be a late copy of an order that was undone since."""
+    """The order may be a late copy of one that was reverted since."""
     OVERTAKEN = auto()
-    """Another order came first; the caller may ask again."""
+    """Another order was committed first; the caller may retry."""
     NOT_COMMITTED = auto()
-    """No quorum has confirmed it in time."""
+    """No quorum has confirmed the order in time."""
 
 
 class EvacuationServer:
-    """Evacuations at one replica.
+    """Executes orders on failure domains, and notifies entries of evacuations.
 
     Args:
         replica: Source of the committed table.
         clock: Source of time.
-        metrics: Where the number of evacuated domains is shown.
+        metrics: Metrics, for the number of evacuated domains.
         broadcast: Sends a message to all subscribers.
-        resend_limit: Milliseconds for which operators may send an order again.
+        resend_limit: Milliseconds for which operators may resend an order.
     """
 
     def __init__(
@@ -76,15 +76,15 @@
         return self._replica.state.evacuations
 
     def rows(self) -> tuple[EvacuationRow, ...]:
-        """Return what is committed, as far as this replica knows."""
+        """Return the committed rows that this replica has applied."""
         return self._table.rows()
 
     def greeting(self) -> Evacuated | None:
-        """Return what a new subscriber has to know, or None."""
+        """Return the message for a new subscriber, or None if there is none."""
         return self._message() if self._table.revision else None
 
     def on_applied(self) -> None:
-        """Tell entries of a switch that was committed since the last call."""
+        """Notify entries of switches that were committed since the last call."""
         table = self._table
         if table.revision <= self._sent_revision:
             return
@@ -102,12 +102,13 @@
         evacuated: bool,
         submit: Callable[[Command], Awaitable[CommandResult | None]],
     ) -> OrderStatus:
-        """Carry out an operator's order.
+        """Execute an operator's order.
 
         Args:
             domain: Name of the failure domain.
-            evacuated: Whether it is evacuated or taken back.
-            submit: Has a command committed, within the time that callers wait.
+            evacuated: Whether to evacuate it (True) or to restore it (False).
+            submit: Commits a command; returns None if that fails within the time that
+                callers wait.
         """
         self.on_applied()
         status = await self._execute(domain, evacuated, submit)
