--- a/src/leadseam/feed/evacuation_routes.py
+++ b/src/leadseam/feed/evacuation_routes.py
@@ -1,7 +1,7 @@
-"""Admin routes of a control box on evacuated failure domains.
+"""Admin routes of a control box for evacuated failure domains.
 
-Anybody in the network may read them, as metrics. Orders are taken from the control box
-itself only.
+Like metrics, the list may be read from anywhere in the network. Orders are accepted
+only from the control box itself.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     """Return the routes.
 
     Args:
-        service: Carries orders out.
-        feed: What this replica knows.
-        own_ip: Address of this box; others may not give orders.
+        service: Service that executes orders.
+        feed: Feed server of this replica, which has the rows and the entries' loads.
+        own_ip: IP address of this box, from which orders are accepted.
     """
 
     async def show(_: web.Request) -> web.Response:
@@ -67,11 +67,11 @@
 
 
 def to_json(row: EvacuationRow, requests: int | None) -> dict[str, Any]:
-    """Return what operators see of a failure domain.
+    """Return a failure domain in the form that operators receive.
 
     Args:
-        row: The failure domain.
-        requests: Requests still under way there, or None if that is not known.
+        row: Row of the failure domain.
+        requests: Number of requests still in progress there, or None if unknown.
     """
     return {
         "domain": row.domain,
