--- a/src/leadseam/feed/verdict_routes.py
+++ b/src/leadseam/feed/verdict_routes.py
@@ -1,7 +1,8 @@
-"""Admin routes of a control box on requests that crash upstreams.
+"""Admin routes of a control box for requests that crash upstreams.
 
-Anybody in the network may read them, as metrics. A verdict is lifted from the control
-box itself only: whoever may do that can have a request crash three more upstreams.
+Like metrics, the list may be read from anywhere in the network. A verdict may be lifted
+only from the control box itself, as that allows a request to crash three more
+upstreams.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
     """Return the routes.
 
     Args:
-        crashes: What this replica knows.
-        own_ip: Address of this box; others may not lift anything.
+        crashes: The verdicts known to this replica.
+        own_ip: IP address of this box, from which verdicts may be lifted.
     """
 
     async def show(_: web.Request) -> web.Response:
@@ -41,16 +42,21 @@
 
 
 def is_from_own_box(remote: str, own_ip: str) -> bool:
-    """Tell whether a connection comes from the box itself."""
+    """Return whether a connection comes from the box itself.
+
+    Args:
+        remote: IP address of the connection's peer, or empty if it has none.
+        own_ip: IP address of this box.
+    """
     try:
         return remote == own_ip or ipaddress.ip_address(remote).is_loopback
     except ValueError:
-        # No address of an internet connection.
+        # The peer has no IP address, as with a Unix socket.
         return False
 
 
 def to_json(row: CrashRow) -> dict[str, Any]:
-    """Return what operators see of a request: neither its body nor a key."""
+    """Return a verdict in the form that operators receive, without body and key."""
     return {
         "fingerprint": row.fingerprint,
         "account": row.account,
--- a/tests/feed/test_verdict_routes.py
+++ b/tests/feed/test_verdict_routes.py
@@ -1,4 +1,4 @@
-"""What operators see of a verdict, and from where they may lift it."""
+"""What the list of verdicts contains, and from where a verdict may be lifted."""
 
 from __future__ import annotations
 
