--- a/src/leadseam/feed/claim_server.py
+++ b/src/leadseam/feed/claim_server.py
@@ -1,4 +1,4 @@
-"""The replica's side of claims: commits them in batches and answers subscribers."""
+"""Server of claims: commits claim commands in batches and replies to subscribers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from leadseam.wire.link import Link
 
 MAX_CLAIM_BATCH = 256
-"""Claims in one log entry."""
+"""Maximum number of claim commands in one log entry."""
 
 
 @dataclass(slots=True)
@@ -27,11 +27,13 @@
 
 
 class ClaimServer:
-    """Commits claims in batches: one in flight, the next one collecting.
+    """Commits claim commands in batches.
+
+    One batch is in flight at a time; commands that arrive meanwhile form the next.
 
     Args:
-        replica: Where to submit.
-        metrics: Counters.
+        replica: Replica that commits the commands.
+        metrics: Metrics of the replica.
     """
 
     def __init__(self, replica: Replica, metrics: ControlMetrics) -> None:
@@ -50,7 +52,7 @@
     async def handle(
         self, link: Link, message: Claim | ClaimDone | ClaimRelease
     ) -> None:
-        """Commit what a subscriber asks for, and answer a claim on its link."""
+        """Commit a subscriber's command; a claim is answered on its link."""
         match message:
             case Claim():
                 await self._acquire(link, message)
