--- a/src/leadseam/feed/claim_client.py
+++ b/src/leadseam/feed/claim_client.py
@@ -1,4 +1,4 @@
-"""A node's side of claims: asks replicas for the sole right to run a request."""
+"""Client of claims: requests the exclusive right to run a request from replicas."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     from leadseam.wire.link import Link
 
 CLAIM_TIMEOUT: Millis = 4_000
-"""Time after which a claim without an answer is given up."""
+"""Time without a reply after which a claim fails."""
 CLAIM_RESEND: Millis = 1_000
-"""Time after which a claim is sent to another replica."""
+"""Time without a reply after which a claim is sent to another replica."""
 
 
 class ClaimClient:
@@ -25,8 +25,8 @@
 
     Args:
         clock: Source of time.
-        links: Links to the replicas, kept up to date by their owner; claims change
-            their order.
+        links: Links to the replicas. The owner of the list keeps it up to date; this
+            class changes its order.
     """
 
     def __init__(self, clock: Clock, links: list[Link]) -> None:
@@ -41,10 +41,10 @@
     async def claim(
         self, *, account: str, key: str, digest: int, owner: str
     ) -> ClaimReply:
-        """Ask for the sole right to run a request.
+        """Request the exclusive right to run a request.
 
-        The same owner may ask again through another replica, so a lost reply costs
-        only time.
+        A claim is idempotent for its owner, so a lost reply costs only the time until
+        the claim is sent to another replica.
 
         Returns:
             The verdict; UNAVAILABLE if no quorum answered within `CLAIM_TIMEOUT`.
@@ -60,18 +60,18 @@
             del self._replies[ticket]
 
     def take_reply(self, reply: ClaimReply) -> None:
-        """Take a replica's answer; one that nobody waits for is dropped."""
+        """Handle a replica's reply; one that no claim waits for is dropped."""
         fut = self._replies.get(reply.ticket)
         if fut is not None and not fut.done():
             fut.set_result(reply)
 
     def complete(self, message: ClaimDone) -> None:
-        """Record the answer of a claimed run; lost if no replica is connected."""
+        """Send the answer of a claimed run; dropped if no replica is connected."""
         if self._links:
             self._links[0].send(message)
 
     def release(self, message: ClaimRelease) -> None:
-        """Give up a claim; lost if no replica is connected."""
+        """Release a claim; dropped if no replica is connected."""
         if self._links:
             self._links[0].send(message)
 
@@ -79,7 +79,8 @@
         deadline = self._clock.now() + CLAIM_TIMEOUT
         while self._clock.now() < deadline:
             if self._links:
-                # Another replica each time: one that hangs must not cost the claim.
+                # Another replica each time, so that a replica that hangs does not make
+                # the claim fail.
                 self._links.append(self._links.pop(0))
                 self._links[-1].send(request)
             with contextlib.suppress(TimeoutError):
