--- a/src/leadseam/feed/directory.py
+++ b/src/leadseam/feed/directory.py
@@ -1,8 +1,8 @@
-"""Which control replicas a node may follow, and which one it tries next. No I/O.
+"""The control replicas that a node may follow, and which one it tries next. No I/O.
 
-A node knows the replicas of its settings, and each replica that it follows tells it the
-members of the group. One that neither names any more is gone: it is not tried again, or
-every box ever replaced would be dialled for good and delay the search for a live one.
+The addresses come from the node's settings and from the lists of members that followed
+replicas send. An address that is in none of these any more is removed: otherwise each
+replaced box would be dialled forever and delay the search for a reachable replica.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class ReplicaDirectory:
-    """Addresses of control replicas, the one tried longest ago first.
+    """Addresses of control replicas, ordered by when they were last tried.
 
     Args:
-        seeds: Addresses from the settings, in the order in which they are tried.
+        seeds: Addresses from the settings, in the order in which they are tried first.
     """
 
     def __init__(self, seeds: Iterable[Endpoint]) -> None:
@@ -36,23 +36,27 @@
         return tuple(self._order)
 
     def set_seeds(self, seeds: Iterable[Endpoint]) -> None:
-        """Take the addresses of new settings in place of the earlier ones."""
+        """Replace the addresses from the settings."""
         self._seeds = tuple(seeds)
         self._refresh()
 
     def set_members(self, by: Endpoint, members: Iterable[Endpoint]) -> None:
-        """Take the members of the group as a replica that is followed knows them."""
+        """Replace the list of members that a followed replica has sent."""
         self._members_by_replica[by] = frozenset(members)
         self._refresh()
 
     def replica_lost(self, replica: Endpoint) -> None:
-        """Note that a replica is no longer followed; the last one's word is kept."""
+        """Drop the list of a replica that is no longer followed, unless it is the last.
+
+        The last list is kept, so that with all replicas lost their addresses are still
+        tried.
+        """
         if len(self._members_by_replica) > 1:
             self._members_by_replica.pop(replica, None)
             self._refresh()
 
     def next(self, followed: Collection[Endpoint]) -> Endpoint | None:
-        """Return the address tried longest ago that is not followed, if any."""
+        """Return the least recently tried address that is not followed, if any."""
         for position, endpoint in enumerate(self._order):
             if endpoint not in followed:
                 self._order.append(self._order.pop(position))
--- a/tests/feed/test_directory.py
+++ b/tests/feed/test_directory.py
@@ -1,4 +1,4 @@
-"""Which control replicas a node tries, as boxes come and go."""
+"""Which control replicas a node tries while boxes are added and replaced."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
 
 def test_a_box_that_nobody_names_any_more_is_not_tried_again() -> None:
-    """Each replaced box was dialled for good.
+    """Addresses of replaced boxes are removed.
 
-    After forty replacements a replica that came back was looked for among forty dead
-    addresses, by the few tasks that were free, each waiting a second for each.
+    They used to be dialled forever: after forty replacements, the few free tasks had to
+    try forty dead addresses, a second for each, before they found a replica that was
+    reachable again.
     """
     directory = ReplicaDirectory([at(1), at(2), at(3)])
     for number in range(3, 43):
