--- a/src/leadseam/feed/entry_count.py
+++ b/src/leadseam/feed/entry_count.py
@@ -1,4 +1,4 @@
-"""How many entries share what is bounded for all of them together. No I/O."""
+"""The number of entries among which a fleet-wide limit is divided. No I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
     from leadseam.clock import Millis
 
 RETENTION: Millis = 30_000
-"""Time for which a larger count holds: an entry that a replica cannot reach, or that is
-started again, may still send requests."""
+"""Time for which a larger count stays in effect: an entry that a replica can't reach,
+or that is restarting, may still send requests."""
 SETTLING_TIME: Millis = 1_000
-"""Time from the first count until it is relied on: two feed heartbeats, in which
-entries that start together are counted."""
+"""Time after the first count until counts are used: two feed heartbeats, within which
+entries that start at the same time are counted."""
 
 
 class EntryCount:
-    """The largest number of entries that replicas have counted of late."""
+    """The largest number of entries that replicas have reported recently.
+
+    `_counts` holds counts in descending order, each with the time it was recorded.
+    """
 
     def __init__(self) -> None:
         self._counts: deque[tuple[Millis, int]] = deque()
@@ -27,7 +30,7 @@
         return f"EntryCount({[count for _, count in self._counts]})"
 
     def record(self, count: int, now: Millis) -> None:
-        """Take a replica's count; 0 tells nothing."""
+        """Record a replica's count; 0 means unknown and is ignored."""
         if not count:
             return
         if self._first_at is None:
@@ -37,7 +40,7 @@
         self._counts.append((now, count))
 
     def recent_max(self, now: Millis) -> int:
-        """Return the largest count of late, or 0 if there is none to rely on."""
+        """Return the largest recent count, or 0 while there is no settled one."""
         if self._first_at is None or now - self._first_at < SETTLING_TIME:
             return 0
         while len(self._counts) > 1 and now - self._counts[0][0] > RETENTION:
--- a/tests/feed/test_entry_count.py
+++ b/tests/feed/test_entry_count.py
@@ -1,4 +1,4 @@
-"""The number of entries that share a bound."""
+"""The number of entries among which a fleet-wide limit is divided."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_the_largest_count_of_late_holds() -> None:
-    # A replica that reaches half of the entries must not double the others' parts.
+    # A replica that reaches only half of the entries must not double their limits.
     entries = EntryCount()
     entries.record(22, 0)
     entries.record(10, 1_000)
