--- a/src/leadseam/feed/report_interval.py
+++ b/src/leadseam/feed/report_interval.py
@@ -1,7 +1,7 @@
-"""How often loads are reported and added up: as often as their size allows. No I/O.
+"""Interval of load reports and of load totals, computed from their size. No I/O.
 
-What an entry and a replica send each other grows with the engines and the accounts in
-use, so a fixed interval would cost a node more the larger the fleet is.
+The messages between entries and replicas grow with the number of engines and accounts
+in use, so with a fixed interval the traffic of a node would grow with the fleet.
 """
 
 from __future__ import annotations
@@ -13,24 +13,25 @@
     from leadseam.wire.feed import LoadReport
 
 MIN_INTERVAL: Millis = 50
-"""Least interval: short against latency objectives of 250 ms and more."""
+"""Shortest interval. It is short relative to latency objectives of 250 ms and more."""
 MAX_INTERVAL: Millis = 200
-"""Longest interval: staler sums cost more than the bytes that they save."""
+"""Longest interval. Beyond it, stale sums cost more than the traffic that they save."""
 BYTES_PER_MS = 20
-"""Bytes that one node may get: the operators' limit for control is 20 KB/s."""
+"""Bytes per millisecond that one node may receive: the operators' limit for control
+traffic is 20 KB/s."""
 ROW_BYTES = 20
-"""Encoded size of a row of an engine or an account."""
+"""Approximate encoded size of a row of an engine or an account, in bytes."""
 
 
 def interval_for(size: int) -> Millis:
-    """Return the interval of messages of a size.
+    """Return the time until the next message.
 
     Args:
-        size: Bytes of the last one.
+        size: Size of the last message in bytes.
     """
     return min(max(size // BYTES_PER_MS, MIN_INTERVAL), MAX_INTERVAL)
 
 
 def report_size(report: LoadReport) -> int:
-    """Return about how many bytes a report takes."""
+    """Return the approximate encoded size of a report in bytes."""
     return ROW_BYTES * (len(report.rows) + len(report.usage))
--- a/tests/feed/test_report_interval.py
+++ b/tests/feed/test_report_interval.py
@@ -1,8 +1,10 @@
-"""What the exchange of loads costs a node, in counted bytes.
+"""Traffic of load reports and totals at a node, in bytes.
 
-At 39 engines, 60 accounts and 68 entries the sums took 46 KB/s at each entry, twenty
-times a second, and each entry's were encoded for it alone: 101 MB of the 202 MB between
-failure domains on a day of 50 s. Now at most 20 KB/s up to 4 KB of sums, some 180 rows.
+Guards against sums that exceed the limit for control traffic. With 39 engines, 60
+accounts and 68 entries, sums sent twenty times a second took 46 KB/s at each entry, and
+were encoded for each entry separately. That was 101 MB of the 202 MB between failure
+domains on a benchmark day of 50 s. Now they take at most 20 KB/s, up to sums of 4 KB,
+some 180 rows.
 """
 
 from __future__ import annotations
@@ -25,9 +27,9 @@
 from leadseam.wire.feed import LoadReport, LoadRow, UsageRow
 
 LIMIT = 20_000
-"""Bytes a second that control may take at a node, as the operators state it."""
+"""The operators' limit of control traffic at a node, in bytes per second."""
 ENVELOPE = 16
-"""Bytes of a message besides the sums."""
+"""Maximum size of a message without the sums, in bytes."""
 
 
 def make_row(number: int) -> LoadRow:
@@ -37,7 +39,7 @@
 
 
 def make_report(engines: int, accounts: int) -> LoadReport:
-    """Return a report with counts as large as they get on a busy fleet."""
+    """Return a report with the largest counts of a busy fleet."""
     return LoadReport(
         999,
         tuple(
@@ -59,7 +61,7 @@
     interval = interval_for(len(totals.data))
     assert len(encode(totals)) <= len(totals.data) + ENVELOPE
     if interval < MAX_INTERVAL:
-        # Whole milliseconds: the last one may be missing.
+        # Intervals are rounded down to whole milliseconds.
         assert len(totals.data) * 1_000 / (interval + 1) < LIMIT
 
 
