--- a/src/leadseam/feed/staleness.py
+++ b/src/leadseam/feed/staleness.py
@@ -1,4 +1,4 @@
-"""What a box believed before it was suspended, until it is confirmed."""
+"""Staleness of a box's state after a suspension, until a replica confirms it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
     from leadseam.feed.client import FeedClient
 
 STALE_LIMIT: Millis = 5_000
-"""Time after a suspension for which a box without confirmation calls itself not ready.
-Without a control group it serves what it knows then, as the others do."""
+"""Time after a suspension for which a box without a confirmation reports that it is not
+ready. After that it serves with the state it has, as other boxes do when the control
+group is unreachable."""
 
 
 class Staleness:
-    """Whether what was known before a suspension is still unconfirmed.
+    """Tracks whether the state from before a suspension is still unconfirmed.
 
     Args:
-        feed: Confirms it.
+        feed: Feed client, which receives the confirmations.
         clock: Source of time.
     """
 
@@ -31,12 +32,12 @@
         return f"Staleness(since={self._since})"
 
     def resumed(self) -> None:
-        """Note that the box was suspended until now."""
+        """Record that a suspension of the box has just ended."""
         if not self._feed.fresh:
             self._since = self._clock.now()
 
     def is_stale(self) -> bool:
-        """Tell whether the box is not ready for that."""
+        """Return whether the state is stale, so that the box is not ready."""
         if self._since is None:
             return False
         if self._feed.fresh or self._clock.now() - self._since > STALE_LIMIT:
--- a/tests/feed/test_staleness.py
+++ b/tests/feed/test_staleness.py
@@ -1,4 +1,4 @@
-"""A box that was suspended is not ready until what it knows is confirmed."""
+"""A suspended box is not ready again until its state is confirmed or 5 s have passed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Feed:
-    """Says whether what it told is confirmed."""
+    """A feed client whose freshness is set by the test."""
 
     fresh: bool = True
 
