--- a/src/leadseam/feed/aggregator_selector.py
+++ b/src/leadseam/feed/aggregator_selector.py
@@ -1,9 +1,9 @@
-"""Which control replica adds up the load reports of entries. No I/O.
+"""Selects the control replica that aggregates the load reports of entries. No I/O.
 
-All entries choose alike, by name, so that one replica hears them all. One that is
-frozen or cut off keeps its connections for seconds; until they end, no entry would know
-of the others' requests. So a replica that leaves reports unanswered is passed over, and
-asked now and then until it answers again.
+All entries select the first replica by name, so that one replica receives all reports.
+A replica that is frozen or partitioned keeps its connections for seconds, and until
+they end, no entry would receive the loads of the others. So a replica that does not
+answer reports is skipped, and probed from time to time until it answers again.
 """
 
 from __future__ import annotations
@@ -16,14 +16,18 @@
     from leadseam.clock import Millis
 
 SILENCE_LIMIT: Millis = 600
-"""Time without totals after which a replica is passed over: three of their longest
-intervals, and below the second for which an entry goes by the last totals it has."""
+"""Time without totals after which a replica is skipped: three of their longest
+intervals, and less than the second for which an entry uses the last totals it has."""
 PROBE_INTERVAL: Millis = 500
-"""Pause between two reports to a replica that is passed over."""
+"""Interval of the reports that probe a skipped replica."""
 
 
 class AggregatorSelector:
-    """The choice of one entry among the replicas that it follows."""
+    """Selects one of the replicas that an entry follows.
+
+    `chosen` is the name of that replica, or None if the entry follows none. If no
+    replica answers, it is the first one by name.
+    """
 
     def __init__(self) -> None:
         self.chosen: str | None = None
@@ -34,10 +38,10 @@
         return f"AggregatorSelector(chosen={self.chosen}, silent={list(self._probed)})"
 
     def targets(self, followed: Iterable[str], now: Millis) -> tuple[str, ...]:
-        """Return who gets the next report: the replica chosen, and those probed.
+        """Return the receivers of the next report: the chosen and the probed replicas.
 
         Args:
-            followed: Names of the replicas that are followed.
+            followed: Names of the replicas that the entry follows.
             now: Current time.
         """
         names = sorted(followed)
@@ -50,7 +54,7 @@
         return tuple(targets)
 
     def answered(self, name: str) -> bool:
-        """Note totals of a replica; return whether they are to be used."""
+        """Record that a replica sent totals; return whether they are to be used."""
         self._unanswered.pop(name, None)
         self._probed.pop(name, None)
         return name == self.chosen
--- a/tests/feed/test_aggregator_selector.py
+++ b/tests/feed/test_aggregator_selector.py
@@ -1,9 +1,10 @@
-"""Which replica adds up loads, and what entries do while it says nothing.
+"""Which replica aggregates loads, and what entries do while it does not answer.
 
-A control box froze. Its links stayed open for two seconds, every entry went on sending
-its reports there, and for that time none knew what the others had in flight: engines
-got twice the requests that they take. Others' service of before the freeze was counted
-for as long as it lasted, so accounts that had asked for nothing since were held back.
+Guards against a frozen control box that keeps its links open. For two seconds every
+entry went on sending its reports there, so none had the requests that the others had in
+flight, and engines received twice the requests that they accept. The usage of accounts
+from before the freeze was counted as long as it lasted, so accounts without requests
+since then were held back.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
         assert SECOND in targets
         now += INTERVAL
     assert asked == 4
-    # Its first answer comes before it is chosen again, and is not used.
+    # Its first answer arrives before it is chosen again and is not used.
     assert not selector.answered(FIRST)
     assert selector.targets(NAMES, now) == (FIRST,)
 
