--- a/src/leadseam/feed/__init__.py
+++ b/src/leadseam/feed/__init__.py
@@ -1,1 +1,1 @@
-"""How configuration reaches entries and sidecars, and claims reach the log."""
+"""The control feed: distributes state to entries and sidecars, and receives claims."""
--- a/src/leadseam/feed/load_aggregator.py
+++ b/src/leadseam/feed/load_aggregator.py
@@ -1,4 +1,4 @@
-"""A replica's sums over the load reports of entries. No I/O."""
+"""Aggregates the load reports of entries at a replica. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from leadseam.wire.feed import LoadReport
 
 MAX_REPORT_AGE: Millis = 1_000
-"""Age beyond which an entry's report no longer counts: five longest intervals."""
+"""Age beyond which an entry's report is dropped: five times the longest interval."""
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
 
 
 class LoadAggregator:
-    """The newest report of each subscriber."""
+    """Holds the newest report of each subscriber, and adds them up."""
 
     def __init__(self) -> None:
         self._reports: dict[int, _StoredReport] = {}
@@ -38,23 +38,26 @@
         self._reports[subscriber] = _StoredReport(report, now)
 
     def remove(self, subscriber: int) -> None:
-        """Drop the report of a subscriber that is gone."""
+        """Remove the report of a subscriber that has disconnected."""
         self._reports.pop(subscriber, None)
 
     def requests_at(self, upstreams: Collection[int]) -> int | None:
-        """Return the requests under way at some upstreams, by their digests.
+        """Return the number of requests in progress at a set of upstreams.
+
+        Args:
+            upstreams: Digests of the upstreams' incarnations.
 
         Returns:
-            None where no entry reports to this replica.
+            None if no entry reports to this replica.
         """
         if not self._reports:
             return None
         return sum(row.requests for row in self._rows() if row.upstream in upstreams)
 
     def totals(self, now: Millis) -> dict[int, LoadTotals]:
-        """Return the totals for each subscriber that reports.
+        """Return the totals for each subscriber with a report that is not too old.
 
-        The sums are encoded once for all.
+        The sums are the same for all subscribers and encoded once.
         """
         for subscriber, stored in list(self._reports.items()):
             if now - stored.at > MAX_REPORT_AGE:
