--- a/src/leadseam/control/configuration.py
+++ b/src/leadseam/control/configuration.py
@@ -20,8 +20,11 @@
 )
 
 MAX_SHARE = 1_000
+"""Maximum share of an account."""
 MAX_SLOTS = 1_024
+"""Maximum number of slots of an upstream."""
 ANY = "*"
+"""Wildcard for the account or the pool of a rule."""
 
 
 class PoolKind(StrEnum):
--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -28,7 +28,9 @@
 from leadseam.wire.record import Record
 
 MAX_REMEMBERED_CHANGES = 10_000
+"""Changes whose results are kept to answer resends, and rows of the history."""
 MAX_DELTAS = 512
+"""Versions whose operations are kept for subscribers that lack some of them."""
 
 
 class ChangeStatus(StrEnum):
