--- a/tests/feed/test_staleness.py
+++ b/tests/feed/test_staleness.py
@@ -1,4 +1,4 @@
-"""A suspended box is not ready again until its state is confirmed or 5 s have passed."""
+"""After a suspension, a box is not ready until its state is confirmed, or for 5 s."""
 
 from __future__ import annotations
 
