--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -1,7 +1,7 @@
-"""Accepted configuration is in force everywhere and never reverts.
+"""An acknowledged configuration comes into force on all nodes and is never reverted.
 
-After each failure: every acknowledged change is in force on all live nodes, and the
-version that each node reports never fell.
+After each failure, every acknowledged change must be in force on all running nodes, and
+the version that a node logs must never have decreased.
 """
 
 from __future__ import annotations
@@ -28,13 +28,15 @@
 
     from tools.fleet import Fleet
 
-FEED_WATCHED = 1.5
+OBSERVATION_TIME = 1.5
+"""Seconds for which a subscribed entry must stay without a configuration."""
 MANY_CHANGES = 1_100
+"""Changes after which the log has been compacted."""
 CONTROL = ("control-1", "control-2", "control-3")
 
 
 def describe(fleet: Fleet) -> None:
-    """Describe a small fleet."""
+    """Define a fleet of one upstream, two entries and the control group."""
     fleet.add_control()
     fleet.add_pool("slips")
     fleet.add_upstream("slips-1", pool="slips", kind="service")
@@ -44,7 +46,7 @@
 
 
 async def change(fleet: Fleet, share: int, *extra: str) -> tuple[int, dict[str, Any]]:
-    """Have a share changed and return exit code and reply."""
+    """Change the account's share; return the exit code and the reply."""
     fleet.config["accounts"][0]["share"] = share
     path = fleet.folder / f"desired-{share}.yaml"
     path.write_text(json.dumps(fleet.config))
@@ -53,14 +55,14 @@
 
 
 async def status(fleet: Fleet) -> list[dict[str, Any]]:
-    """Return what each replica says of itself."""
+    """Return the status of each replica."""
     _, out = await fleet.ctl("--json", "status")
     rows: list[dict[str, Any]] = json.loads(out)
     return rows
 
 
 async def leader(fleet: Fleet) -> str:
-    """Wait for a leader with a lease and return its name."""
+    """Wait for a single leader with a lease and return its name."""
     found: list[str] = []
 
     async def known() -> bool:
@@ -77,7 +79,7 @@
 
 
 async def share_in_force(fleet: Fleet) -> int:
-    """Return the share that operators read."""
+    """Return the account's share as operators read it."""
     code, out = await fleet.ctl("--json", "get")
     assert code == 0
     share: int = json.loads(out)["accounts"][0]["share"]
@@ -85,7 +87,7 @@
 
 
 def assert_never_fell(fleet: Fleet) -> None:
-    """Read in every node's log that versions only rose within one run."""
+    """Check in every node's log that versions only increased between two starts."""
     for name in (*fleet.names("entry"), *fleet.names("sidecar")):
         version = 0
         for line in fleet.nodes[name].log.read_text().splitlines():
@@ -247,11 +249,15 @@
     await fleet.start_all()
     for name in CONTROL[:2]:
         fleet.nodes[name].kill()
-    await until(lambda: is_not_ready(fleet, CONTROL[2]), "the last knows it is alone")
+    await until(
+        lambda: is_not_ready(fleet, CONTROL[2]), "the last replica is not ready"
+    )
     fleet.nodes["entry-1"].kill()
     fleet.start("entry-1")
-    await until(lambda: has_subscribed(fleet, "entry-1"), "entry-1 found the last one")
-    await asyncio.sleep(FEED_WATCHED)
+    await until(
+        lambda: has_subscribed(fleet, "entry-1"), "entry-1 follows the last replica"
+    )
+    await asyncio.sleep(OBSERVATION_TIME)
     assert not await fleet.is_ready("entry-1")
     status_code, body = await fleet.post(
         "entry-1", "/services/slips/run/a", "tellers", b"{}"
@@ -273,7 +279,7 @@
     fleet.nodes[away].kill()
     ends = [Endpoint(ip=LOOPBACK, port=port) for port in fleet.operator_ports]
     operator = OperatorClient(ends, OPERATOR_TOKEN)
-    # More than a compaction, so that the one that was away needs a snapshot.
+    # Enough for a compaction, so that the stopped replica needs a snapshot.
     for version in range(1, 1 + MANY_CHANGES):
         reply = await operator.apply(drain(f"many-{version}", version))
         assert (reply.status, reply.version) == ("accepted", version + 1)
@@ -311,7 +317,7 @@
 
 
 def drain(change_id: str, version: int) -> pb.ApplyRequest:
-    """Return a change that expects a version."""
+    """Return a change that sets `draining` and expects a version."""
     operation = operation_to_message(Drain("slips-1", False))
     return pb.ApplyRequest(
         change_id=change_id, expect_version=version, operations=[operation]
@@ -319,7 +325,7 @@
 
 
 def data_files(fleet: Fleet, name: str) -> list[Path]:
-    """List the journals of a replica; a number above 1 shows a compaction."""
+    """Return the journals of a replica. A number above 1 shows a compaction."""
     return list((fleet.folder / f"data-{name}").glob("journal-*"))
 
 
@@ -332,7 +338,7 @@
 
 
 async def replaced(fleet: Fleet, name: str) -> bool:
-    """Tell whether a box votes under a new identity and its old one is gone."""
+    """Return whether a box votes with a new identity and its old one is removed."""
     for row in await status(fleet):
         if row["role"] == "leader" and row["current"]:
             mine = [voter for voter in row["voters"] if voter.startswith(f"{name}#")]
@@ -341,12 +347,12 @@
 
 
 async def is_not_ready(fleet: Fleet, name: str) -> bool:
-    """Tell whether a process says that it is not ready."""
+    """Return whether a process reports that it is not ready."""
     return not await fleet.is_ready(name)
 
 
 async def has_subscribed(fleet: Fleet, name: str) -> bool:
-    """Tell whether a restarted node is on the feed, without a configuration."""
+    """Return whether a restarted node has subscribed and has no configuration."""
     rows = await status(fleet)
     held = [node for row in rows for node in row.get("subscribers", ())]
     return {"node": name, "in_force": "0"} in held
