--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -69,7 +69,7 @@
     guard.record_applied(table.rows(), now)
 
 
-def test_what_may_be_a_copy_of_an_order_that_was_undone_waits() -> None:
+def test_an_order_that_may_be_a_copy_of_a_reverted_one_is_rejected() -> None:
     table = EvacuationTable()
     guard = OrderGuard(RESEND)
     assert not guard.may_be_late(table, "north", True, 0)
@@ -86,7 +86,7 @@
     assert not guard.may_be_late(table, "north", False, 2_001 + RESEND)
 
 
-def test_a_replica_that_starts_again_has_seen_nothing_and_says_so() -> None:
+def test_a_restarted_replica_counts_earlier_switches_as_seen_now() -> None:
     table = EvacuationTable()
     seen(table, OrderGuard(RESEND), 0, True)
     once = OrderGuard(RESEND)
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -134,7 +134,7 @@
     assert_never_fell(fleet)
 
 
-async def test_replica_cut_off_silently_feeds_nobody(fleet: Fleet) -> None:
+async def test_partitioned_replica_sends_no_configuration(fleet: Fleet) -> None:
     describe(fleet)
     links = {name: await before_replica(fleet, name) for name in CONTROL}
     await fleet.start_all()
@@ -172,7 +172,7 @@
     assert_never_fell(fleet)
 
 
-async def test_a_lost_disk_cannot_found_again(fleet: Fleet) -> None:
+async def test_replica_with_a_lost_disk_cannot_bootstrap_again(fleet: Fleet) -> None:
     describe(fleet)
     await fleet.start_all()
     fleet.nodes["control-1"].kill()
@@ -298,7 +298,7 @@
     assert_never_fell(fleet)
 
 
-async def test_wrong_token_gets_nowhere(fleet: Fleet) -> None:
+async def test_wrong_token_is_refused(fleet: Fleet) -> None:
     describe(fleet)
     await fleet.start_all()
     code, _ = await fleet.ctl("get", token="wrong")
--- a/tests/feed/test_aggregator_selector.py
+++ b/tests/feed/test_aggregator_selector.py
@@ -33,7 +33,7 @@
     assert selector.chosen is None
 
 
-def test_a_frozen_replica_is_passed_over_before_totals_are_too_old() -> None:
+def test_a_frozen_replica_is_skipped_before_totals_are_too_old() -> None:
     selector = AggregatorSelector()
     selector.targets(NAMES, 0)
     selector.answered(FIRST)
@@ -47,7 +47,7 @@
     assert selector.answered(SECOND)
 
 
-def test_a_replica_that_is_passed_over_is_asked_now_and_then_until_it_answers() -> None:
+def test_a_skipped_replica_is_probed_until_it_answers() -> None:
     selector = AggregatorSelector()
     selector.targets(NAMES, 0)
     now = SILENCE_LIMIT + 1
@@ -64,7 +64,7 @@
     assert selector.targets(NAMES, now) == (FIRST,)
 
 
-def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
+def test_outdated_totals_hold_no_account_back() -> None:
     book = UsageBook()
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
     book.take_sums(LoadSums((), rows), None, capacity=900, now=0)
--- a/tests/feed/test_client.py
+++ b/tests/feed/test_client.py
@@ -24,7 +24,7 @@
         return self.time
 
 
-def test_an_age_is_told_only_once_a_replica_has_confirmed_something() -> None:
+def test_age_is_unknown_until_a_replica_has_confirmed_a_version() -> None:
     clock = SettableClock()
     feed = make_feed(clock)
     assert (feed.age, feed.fresh) == (-1, False)
--- a/tests/feed/test_configuration_push.py
+++ b/tests/feed/test_configuration_push.py
@@ -104,7 +104,7 @@
                 box.subscribers[number].in_force = version
 
 
-def test_each_entry_gets_a_change_once_from_a_box_of_its_own() -> None:
+def test_each_entry_gets_a_change_once_from_its_primary_replica() -> None:
     boxes = [Box(name) for name in BOXES]
     for box in boxes:
         box.change(7)
@@ -118,7 +118,7 @@
     assert sum(box.sent for box in boxes) == ENTRIES
 
 
-def test_a_box_that_is_gone_or_not_current_delays_nobody_for_good() -> None:
+def test_a_primary_replica_that_is_not_current_delays_no_node_forever() -> None:
     boxes = [Box(name) for name in BOXES]
     boxes[0].replica.current = False
     for box in boxes:
@@ -132,7 +132,7 @@
         assert any(box.links[number].sent for box in boxes)
 
 
-def test_a_node_that_follows_one_box_waits_for_no_other() -> None:
+def test_a_node_that_follows_one_replica_waits_for_no_other() -> None:
     box = Box(BOXES[0], single_replica=True)
     box.change(7)
     box.send_as_primary()
@@ -155,11 +155,11 @@
     assert [len(link.sent) for link in box.links] == [2] * ENTRIES
 
 
-@pytest.mark.parametrize("told", [7, 9])
-def test_what_a_node_has_from_another_box_is_not_sent(told: int) -> None:
+@pytest.mark.parametrize("reported", [7, 9])
+def test_versions_that_a_node_reported_are_not_sent(reported: int) -> None:
     box = Box(BOXES[0])
     box.change(7)
     for subscriber in box.subscribers:
-        subscriber.in_force = told
+        subscriber.in_force = reported
     box.send_to_all()
     assert box.sent == 0
--- a/tests/feed/test_crash_server.py
+++ b/tests/feed/test_crash_server.py
@@ -59,7 +59,7 @@
         task.cancel()
 
 
-def test_entries_hear_of_a_request_from_the_second_end_on() -> None:
+def test_requests_are_reported_from_the_second_ended_upstream_on() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1),)))
     assert one.sent == []
@@ -69,7 +69,7 @@
     assert one.server.greeting() == Crashes((make_row(1, 2),))
 
 
-async def test_a_verdict_is_told_at_once_and_written_once() -> None:
+async def test_a_verdict_is_reported_at_once_and_written_once() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1, 2, 3), make_row(1, suspect=GOOD))))
     assert one.sent == [Crashes((make_row(1, 2, 3),))]
@@ -79,7 +79,7 @@
     assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
-async def test_it_needs_no_quorum_to_tell() -> None:
+async def test_reporting_needs_no_quorum() -> None:
     one = Fixture()
     one.box.quorum = False
     one.server.receive(Crashes((make_row(1, 2, 3),)))
@@ -91,7 +91,7 @@
     assert one.box.written == [RecordCrashes((make_row(1, 2, 3),))]
 
 
-def test_what_comes_through_the_log_is_told_once() -> None:
+def test_committed_verdicts_are_reported_once() -> None:
     one = Fixture()
     assert one.box.state.apply(RecordCrashes((make_row(1, 2, 3),))) == CrashesRecorded(
         1
@@ -101,7 +101,7 @@
     assert one.sent == [Crashes((make_row(1, 2, 3),))]
 
 
-def test_a_replica_that_starts_anew_greets_with_what_is_written() -> None:
+def test_a_restarted_replica_sends_committed_verdicts_to_new_subscribers() -> None:
     one = Fixture()
     one.box.state.apply(RecordCrashes((make_row(1, 2, 3),)))
     saved = one.box.state.save()
@@ -111,7 +111,7 @@
     assert other.server.verdicts() == (make_row(1, 2, 3),)
 
 
-async def test_a_verdict_that_is_lifted_is_over_everywhere() -> None:
+async def test_a_lifted_verdict_is_void_everywhere() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1, 2, 3),)))
     await one.settle()
@@ -126,7 +126,7 @@
     assert await one.server.lift("unknown")
 
 
-def test_suspects_fade_at_a_replica() -> None:
+def test_old_suspects_are_dropped() -> None:
     one = Fixture()
     one.server.receive(Crashes((make_row(1),)))
     one.clock.advance(SUSPECT_LIFE + 1)
@@ -135,12 +135,12 @@
     assert one.sent == []
 
 
-def test_rows_pass_the_wire() -> None:
+def test_rows_survive_encoding() -> None:
     message = Crashes((make_row(1, 2, void=(1,)),))
     assert decode_frame(encode_frame([message])) == (message,)
 
 
-async def test_an_old_verdict_is_lifted_by_whoever_leads() -> None:
+async def test_the_leader_lifts_an_old_verdict() -> None:
     one = Fixture()
     one.box.raft.role = Role.FOLLOWER
     one.server.receive(Crashes((make_row(1, 2, 3),)))
--- a/tests/feed/test_directory.py
+++ b/tests/feed/test_directory.py
@@ -17,13 +17,13 @@
     assert directory.next({at(1), at(2)}) is None
 
 
-def test_members_are_tried_besides_the_seeds() -> None:
+def test_members_are_tried_as_well_as_the_seeds() -> None:
     directory = ReplicaDirectory([at(1)])
     directory.set_members(at(1), [at(1), at(2), at(3)])
     assert directory.endpoints == (at(1), at(2), at(3))
 
 
-def test_a_box_that_nobody_names_any_more_is_not_tried_again() -> None:
+def test_a_box_that_is_no_longer_a_member_is_not_tried_again() -> None:
     """Addresses of replaced boxes are removed.
 
     They used to be dialled forever: after forty replacements, the few free tasks had to
@@ -38,7 +38,7 @@
     assert set(directory.endpoints) == {at(1), at(2), at(42)}
 
 
-def test_the_word_of_a_replica_that_was_lost_counts_no_longer() -> None:
+def test_members_named_only_by_a_lost_replica_are_dropped() -> None:
     directory = ReplicaDirectory([at(1), at(2)])
     directory.set_members(at(1), [at(1), at(2), at(9)])
     directory.set_members(at(2), [at(1), at(2)])
--- a/tests/feed/test_entry_count.py
+++ b/tests/feed/test_entry_count.py
@@ -5,7 +5,7 @@
 from leadseam.feed.entry_count import RETENTION, SETTLING_TIME, EntryCount
 
 
-def test_a_first_count_is_relied_on_once_it_has_settled() -> None:
+def test_counts_are_used_after_the_settling_time() -> None:
     entries = EntryCount()
     assert entries.recent_max(0) == 0
     entries.record(3, 100)
@@ -14,7 +14,7 @@
     assert entries.recent_max(100 + SETTLING_TIME) == 22
 
 
-def test_the_largest_count_of_late_holds() -> None:
+def test_the_largest_recent_count_is_used() -> None:
     # A replica that reaches only half of the entries must not double their limits.
     entries = EntryCount()
     entries.record(22, 0)
--- a/tests/feed/test_registrations.py
+++ b/tests/feed/test_registrations.py
@@ -73,7 +73,7 @@
         assert len(prepared.message.rows) == UPSTREAMS
 
 
-def test_the_newest_heartbeat_of_an_upstream_is_told() -> None:
+def test_the_newest_heartbeat_of_an_upstream_is_sent() -> None:
     box = Box()
     box.feed.register(make_upstream(1, sequence=1))
     box.feed.register(make_upstream(1, sequence=2, start=9))
--- a/tests/feed/test_report_interval.py
+++ b/tests/feed/test_report_interval.py
@@ -71,7 +71,7 @@
     assert interval_for(54_565) == MAX_INTERVAL
 
 
-def test_the_size_of_a_report_is_told_by_its_rows() -> None:
+def test_the_size_of_a_report_is_estimated_from_its_rows() -> None:
     report = make_report(20, 30)
     assert 0.8 < report_size(report) / len(encode(report)) < 1.2
 
--- a/tests/feed/test_staleness.py
+++ b/tests/feed/test_staleness.py
@@ -19,7 +19,7 @@
     fresh: bool = True
 
 
-def test_it_holds_until_the_feed_is_fresh() -> None:
+def test_state_is_stale_until_the_feed_is_fresh() -> None:
     feed, clock = Feed(), ManualClock()
     staleness = Staleness(cast("FeedClient", feed), clock)
     staleness.resumed()
@@ -34,7 +34,7 @@
     assert not staleness.is_stale()
 
 
-def test_it_holds_no_longer_than_five_seconds() -> None:
+def test_state_is_stale_for_at_most_five_seconds() -> None:
     feed, clock = Feed(fresh=False), ManualClock()
     staleness = Staleness(cast("FeedClient", feed), clock)
     staleness.resumed()
--- a/tests/feed/test_verdict_routes.py
+++ b/tests/feed/test_verdict_routes.py
@@ -15,7 +15,7 @@
     }
 
 
-def test_only_the_box_itself_lifts() -> None:
+def test_verdicts_are_lifted_only_from_the_box_itself() -> None:
     assert is_from_own_box("10.1.0.4", "10.1.0.4")
     assert is_from_own_box("127.0.0.1", "10.1.0.4")
     assert not is_from_own_box("10.1.0.5", "10.1.0.4")
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -226,7 +226,7 @@
         "        kept = [endpoint for endpoint in self._order if endpoint in wanted]\n",
         "        kept = list(self._order)\n",
         "tests/feed/test_directory.py"
-        "::test_a_box_that_nobody_names_any_more_is_not_tried_again",
+        "::test_a_box_that_is_no_longer_a_member_is_not_tried_again",
     ),
     Variant(
         "service never fades",
