--- a/src/leadseam/control/state.py
+++ b/src/leadseam/control/state.py
@@ -247,6 +247,14 @@
 
     Applying a command must be deterministic: it depends on the state and the command
     only, so that all replicas reach the same state.
+
+    Attributes:
+        configuration: The current configuration.
+        history: The latest accepted changes, oldest first.
+        deltas: Operations of the latest versions, oldest first.
+        departed: Incarnations of upstreams that have left.
+        crashes: Requests that have crashed upstreams.
+        evacuations: Failure domains that are or were evacuated.
     """
 
     def __init__(self) -> None:
--- a/src/leadseam/feed/client.py
+++ b/src/leadseam/feed/client.py
@@ -76,6 +76,14 @@
             start of the same upstream is known.
         on_crashes: Called with reports of requests that crash upstreams.
         greeting: Returns the message to send to a newly followed replica, or None.
+
+    Attributes:
+        configuration: The configuration in force.
+        confirmed: Whether a replica has confirmed or sent a version yet.
+        subscribers: Number of subscribers in the last confirmation.
+        entries: Number of entries that replicas have counted recently.
+        view: Registered upstreams and evacuated failure domains.
+        claims: Client of claims on the same links.
     """
 
     def __init__(
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -68,6 +68,10 @@
         registry: Upstreams that register by heartbeat. Defaults to an empty one.
         clock: Source of time. Defaults to the system clock.
         resend_limit: Milliseconds for which operators may resend an order.
+
+    Attributes:
+        crashes: Server for reports of requests that crash upstreams.
+        evacuations: Server for orders on failure domains.
     """
 
     def __init__(
