--- a/src/leadseam/control/desired.py
+++ b/src/leadseam/control/desired.py
@@ -64,8 +64,10 @@
             continue
         table = current.table(section)
         operations += [Put(row) for row in rows if table.get(row.name) != row]
-        wanted = {row.name for row in rows}
-        operations += [Delete(section, name) for name in table if name not in wanted]
+        desired_names = {row.name for row in rows}
+        operations += [
+            Delete(section, name) for name in table if name not in desired_names
+        ]
     return tuple(operations)
 
 
--- a/src/leadseam/control/program.py
+++ b/src/leadseam/control/program.py
@@ -44,9 +44,11 @@
             folder is already in use.
     """
     folder = Path(settings.data_dir)
-    known = read_identity(folder)
-    if known is not None and bootstrap:
-        raise StorageError(f"{folder}: holds {known}; cannot bootstrap a group again")
+    existing = read_identity(folder)
+    if existing is not None and bootstrap:
+        raise StorageError(
+            f"{folder}: holds {existing}; cannot bootstrap a group again"
+        )
     initial_members = tuple(settings.replicas) if bootstrap else ()
     return prepare_folder(folder, settings.identity.node, founders=initial_members)
 
--- a/src/leadseam/feed/aggregator_selector.py
+++ b/src/leadseam/feed/aggregator_selector.py
@@ -74,6 +74,6 @@
         return since is not None and now - since > SILENCE_LIMIT
 
     def _retain_only(self, names: list[str]) -> None:
-        for gone in self._unanswered.keys() - names:
-            del self._unanswered[gone]
-            self._probed.pop(gone, None)
+        for removed in self._unanswered.keys() - names:
+            del self._unanswered[removed]
+            self._probed.pop(removed, None)
--- a/src/leadseam/feed/directory.py
+++ b/src/leadseam/feed/directory.py
@@ -64,6 +64,6 @@
         return None
 
     def _refresh(self) -> None:
-        wanted = set(self._seeds).union(*self._members_by_replica.values())
-        kept = [endpoint for endpoint in self._order if endpoint in wanted]
-        self._order = kept + sorted(wanted - set(kept), key=str)
+        known = set(self._seeds).union(*self._members_by_replica.values())
+        kept = [endpoint for endpoint in self._order if endpoint in known]
+        self._order = kept + sorted(known - set(kept), key=str)
--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -115,7 +115,7 @@
         self.guards = [OrderGuard(RESEND) for _ in range(3)]
         self.behind = [0, 0, 0]
         self.copies: list[tuple[bool, int]] = []
-        self.wanted = False
+        self.ordered = False
         self.pending: tuple[bool, int] | None = None
 
     def _take(self, evacuated: bool, replica: int) -> bool:
@@ -130,7 +130,7 @@
     @precondition(lambda self: self.pending is None)
     @rule()
     def order(self) -> None:
-        self.pending = (not self.wanted, self.now)
+        self.pending = (not self.ordered, self.now)
 
     @precondition(lambda self: self.pending is not None)
     @rule(replica=st.integers(0, 2))
@@ -139,7 +139,7 @@
         evacuated, first = self.pending
         self.copies.append((evacuated, first))
         if self._take(evacuated, replica):
-            self.wanted = evacuated
+            self.ordered = evacuated
             self.pending = None
 
     @precondition(lambda self: self.pending is None)
@@ -165,7 +165,7 @@
     @invariant()
     def what_was_acknowledged_last_holds(self) -> None:
         if self.pending is None:
-            assert (self.table.evacuated == ("north",)) is self.wanted
+            assert (self.table.evacuated == ("north",)) is self.ordered
 
 
 TestOrders = OrdersMachine.TestCase
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -223,7 +223,7 @@
     Variant(
         "replicas that are gone are not forgotten",
         "feed/directory.py",
-        "        kept = [endpoint for endpoint in self._order if endpoint in wanted]\n",
+        "        kept = [endpoint for endpoint in self._order if endpoint in known]\n",
         "        kept = list(self._order)\n",
         "tests/feed/test_directory.py"
         "::test_a_box_that_is_no_longer_a_member_is_not_tried_again",
