--- a/tests/control/test_evacuations.py
+++ b/tests/control/test_evacuations.py
@@ -81,7 +81,7 @@
     assert guard.may_be_late(table, "north", True, 1_000 + RESEND)
     assert not guard.may_be_late(table, "north", True, 1_001 + RESEND)
     seen(table, guard, 7_000, True)
-    # A copy of the order to restore it may come until 5 s after that took effect.
+    # A copy of the order to restore it, sent 4.999 s after the first, may still arrive.
     assert guard.may_be_late(table, "north", False, 2_000 + RESEND)
     assert not guard.may_be_late(table, "north", False, 2_001 + RESEND)
 
