--- a/tests/feed/test_aggregator_selector.py
+++ b/tests/feed/test_aggregator_selector.py
@@ -1,9 +1,10 @@
-"""Which replica adds up loads, and what entries do while it says nothing.
+"""Which replica aggregates loads, and what entries do while it does not answer.
 
-A control box froze. Its links stayed open for two seconds, every entry went on sending
-its reports there, and for that time none knew what the others had in flight: engines
-got twice the requests that they take. Others' service of before the freeze was counted
-for as long as it lasted, so accounts that had asked for nothing since were held back.
+Guards against a frozen control box that keeps its links open. For two seconds every
+entry went on sending its reports there, so none had the requests that the others had in
+flight, and engines received twice the requests that they accept. The usage of accounts
+from before the freeze was counted as long as it lasted, so accounts without requests
+since then were held back.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     assert selector.chosen is None
 
 
-def test_a_frozen_replica_is_passed_over_before_totals_are_too_old() -> None:
+def test_a_frozen_replica_is_skipped_before_totals_are_too_old() -> None:
     selector = AggregatorSelector()
     selector.targets(NAMES, 0)
     selector.answered(FIRST)
@@ -46,7 +47,7 @@
     assert selector.answered(SECOND)
 
 
-def test_a_replica_that_is_passed_over_is_asked_now_and_then_until_it_answers() -> None:
+def test_a_skipped_replica_is_probed_until_it_answers() -> None:
     selector = AggregatorSelector()
     selector.targets(NAMES, 0)
     now = SILENCE_LIMIT + 1
@@ -58,12 +59,12 @@
         assert SECOND in targets
         now += INTERVAL
     assert asked == 4
-    # Its first answer comes before it is chosen again, and is not used.
+    # Its first answer arrives before it is chosen again and is not used.
     assert not selector.answered(FIRST)
     assert selector.targets(NAMES, now) == (FIRST,)
 
 
-def test_totals_that_no_replica_renews_hold_nobody_back() -> None:
+def test_outdated_totals_hold_no_account_back() -> None:
     book = UsageTable()
     rows = (UsageRow("notes", 900, 2_000), UsageRow("tags", 50, 2_000))
     book.apply_sums(LoadSums((), rows), None, capacity=900, now=0)
--- a/tests/feed/test_registrations.py
+++ b/tests/feed/test_registrations.py
@@ -1,8 +1,9 @@
-"""Registrations go to all entries in few messages, each encoded once.
+"""Registrations are sent to all entries in few messages, each encoded once.
 
-Serving again after all of 300 boxes were killed took more than 30 s before 3,001
-upstreams, 1 s before 300: each registration was a message, a log line and an encoding
-for each of 150 entries.
+Guards against a slow start of the whole fleet: each registration was sent as a message
+of its own, logged, and encoded for each of 150 entries. After all of 300 boxes were
+killed, it took more than 30 s until requests were served again with 3,001 upstreams,
+and 1 s with 300.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 class Box:
-    """The feed of a control box with the subscribers of all entries."""
+    """The feed server of a control box, with one subscriber for each entry."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -77,7 +78,7 @@
         assert len(prepared.message.rows) == UPSTREAMS
 
 
-def test_the_newest_heartbeat_of_an_upstream_is_told() -> None:
+def test_the_newest_heartbeat_of_an_upstream_is_sent() -> None:
     box = Box()
     box.feed.register(make_upstream(1, sequence=1))
     box.feed.register(make_upstream(1, sequence=2, start=9))
