--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -21,7 +21,7 @@
 from docopt import docopt
 
 from leadseam.emulate.crash_settings import CrashExperiment
-from leadseam.emulate.crashes import HEAD, CrashPlay
+from leadseam.emulate.crashes import HEAD, CrashSimulation
 from leadseam.emulate.crashes import render as render_crashes
 from leadseam.emulate.experiment import render, run_experiment
 from leadseam.emulate.settings import Experiment, with_variants
@@ -53,7 +53,7 @@
         return
     print(HEAD)
     for name, cfg in fleets.items():
-        tallies = [CrashPlay(cfg, seed=seed).run() for seed in experiment.seeds]
+        tallies = [CrashSimulation(cfg, seed=seed).run() for seed in experiment.seeds]
         print(render_crashes(name, tallies), flush=True)
 
 
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -102,7 +102,7 @@
     up: bool = True
 
 
-class CrashPlay:
+class CrashSimulation:
     """One play in virtual time.
 
     Args:
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -10,7 +10,7 @@
 
 from leadseam.cli import emulate
 from leadseam.emulate.crash_settings import CrashExperiment, CrashFleet
-from leadseam.emulate.crashes import CrashPlay, CrashTally, render
+from leadseam.emulate.crashes import CrashSimulation, CrashTally, render
 from leadseam.emulate.settings import with_variants
 from leadseam.errors import SettingsError
 from leadseam.settings.load import load_settings, parse_settings
@@ -22,14 +22,14 @@
 
 
 def test_one_deadly_caller_crashes_three_and_is_known_everywhere() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1), seed=1).run()
+    tally = CrashSimulation(CrashFleet(deadly=1), seed=1).run()
     assert tally.crashes == 3
     assert 0 < tally.known_after < 2_000
     assert (tally.convicted, tally.answered) == (0, tally.good)
 
 
 def test_one_that_crashes_late_crashes_four() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1, deadly_after=1_000), seed=1).run()
+    tally = CrashSimulation(CrashFleet(deadly=1, deadly_after=1_000), seed=1).run()
     assert (tally.crashes, tally.convicted) == (4, 0)
 
 
@@ -44,26 +44,26 @@
         (CrashFleet(rate=40, mass=0.15, alike=True), alike),
         (CrashFleet(rate=40, mass=0.15), weighed),
     ):
-        tally = CrashPlay(cfg, seed=seed).run()
+        tally = CrashSimulation(cfg, seed=seed).run()
         assert tally.by_themselves > 90
         assert tally.convicted == convicted
 
 
 def test_nobody_is_refused_where_one_in_fifty_crashes_each_second() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1, mass=0.02), seed=1).run()
+    tally = CrashSimulation(CrashFleet(deadly=1, mass=0.02), seed=1).run()
     assert (tally.crashes, tally.convicted) == (3, 0)
     assert tally.answered == tally.good
 
 
 def test_all_that_comes_is_counted_once() -> None:
-    tally = CrashPlay(CrashFleet(deadly=2, mass=0.1, rate=40), seed=4).run()
+    tally = CrashSimulation(CrashFleet(deadly=2, mass=0.1, rate=40), seed=4).run()
     assert tally.hit_answered <= tally.hit <= tally.good
     assert tally.answered + tally.convicted <= tally.good
 
 
 def test_a_seed_plays_the_same_again() -> None:
     cfg = CrashFleet(deadly=2, mass=0.1, rate=40)
-    assert CrashPlay(cfg, seed=5).run() == CrashPlay(cfg, seed=5).run()
+    assert CrashSimulation(cfg, seed=5).run() == CrashSimulation(cfg, seed=5).run()
 
 
 def test_plays_are_added_up() -> None:
