--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -21,7 +21,7 @@
 from docopt import docopt
 
 from leadseam.emulate.crash_settings import CrashExperiment
-from leadseam.emulate.crashes import HEAD, CrashSimulation
+from leadseam.emulate.crashes import TABLE_HEADER, CrashSimulation
 from leadseam.emulate.crashes import render as render_crashes
 from leadseam.emulate.experiment import render, run_experiment
 from leadseam.emulate.settings import Experiment, with_variants
@@ -51,7 +51,7 @@
     fleets = with_variants(experiment.crashes, experiment.variants, str(path))
     if check:
         return
-    print(HEAD)
+    print(TABLE_HEADER)
     for name, cfg in fleets.items():
         tallies = [CrashSimulation(cfg, seed=seed).run() for seed in experiment.seeds]
         print(render_crashes(name, tallies), flush=True)
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -328,7 +328,7 @@
     )
 
 
-HEAD = (
+TABLE_HEADER = (
     "| variant | crashed by themselves | crashed by the deadly one, most of a seed"
     " | known everywhere after ms | good | answered | hit | of these answered"
     " | convicted | put off | rows |\n|---|---|---|---|---|---|---|---|---|---|---|"
