--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -24,7 +24,7 @@
 from leadseam.emulate.crashes import TABLE_HEADER, CrashSimulation
 from leadseam.emulate.crashes import render as render_crashes
 from leadseam.emulate.experiment import render, run_experiment
-from leadseam.emulate.settings import Experiment, with_variants
+from leadseam.emulate.settings import Experiment, expand_variants
 from leadseam.errors import SettingsError
 from leadseam.runtime.process import EXIT_USAGE
 from leadseam.settings.load import load_settings
@@ -48,7 +48,7 @@
 
 def _play_crashes(path: Path, *, check: bool) -> None:
     experiment = load_settings(path, CrashExperiment)
-    fleets = with_variants(experiment.crashes, experiment.variants, str(path))
+    fleets = expand_variants(experiment.crashes, experiment.variants, str(path))
     if check:
         return
     print(TABLE_HEADER)
--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -9,7 +9,7 @@
 
 from leadseam.clock import MILLIS_PER_SECOND
 from leadseam.emulate.fleet import play
-from leadseam.emulate.settings import with_variants
+from leadseam.emulate.settings import expand_variants
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -57,7 +57,7 @@
     Raises:
         SettingsError: If a variant is not a valid fleet.
     """
-    fleets = with_variants(experiment.fleet, experiment.variants, name)
+    fleets = expand_variants(experiment.fleet, experiment.variants, name)
     return [
         Compared(variant, tuple(outcome(cfg, seed) for seed in experiment.seeds))
         for variant, cfg in fleets.items()
--- a/src/leadseam/emulate/settings.py
+++ b/src/leadseam/emulate/settings.py
@@ -147,7 +147,7 @@
     variants: dict[str, dict[str, object]] = {}
 
 
-def with_variants(
+def expand_variants(
     given: Fleet, variants: dict[str, dict[str, object]], name: str
 ) -> dict[str, Fleet]:
     """Return the fleets of an experiment by variant, the one as given first.
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -11,7 +11,7 @@
 from leadseam.cli import emulate
 from leadseam.emulate.crash_settings import CrashExperiment, CrashFleet
 from leadseam.emulate.crashes import CrashSimulation, CrashTally, render
-from leadseam.emulate.settings import with_variants
+from leadseam.emulate.settings import expand_variants
 from leadseam.errors import SettingsError
 from leadseam.settings.load import load_settings, parse_settings
 
@@ -76,7 +76,7 @@
 
 def test_the_example_is_valid() -> None:
     experiment = load_settings(EXAMPLE, CrashExperiment)
-    fleets = with_variants(experiment.crashes, experiment.variants, str(EXAMPLE))
+    fleets = expand_variants(experiment.crashes, experiment.variants, str(EXAMPLE))
     assert fleets["347 entries"].entries == 347
 
 
@@ -84,7 +84,7 @@
     data = {"crashes": {}, "variants": {"none": {"upstreams": 0}}}
     experiment = parse_settings(data, CrashExperiment, "x.yaml")
     with pytest.raises(SettingsError, match=r"x.yaml: variant none: \$.upstreams"):
-        with_variants(experiment.crashes, experiment.variants, "x.yaml")
+        expand_variants(experiment.crashes, experiment.variants, "x.yaml")
 
 
 def test_the_command_prints_a_table(
