--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -14,7 +14,7 @@
 
 from leadseam.clock import sleep
 from leadseam.control.routes import CallerLimits, EngineProfile, PoolShare, Route
-from leadseam.emulate.callers import Callers
+from leadseam.emulate.callers import ArrivalGenerator
 from leadseam.emulate.engine import Engine, Run, later
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
@@ -100,7 +100,7 @@
     def __init__(self, cfg: FleetSettings, *, seed: int) -> None:
         self.tally = Tally()
         self._cfg = cfg
-        self._callers = Callers(cfg, seed)
+        self._arrivals = ArrivalGenerator(cfg, seed)
         self._rng = random.Random(-seed)
         self._clock = VirtualClock(cast(VirtualLoop, asyncio.get_running_loop()))
         rows = [_row(number, cfg) for number in range(cfg.engines)]
@@ -119,7 +119,7 @@
         for number in range(len(self._placers)):
             self._spawn(self._report(number))
         self._spawn(self._add_up())
-        for arrival in self._callers.arrivals():
+        for arrival in self._arrivals.arrivals():
             await sleep(max(arrival.at - self._clock.now(), 0))
             self._spawn(self._serve(arrival))
         await sleep(SETTLE)
