--- a/src/leadseam/emulate/callers.py
+++ b/src/leadseam/emulate/callers.py
@@ -13,7 +13,7 @@
     from collections.abc import Iterator
 
     from leadseam.clock import Millis
-    from leadseam.emulate.settings import FleetSettings, Kind
+    from leadseam.emulate.settings import FleetSettings, RequestKind
 
 
 OWN_TOKENS_SIGMA = 0.9
@@ -45,7 +45,7 @@
     at: Millis
     account: str
     entry: int
-    kind: Kind
+    kind: RequestKind
     req: RoutedRequest
     made: int
 
@@ -117,7 +117,7 @@
             made=made,
         )
 
-    def _make_request(self, kind: Kind, own: int) -> RoutedRequest:
+    def _make_request(self, kind: RequestKind, own: int) -> RoutedRequest:
         self._request_count += 1
         subject = self._rng.randrange(kind.subjects)
         parts = (
--- a/src/leadseam/emulate/crash_settings.py
+++ b/src/leadseam/emulate/crash_settings.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
-from leadseam.emulate.settings import Count, Positive, Span
+from leadseam.emulate.settings import NonNegativeInt, PositiveFloat, PositiveInt
 
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class CrashFleet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -37,25 +37,25 @@
         span: Milliseconds played.
     """
 
-    entries: Count = 20
-    upstreams: Count = 20
-    slots: Count = 12
-    rate: Positive = 100.0
-    run: Count = 1_000
-    first_byte: Part = 0.1
-    hot: Part = 0.0
-    attempts: Count = 2
-    patience: Count = 15_000
-    pause: Count = 300
-    deadly: Span = 0
-    deadly_pause: Count = 300
-    deadly_after: Count = 40
-    mass: Part = 0.0
-    down: tuple[Count, Count] = (1_000, 10_000)
-    certain: Count = 25
-    heard: Count = 30
+    entries: PositiveInt = 20
+    upstreams: PositiveInt = 20
+    slots: PositiveInt = 12
+    rate: PositiveFloat = 100.0
+    run: PositiveInt = 1_000
+    first_byte: Fraction = 0.1
+    hot: Fraction = 0.0
+    attempts: PositiveInt = 2
+    patience: PositiveInt = 15_000
+    pause: PositiveInt = 300
+    deadly: NonNegativeInt = 0
+    deadly_pause: PositiveInt = 300
+    deadly_after: PositiveInt = 40
+    mass: Fraction = 0.0
+    down: tuple[PositiveInt, PositiveInt] = (1_000, 10_000)
+    certain: PositiveInt = 25
+    heard: PositiveInt = 30
     alike: bool = False
-    span: Count = 60_000
+    span: PositiveInt = 60_000
 
 
 class CrashExperiment(
--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -36,7 +36,7 @@
 
     from leadseam.clock import Millis
     from leadseam.emulate.callers import Arrival
-    from leadseam.emulate.settings import FleetSettings, Kind
+    from leadseam.emulate.settings import FleetSettings, RequestKind
     from leadseam.feed.client import FeedClient
     from leadseam.routing.flight import Flight
     from leadseam.routing.scope import Regions
@@ -259,7 +259,7 @@
     )
 
 
-def _route(kind: Kind) -> Route:
+def _route(kind: RequestKind) -> Route:
     return Route(
         name=kind.name,
         host="emulated",
--- a/src/leadseam/emulate/settings.py
+++ b/src/leadseam/emulate/settings.py
@@ -9,13 +9,13 @@
 
 from leadseam.settings.load import parse_settings
 
-AS_GIVEN = "as given"
+BASE_VARIANT = "as given"
 """Name of the fleet without a variant's changes."""
 
 Fleet = TypeVar("Fleet", bound=msgspec.Struct)
-Count = Annotated[int, Meta(ge=1)]
-Span = Annotated[int, Meta(ge=0)]
-Positive = Annotated[float, Meta(gt=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
 
 
 class EngineSpeed(
@@ -31,14 +31,16 @@
         parts_kept: Prompt parts kept in memory; the one unused longest goes first.
     """
 
-    slots: Count = 12
-    read_per_ms: Positive = 157.0
-    step_ms: Positive = 3.55
-    memory_tokens: Count = 559_032
-    parts_kept: Count = 60
+    slots: PositiveInt = 12
+    read_per_ms: PositiveFloat = 157.0
+    step_ms: PositiveFloat = 3.55
+    memory_tokens: PositiveInt = 559_032
+    parts_kept: PositiveInt = 60
 
 
-class Kind(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class RequestKind(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
+):
     """A kind of request.
 
     Args:
@@ -55,15 +57,15 @@
     """
 
     name: str
-    weight: Positive
-    shared: Count
-    own: Count
-    made: Count
-    objective: Count
-    patience: Count
-    worth: Positive
+    weight: PositiveFloat
+    shared: PositiveInt
+    own: PositiveInt
+    made: PositiveInt
+    objective: PositiveInt
+    patience: PositiveInt
+    worth: PositiveFloat
     late: float
-    subjects: Count
+    subjects: PositiveInt
 
 
 class Flood(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -76,13 +78,15 @@
         times: How many times the usual.
     """
 
-    account: Span
-    at: Span
-    span: Count
-    times: Positive
+    account: NonNegativeInt
+    at: NonNegativeInt
+    span: PositiveInt
+    times: PositiveFloat
 
 
-class Spell(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class RefusalPeriod(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
+):
     """Some engines turn all requests away for a while and ask for pauses.
 
     Args:
@@ -92,10 +96,10 @@
         pause: Milliseconds in which an engine wants nothing more from an entry.
     """
 
-    engines: Count
-    at: Span
-    span: Count
-    pause: Count = 3_000
+    engines: PositiveInt
+    at: NonNegativeInt
+    span: PositiveInt
+    pause: PositiveInt = 3_000
 
 
 class FleetSettings(
@@ -119,18 +123,18 @@
         span: Milliseconds played.
     """
 
-    kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)]
-    entries: Count = 68
-    engines: Count = 39
-    accounts: Count = 60
-    rate: Positive = 723.0
-    stated: Count = 1_200_000
+    kinds: Annotated[tuple[RequestKind, ...], Meta(min_length=1)]
+    entries: PositiveInt = 68
+    engines: PositiveInt = 39
+    accounts: PositiveInt = 60
+    rate: PositiveFloat = 723.0
+    stated: PositiveInt = 1_200_000
     engine: EngineSpeed = EngineSpeed()
-    interval: Span = 0
+    interval: NonNegativeInt = 0
     floods: tuple[Flood, ...] = ()
-    crowded: Span = 0
-    spells: tuple[Spell, ...] = ()
-    span: Count = 10_000
+    crowded: NonNegativeInt = 0
+    spells: tuple[RefusalPeriod, ...] = ()
+    span: PositiveInt = 10_000
 
 
 class Experiment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -148,7 +152,7 @@
 
 
 def expand_variants(
-    given: Fleet, variants: dict[str, dict[str, object]], name: str
+    base: Fleet, variants: dict[str, dict[str, object]], name: str
 ) -> dict[str, Fleet]:
     """Return the fleets of an experiment by variant, the one as given first.
 
@@ -160,9 +164,9 @@
     Raises:
         SettingsError: If a variant is not a valid fleet.
     """
-    fleets = {AS_GIVEN: given}
-    for variant, changes in variants.items():
-        data = msgspec.to_builtins(given) | changes
+    fleets = {BASE_VARIANT: base}
+    for variant, overrides in variants.items():
+        data = msgspec.to_builtins(base) | overrides
         where = f"{name}: variant {variant}"
-        fleets[variant] = parse_settings(data, type(given), where)
+        fleets[variant] = parse_settings(data, type(base), where)
     return fleets
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -15,7 +15,7 @@
     render,
     run_experiment,
 )
-from leadseam.emulate.settings import AS_GIVEN, Experiment
+from leadseam.emulate.settings import BASE_VARIANT, Experiment
 from leadseam.errors import SettingsError
 from leadseam.runtime.process import EXIT_USAGE
 from leadseam.settings.load import load_settings, parse_settings
@@ -54,7 +54,7 @@
 def test_every_variant_is_played_with_every_seed() -> None:
     experiment = parse_settings(SMALL, Experiment, "small.yaml")
     compared = run_experiment(experiment, "small.yaml")
-    assert [one.name for one in compared] == [AS_GIVEN, "one engine"]
+    assert [one.name for one in compared] == [BASE_VARIANT, "one engine"]
     assert [len(one.outcomes) for one in compared] == [2, 2]
     assert compared[1].outcomes[0].busy > compared[0].outcomes[0].busy
 
@@ -74,7 +74,7 @@
     assert half_interval([0.01, 0.03]) == pytest.approx(12.71 * 0.01)
     table = render(
         [
-            Compared(AS_GIVEN, outcomes(0.80, 0.90)),
+            Compared(BASE_VARIANT, outcomes(0.80, 0.90)),
             Compared("other", outcomes(0.82, 0.92)),
         ]
     )
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -21,7 +21,7 @@
 import pytest
 
 from leadseam.emulate.fleet import play
-from leadseam.emulate.settings import EngineSpeed, FleetSettings, Flood, Kind
+from leadseam.emulate.settings import EngineSpeed, FleetSettings, Flood, RequestKind
 
 if TYPE_CHECKING:
     from leadseam.emulate.tally import Tally
@@ -55,7 +55,7 @@
     "late",
 )
 KINDS = tuple(
-    Kind(**dict(zip(FIELDS, row, strict=True)), subjects=SUBJECTS)  # type: ignore[arg-type]
+    RequestKind(**dict(zip(FIELDS, row, strict=True)), subjects=SUBJECTS)  # type: ignore[arg-type]
     for row in MIX
 )
 FLOODING = range(0, 14, 2)
--- a/tests/emulate/test_spells.py
+++ b/tests/emulate/test_spells.py
@@ -6,7 +6,7 @@
 
 from leadseam.emulate.experiment import outcome
 from leadseam.emulate.fleet import play
-from leadseam.emulate.settings import EngineSpeed, FleetSettings, Spell
+from leadseam.emulate.settings import EngineSpeed, FleetSettings, RefusalPeriod
 from tests.emulate.test_shares import KINDS
 
 ENGINE = EngineSpeed(
@@ -22,7 +22,7 @@
     stated=900_000,
     engine=ENGINE,
 )
-SPELL = Spell(engines=8, at=1_000, span=4_000, pause=3_000)
+SPELL = RefusalPeriod(engines=8, at=1_000, span=4_000, pause=3_000)
 
 
 def test_callers_lose_next_to_nothing_while_two_fifths_of_the_engines_rest() -> None:
