--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -27,14 +27,14 @@
     from leadseam.emulate.crash_settings import CrashFleet
     from leadseam.wire.crashes import CrashRow
 
-    Act = Callable[[], None]
+    Action = Callable[[], None]
 
-RUN_SPREAD = 0.6
+RUN_TIME_SIGMA = 0.6
 """Standard deviation of the logarithm of a good request's time."""
-MASS_INTERVAL: Millis = 100
+BACKGROUND_CRASH_INTERVAL: Millis = 100
 """Time between two draws of upstreams that crash by themselves."""
-DEADLY = Suspect("deadly", "account", 7)
-HOT = Suspect("hot", "account", 7)
+DEADLY_REQUEST = Suspect("deadly", "account", 7)
+HOT_REQUEST = Suspect("hot", "account", 7)
 
 
 @dataclass(slots=True)
@@ -71,15 +71,15 @@
     """One request of a caller until it is answered or given up."""
 
     suspect: Suspect
-    until: Millis
+    deadline: Millis
     run: Millis
     sends: int = 0
     hit: bool = False
-    over: bool = False
+    finished: bool = False
 
     @property
     def deadly(self) -> bool:
-        return self.suspect is DEADLY
+        return self.suspect is DEADLY_REQUEST
 
 
 @dataclass(slots=True, eq=False)
@@ -90,7 +90,7 @@
     entry: int
     number: int
     sent: Millis
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -118,12 +118,14 @@
         self._cfg = cfg
         self._rng = random.Random(seed)
         self._now: Millis = 0
-        self._order = itertools.count()
-        self._due: list[tuple[Millis, int, Act]] = []
-        self._names = itertools.count(1)
-        self._upstreams = [_Upstream(self._start()) for _ in range(cfg.upstreams)]
+        self._sequence = itertools.count()
+        self._event_queue: list[tuple[Millis, int, Action]] = []
+        self._incarnation_numbers = itertools.count(1)
+        self._upstreams = [
+            _Upstream(self._new_incarnation()) for _ in range(cfg.upstreams)
+        ]
         self._entries = [Suspects() for _ in range(cfg.entries)]
-        self._book = CrashTable()
+        self._replica_table = CrashTable()
         self._first_crash: Millis = -1
 
     def __repr__(self) -> str:
@@ -131,55 +133,57 @@
 
     def run(self) -> CrashTally:
         """Play the settings' span, and let all that is under way end."""
-        self._later(0, self._arrive)
+        self._schedule(0, self._generate_request)
         if self._cfg.mass:
-            self._later(MASS_INTERVAL, self._draw_crashes)
+            self._schedule(BACKGROUND_CRASH_INTERVAL, self._draw_background_crashes)
         for _ in range(self._cfg.deadly):
-            call = _Call(DEADLY, self._cfg.span, self._cfg.deadly_after)
-            self._later(self._rng.randrange(1_000), self._sender(call))
-        while self._due:
-            self._now, _, act = heapq.heappop(self._due)
-            act()
+            call = _Call(DEADLY_REQUEST, self._cfg.span, self._cfg.deadly_after)
+            self._schedule(self._rng.randrange(1_000), self._send_action(call))
+        while self._event_queue:
+            self._now, _, action = heapq.heappop(self._event_queue)
+            action()
         return self.tally
 
-    def _later(self, delay: Millis, act: Act) -> None:
-        heapq.heappush(self._due, (self._now + delay, next(self._order), act))
+    def _schedule(self, delay: Millis, action: Action) -> None:
+        heapq.heappush(
+            self._event_queue, (self._now + delay, next(self._sequence), action)
+        )
 
-    def _start(self) -> Incarnation:
-        return Incarnation(f"u-{next(self._names)}")
+    def _new_incarnation(self) -> Incarnation:
+        return Incarnation(f"u-{next(self._incarnation_numbers)}")
 
     # Callers
 
-    def _arrive(self) -> None:
+    def _generate_request(self) -> None:
         """Have a good request arrive, and the next one later."""
         if self._now >= self._cfg.span:
             return
         gap = self._rng.expovariate(self._cfg.rate) * MILLIS_PER_SECOND
-        self._later(round(gap), self._arrive)
+        self._schedule(round(gap), self._generate_request)
         self.tally.good += 1
-        suspect = HOT
+        suspect = HOT_REQUEST
         if self._rng.random() >= self._cfg.hot:
             suspect = Suspect(f"good-{self.tally.good}", "account", 7)
-        run = self._cfg.run * self._rng.lognormvariate(0, RUN_SPREAD)
+        run = self._cfg.run * self._rng.lognormvariate(0, RUN_TIME_SIGMA)
         self._send(_Call(suspect, self._now + self._cfg.patience, round(run) + 1))
 
-    def _sender(self, call: _Call) -> Act:
+    def _send_action(self, call: _Call) -> Action:
         return lambda: self._send(call)
 
     def _send(self, call: _Call) -> None:
         """Send a request through an entry, unless its caller has given up."""
-        if self._now >= call.until:
+        if self._now >= call.deadline:
             return
         call.sends += 1
-        self._try(call, self._rng.randrange(self._cfg.entries), 1)
+        self._start_attempt(call, self._rng.randrange(self._cfg.entries), 1)
 
-    def _come_back(self, call: _Call) -> None:
+    def _schedule_retry(self, call: _Call) -> None:
         pause = self._cfg.deadly_pause if call.deadly else self._cfg.pause
-        self._later(pause, self._sender(call))
+        self._schedule(pause, self._send_action(call))
 
     # Entries
 
-    def _try(self, call: _Call, entry: int, number: int) -> None:
+    def _start_attempt(self, call: _Call, entry: int, number: int) -> None:
         """Send an attempt to the least loaded upstream, if it may be."""
         suspects = self._entries[entry]
         if suspects.table.convicts(call.suspect.fingerprint):
@@ -187,7 +191,7 @@
             return
         if suspects.would_be_convicted(call.suspect):
             self.tally.put_off += not call.deadly
-            self._come_back(call)
+            self._schedule_retry(call)
             return
         free = [
             one
@@ -195,24 +199,26 @@
             if one.up and len(one.running) < self._cfg.slots
         ]
         if not free:
-            self._come_back(call)
+            self._schedule_retry(call)
             return
-        least = min(len(one.running) for one in free)
-        upstream = self._rng.choice([one for one in free if len(one.running) == least])
+        lowest_load = min(len(one.running) for one in free)
+        upstream = self._rng.choice(
+            [one for one in free if len(one.running) == lowest_load]
+        )
         attempt = _Attempt(call, entry, number, self._now)
         upstream.running.append(attempt)
-        self._later(call.run, lambda: self._end(upstream, attempt))
+        self._schedule(call.run, lambda: self._complete_attempt(upstream, attempt))
 
     def _refuse(self, call: _Call) -> None:
         if call.deadly:
-            self._come_back(call)
+            self._schedule_retry(call)
             return
-        self.tally.convicted += not call.over
-        call.over = True
+        self.tally.convicted += not call.finished
+        call.finished = True
 
-    def _end(self, upstream: _Upstream, attempt: _Attempt) -> None:
+    def _complete_attempt(self, upstream: _Upstream, attempt: _Attempt) -> None:
         """End an attempt in good order, or with its upstream."""
-        if attempt.over:
+        if attempt.finished:
             return
         if attempt.call.deadly:
             self.tally.crashes += 1
@@ -220,22 +226,22 @@
                 self._first_crash = self._now
             self._crash(upstream)
             return
-        attempt.over = True
+        attempt.finished = True
         upstream.running.remove(attempt)
         self.tally.answered += 1
         self.tally.hit_answered += attempt.call.hit
         entry = self._entries[attempt.entry]
         row = entry.acquit(attempt.call.suspect, self._now)
         if row is not None:
-            self._tell((row,))
+            self._report_rows((row,))
 
     # Upstreams
 
-    def _draw_crashes(self) -> None:
+    def _draw_background_crashes(self) -> None:
         if self._now >= self._cfg.span:
             return
-        self._later(MASS_INTERVAL, self._draw_crashes)
-        chance = self._cfg.mass * MASS_INTERVAL / MILLIS_PER_SECOND
+        self._schedule(BACKGROUND_CRASH_INTERVAL, self._draw_background_crashes)
+        chance = self._cfg.mass * BACKGROUND_CRASH_INTERVAL / MILLIS_PER_SECOND
         for upstream in self._upstreams:
             if upstream.up and self._rng.random() < chance:
                 self.tally.by_themselves += 1
@@ -245,20 +251,25 @@
         upstream.up = False
         ended, upstream.running = upstream.running, []
         incarnation = upstream.incarnation
-        seen = sorted({attempt.entry for attempt in ended})
+        affected_entries = sorted({attempt.entry for attempt in ended})
         for attempt in ended:
-            self._break(attempt, incarnation)
-        for entry in seen:
-            self._later(self._cfg.certain, lambda e=entry: self._learn(e, incarnation))  # type: ignore[misc]
-        self._later(self._rng.randint(*self._cfg.down), lambda: self._back(upstream))
+            self._fail_attempt(attempt, incarnation)
+        for entry in affected_entries:
+            self._schedule(
+                self._cfg.certain,
+                lambda e=entry: self._confirm(e, incarnation),  # type: ignore[misc]
+            )
+        self._schedule(
+            self._rng.randint(*self._cfg.down), lambda: self._restart(upstream)
+        )
 
-    def _back(self, upstream: _Upstream) -> None:
-        upstream.incarnation = self._start()
+    def _restart(self, upstream: _Upstream) -> None:
+        upstream.incarnation = self._new_incarnation()
         upstream.up = True
 
-    def _break(self, attempt: _Attempt, incarnation: Incarnation) -> None:
+    def _fail_attempt(self, attempt: _Attempt, incarnation: Incarnation) -> None:
         """Note an attempt that broke, and make the next one."""
-        attempt.over = True
+        attempt.finished = True
         call = attempt.call
         if not call.deadly and not call.hit:
             call.hit = True
@@ -268,9 +279,9 @@
         )
         if attempt.number < self._cfg.attempts:
             number = attempt.number + 1
-            self._later(1, lambda: self._try(call, attempt.entry, number))
+            self._schedule(1, lambda: self._start_attempt(call, attempt.entry, number))
         else:
-            self._come_back(call)
+            self._schedule_retry(call)
 
     def _is_early(self, attempt: _Attempt) -> bool:
         if self._cfg.alike:
@@ -283,32 +294,32 @@
 
     # What is told
 
-    def _learn(self, entry: int, incarnation: Incarnation) -> None:
-        self._tell(self._entries[entry].ended(incarnation, self._now).rows)
-        self._look_whether_known()
+    def _confirm(self, entry: int, incarnation: Incarnation) -> None:
+        self._report_rows(self._entries[entry].ended(incarnation, self._now).rows)
+        self._check_known_everywhere()
 
-    def _tell(self, rows: tuple[CrashRow, ...]) -> None:
+    def _report_rows(self, rows: tuple[CrashRow, ...]) -> None:
         """Merge rows at the replica, and have all entries hear what is news."""
         self.tally.rows += len(rows)
-        merged = [self._book.merge(row, self._now) for row in rows]
-        told = [row for row in merged if row is not None and _is_told(row)]
-        if told:
-            self._later(self._cfg.heard, lambda: self._hear(told))
+        merged = [self._replica_table.merge(row, self._now) for row in rows]
+        reported = [row for row in merged if row is not None and _is_reported(row)]
+        if reported:
+            self._schedule(self._cfg.heard, lambda: self._deliver_rows(reported))
 
-    def _hear(self, rows: list[CrashRow]) -> None:
+    def _deliver_rows(self, rows: list[CrashRow]) -> None:
         self.tally.rows += len(rows) * len(self._entries)
         for suspects in self._entries:
             suspects.merge_reports(rows, self._now)
-        self._look_whether_known()
+        self._check_known_everywhere()
 
-    def _look_whether_known(self) -> None:
+    def _check_known_everywhere(self) -> None:
         if self.tally.known_after >= 0 or self._first_crash < 0:
             return
-        if all(one.table.convicts(DEADLY.fingerprint) for one in self._entries):
+        if all(one.table.convicts(DEADLY_REQUEST.fingerprint) for one in self._entries):
             self.tally.known_after = self._now - self._first_crash
 
 
-def _is_told(row: CrashRow) -> bool:
+def _is_reported(row: CrashRow) -> bool:
     return len(row.counted) >= REPORT_THRESHOLD or bool(row.void)
 
 
