--- a/src/leadseam/emulate/engine.py
+++ b/src/leadseam/emulate/engine.py
@@ -60,60 +60,62 @@
         self._speed = speed
         self._running = 0
         self._queue: deque[Run] = deque()
-        self._reader_free = 0.0
-        self._parts: OrderedDict[str, None] = OrderedDict()
+        self._prefill_free_at = 0.0
+        self._cached_parts: OrderedDict[str, None] = OrderedDict()
         self._loop = asyncio.get_running_loop()
 
     def __repr__(self) -> str:
         return f"Engine({self.row.instance}, running={self._running})"
 
-    def take(self, run: Run) -> bool:
+    def submit(self, run: Run) -> bool:
         """Take a request; return False if the queue is full."""
         if self._running < self._speed.slots:
-            self._begin(run)
+            self._start(run)
             return True
         if len(self._queue) >= MAX_QUEUED:
             return False
         self._queue.append(run)
         return True
 
-    def _begin(self, run: Run) -> None:
+    def _start(self, run: Run) -> None:
         self._running += 1
         now = self._loop.time()
-        reading = self._read(run.req) / self._speed.read_per_ms
-        first = max(now, self._reader_free) + seconds_of(reading)
-        self._reader_free = first
-        self._loop.call_at(first + seconds_of(self._speed.step_ms), run.on_first)
-        last = first + seconds_of(self._speed.step_ms * run.made)
-        self.busy_ms += (last - now) * MILLIS_PER_SECOND
-        self._loop.call_at(last, self._end, run)
-
-    def _end(self, run: Run) -> None:
+        prefill_ms = self._prefill(run.req) / self._speed.read_per_ms
+        prefill_end = max(now, self._prefill_free_at) + millis_to_seconds(prefill_ms)
+        self._prefill_free_at = prefill_end
+        self._loop.call_at(
+            prefill_end + millis_to_seconds(self._speed.step_ms), run.on_first
+        )
+        decode_end = prefill_end + millis_to_seconds(self._speed.step_ms * run.made)
+        self.busy_ms += (decode_end - now) * MILLIS_PER_SECOND
+        self._loop.call_at(decode_end, self._finish, run)
+
+    def _finish(self, run: Run) -> None:
         self._running -= 1
         if self._queue:
-            self._begin(self._queue.popleft())
+            self._start(self._queue.popleft())
         run.on_end()
 
-    def _read(self, req: RoutedRequest) -> int:
+    def _prefill(self, req: RoutedRequest) -> int:
         """Return the prompt tokens to be read, and keep the parts."""
         unread = 0
-        held = True
+        prefix_cached = True
         for part in req.parts:
-            held = held and part.identity in self._parts
-            unread += 0 if held else part.tokens
-            self._parts[part.identity] = None
-            self._parts.move_to_end(part.identity)
-        while len(self._parts) > self._speed.parts_kept:
-            self._parts.popitem(last=False)
+            prefix_cached = prefix_cached and part.identity in self._cached_parts
+            unread += 0 if prefix_cached else part.tokens
+            self._cached_parts[part.identity] = None
+            self._cached_parts.move_to_end(part.identity)
+        while len(self._cached_parts) > self._speed.parts_kept:
+            self._cached_parts.popitem(last=False)
         self.tokens_read += unread
         return unread
 
 
-def seconds_of(millis: float) -> float:
+def millis_to_seconds(millis: float) -> float:
     """Return a span of fractional milliseconds in seconds."""
     return millis / MILLIS_PER_SECOND
 
 
-def later(delay: Millis, call: Callable[[], None]) -> None:
+def call_after(delay: Millis, call: Callable[[], None]) -> None:
     """Call something after a delay of the running loop."""
     asyncio.get_running_loop().call_later(seconds(delay), call)
--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -15,7 +15,7 @@
 from leadseam.clock import sleep
 from leadseam.control.routes import CallerLimits, EngineProfile, PoolShare, Route
 from leadseam.emulate.callers import ArrivalGenerator
-from leadseam.emulate.engine import Engine, Run, later
+from leadseam.emulate.engine import Engine, Run, call_after
 from leadseam.emulate.tally import Tally
 from leadseam.emulate.virtual import VirtualClock, VirtualLoop
 from leadseam.feed.entry_count import EntryCount
@@ -194,17 +194,17 @@
             self.tally.answered(arrival, service, now, in_time=in_time)
 
         def arrive() -> None:
-            if not self.engines[flight.upstream.incarnation].take(run):
+            if not self.engines[flight.upstream.incarnation].submit(run):
                 self.tally.ends["engine full"] += 1
                 flight.end()
 
         run = Run(
             arrival.req,
             arrival.made,
-            on_first=lambda: later(HOP, first),
-            on_end=lambda: later(HOP, flight.end),
+            on_first=lambda: call_after(HOP, first),
+            on_end=lambda: call_after(HOP, flight.end),
         )
-        later(HOP, arrive)
+        call_after(HOP, arrive)
 
     # Shared sums
 
--- a/tests/emulate/test_engine.py
+++ b/tests/emulate/test_engine.py
@@ -22,42 +22,42 @@
     return replace(make_request(), parts=parts)
 
 
-def play(*names: str) -> tuple[list[tuple[str, str, int]], Engine, list[bool]]:
+def simulate(*names: str) -> tuple[list[tuple[str, str, int]], Engine, list[bool]]:
     """Send requests at once; return what happened when, the engine, what it took."""
-    seen: list[tuple[str, str, int]] = []
+    events: list[tuple[str, str, int]] = []
     loop = VirtualLoop()
     clock = VirtualClock(loop)
 
-    def note(what: str, name: str) -> None:
-        seen.append((what, name, clock.now()))
+    def record(what: str, name: str) -> None:
+        events.append((what, name, clock.now()))
 
     async def run() -> tuple[Engine, list[bool]]:
         engine = Engine(make_upstream(1), SPEED)
-        taken = [
-            engine.take(
+        accepted = [
+            engine.submit(
                 Run(
                     make_prompt(name),
                     5,
-                    on_first=lambda name=name: note("first", name),  # type: ignore[misc]
-                    on_end=lambda name=name: note("end", name),  # type: ignore[misc]
+                    on_first=lambda name=name: record("first", name),  # type: ignore[misc]
+                    on_end=lambda name=name: record("end", name),  # type: ignore[misc]
                 )
             )
             for name in names
         ]
         await asyncio.sleep(3_600)
-        return engine, taken
+        return engine, accepted
 
     try:
-        engine, taken = loop.run_until_complete(run())
+        engine, accepted = loop.run_until_complete(run())
     finally:
         loop.close()
-    return seen, engine, taken
+    return events, engine, accepted
 
 
 def test_a_request_is_read_then_made_and_the_next_one_waits_for_its_slot() -> None:
-    seen, engine, _ = play("a", "b")
+    events, engine, _ = simulate("a", "b")
     # 300 tokens read and a step; five steps; then 200, for the shared part is kept.
-    assert seen == [
+    assert events == [
         ("first", "a", 32),
         ("end", "a", 40),
         ("first", "b", 62),
@@ -69,6 +69,6 @@
 
 def test_a_full_queue_takes_nothing_more() -> None:
     names = [f"r{number}" for number in range(MAX_QUEUED + 2)]
-    seen, _, taken = play(*names)
-    assert taken == [True] * (MAX_QUEUED + 1) + [False]
-    assert [name for what, name, _ in seen if what == "end"] == names[:-1]
+    events, _, accepted = simulate(*names)
+    assert accepted == [True] * (MAX_QUEUED + 1) + [False]
+    assert [name for what, name, _ in events if what == "end"] == names[:-1]
