--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -16,7 +16,7 @@
 
     from leadseam.emulate.settings import Experiment, FleetSettings
 
-STUDENT_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
+STUDENT_T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
 """Factor of the 95% interval of a mean of 2, 3, ... 10 values; 2 beyond."""
 
 
@@ -40,14 +40,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
+class VariantOutcomes:
     """The plays of one variant, in the order of the seeds."""
 
     name: str
     outcomes: tuple[Outcome, ...]
 
 
-def run_experiment(experiment: Experiment, name: str) -> list[Compared]:
+def run_experiment(experiment: Experiment, name: str) -> list[VariantOutcomes]:
     """Play every variant with every seed, the fleet as given first.
 
     Args:
@@ -59,7 +59,7 @@
     """
     fleets = expand_variants(experiment.fleet, experiment.variants, name)
     return [
-        Compared(variant, tuple(outcome(cfg, seed) for seed in experiment.seeds))
+        VariantOutcomes(variant, tuple(outcome(cfg, seed) for seed in experiment.seeds))
         for variant, cfg in fleets.items()
     ]
 
@@ -80,16 +80,16 @@
     )
 
 
-def half_interval(values: Sequence[float]) -> float:
+def confidence_half_width(values: Sequence[float]) -> float:
     """Return half of the 95% interval of the mean; 0 of a single value."""
     if len(values) < 2:
         return 0.0
     position = len(values) - 2
-    factor = STUDENT_95[position] if position < len(STUDENT_95) else 2.0
+    factor = STUDENT_T_95[position] if position < len(STUDENT_T_95) else 2.0
     return factor * stdev(values) / sqrt(len(values))
 
 
-def render(compared: Iterable[Compared]) -> str:
+def render(compared: Iterable[VariantOutcomes]) -> str:
     """Return the comparison as a table, with differences of pairs of the same seed."""
     rows = list(compared)
     base = [one.worth for one in rows[0].outcomes]
@@ -99,7 +99,7 @@
         gains = [one.worth - before for one, before in pairs]
         lines.append(
             f"{row.name:24}   {mean(one.worth for one in row.outcomes):.3f}"
-            f"   {mean(gains):+.3f} +- {half_interval(gains):.3f}"
+            f"   {mean(gains):+.3f} +- {confidence_half_width(gains):.3f}"
             f"   {mean(one.worst for one in row.outcomes):.3f}"
             f"    {mean(one.refused for one in row.outcomes):.3f}"
             f"  {mean(one.begun for one in row.outcomes):7.0f}"
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -9,9 +9,9 @@
 
 from leadseam.cli import emulate
 from leadseam.emulate.experiment import (
-    Compared,
     Outcome,
-    half_interval,
+    VariantOutcomes,
+    confidence_half_width,
     render,
     run_experiment,
 )
@@ -70,12 +70,12 @@
     def outcomes(*worths: float) -> tuple[Outcome, ...]:
         return tuple(Outcome(worth, 0.5, 0.1, 1_000, 0.8) for worth in worths)
 
-    assert half_interval([0.02]) == 0
-    assert half_interval([0.01, 0.03]) == pytest.approx(12.71 * 0.01)
+    assert confidence_half_width([0.02]) == 0
+    assert confidence_half_width([0.01, 0.03]) == pytest.approx(12.71 * 0.01)
     table = render(
         [
-            Compared(BASE_VARIANT, outcomes(0.80, 0.90)),
-            Compared("other", outcomes(0.82, 0.92)),
+            VariantOutcomes(BASE_VARIANT, outcomes(0.80, 0.90)),
+            VariantOutcomes("other", outcomes(0.82, 0.92)),
         ]
     )
     assert table.splitlines()[2].split() == [
