--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import MILLIS_PER_SECOND
-from leadseam.emulate.fleet import play
+from leadseam.emulate.fleet import simulate_fleet
 from leadseam.emulate.settings import expand_variants
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
 
 def outcome(cfg: FleetSettings, seed: int) -> Outcome:
     """Play a fleet once."""
-    fleet = play(cfg, seed=seed)
+    fleet = simulate_fleet(cfg, seed=seed)
     tally = fleet.tally
     span = cfg.span / MILLIS_PER_SECOND
     capacity = round(cfg.stated * span)
--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -42,25 +42,25 @@
     from leadseam.routing.scope import Regions
 
 POOL = "emulated"
-HOP: Millis = 1
+HOP_LATENCY: Millis = 1
 """Time from box to box: 1 to 2 ms between failure domains."""
-SETTLE: Millis = 4_000
+DRAIN_TIME: Millis = 4_000
 """Time after the last arrival in which second tries come and go."""
-IPS_PER_NET = 250
+ADDRESSES_PER_SUBNET = 250
 
 
 @dataclass(frozen=True, slots=True)
-class _Pool:
+class _PoolStub:
     engine: EngineProfile
 
 
 @dataclass(frozen=True, slots=True)
-class _Configured:
+class _ConfigurationStub:
     limits: CallerLimits
-    pools: dict[str, _Pool]
+    pools: dict[str, _PoolStub]
 
 
-class _View:
+class _ViewStub:
     def __init__(self, rows: Sequence[Registration]) -> None:
         self._rows = rows
 
@@ -77,16 +77,16 @@
         return 1.0
 
 
-class _Feed:
+class _FeedStub:
     """The part of a feed that placing asks for."""
 
     def __init__(self, rows: Sequence[Registration], cfg: FleetSettings) -> None:
         speed = cfg.engine
         profile = EngineProfile(slots=speed.slots, memory_tokens=speed.memory_tokens)
         limits = CallerLimits(tokens_per_s=cfg.stated)
-        self.view = _View(rows)
+        self.view = _ViewStub(rows)
         self.entries = EntryCount()
-        self.configuration = _Configured(limits, {POOL: _Pool(profile)})
+        self.configuration = _ConfigurationStub(limits, {POOL: _PoolStub(profile)})
 
 
 class Fleet:
@@ -103,12 +103,12 @@
         self._arrivals = ArrivalGenerator(cfg, seed)
         self._rng = random.Random(-seed)
         self._clock = VirtualClock(cast(VirtualLoop, asyncio.get_running_loop()))
-        rows = [_row(number, cfg) for number in range(cfg.engines)]
+        rows = [_make_registration(number, cfg) for number in range(cfg.engines)]
         self.engines = {row.incarnation: Engine(row, cfg.engine) for row in rows}
-        feed = cast("FeedClient", _Feed(rows, cfg))
+        feed = cast("FeedClient", _FeedStub(rows, cfg))
         self._placers = [self._placer(feed) for _ in range(cfg.entries)]
-        self._routes = {kind.name: _route(kind) for kind in cfg.kinds}
-        self._summer = LoadAggregator()
+        self._routes = {kind.name: _make_route(kind) for kind in cfg.kinds}
+        self._aggregator = LoadAggregator()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
@@ -117,12 +117,12 @@
     async def run(self) -> Tally:
         """Play the settings' span and return what callers got."""
         for number in range(len(self._placers)):
-            self._spawn(self._report(number))
-        self._spawn(self._add_up())
+            self._spawn(self._report_load(number))
+        self._spawn(self._aggregate_loads())
         for arrival in self._arrivals.arrivals():
             await sleep(max(arrival.at - self._clock.now(), 0))
             self._spawn(self._serve(arrival))
-        await sleep(SETTLE)
+        await sleep(DRAIN_TIME)
         for task in self._tasks:
             task.cancel()
         return self.tally
@@ -137,16 +137,18 @@
         """Send a request, and once more to another entry if it is refused."""
         self.tally.arrived(arrival, expected_service(arrival.req))
         deadline = self._clock.now() + arrival.kind.patience
-        if await self._try(arrival, arrival.entry, deadline):
+        if await self._attempt_entry(arrival, arrival.entry, deadline):
             return
-        left = deadline - self._clock.now()
-        pause = min(round(left * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
+        remaining = deadline - self._clock.now()
+        pause = min(round(remaining * RETRY_AFTER_SHARE), MAX_RETRY_PAUSE)
         await sleep(self._rng.randint(pause // 2, pause))
         other = self._rng.randrange(self._cfg.entries)
-        if not await self._try(arrival, other, deadline):
+        if not await self._attempt_entry(arrival, other, deadline):
             self.tally.ends["refused"] += 1
 
-    async def _try(self, arrival: Arrival, entry: int, deadline: Millis) -> bool:
+    async def _attempt_entry(
+        self, arrival: Arrival, entry: int, deadline: Millis
+    ) -> bool:
         placer = self._placers[entry]
         now = self._clock.now()
         admitted = AdmittedRequest(
@@ -164,27 +166,27 @@
             flight = await placer.place(admitted, tried, again=bool(tried))
             if isinstance(flight, Reason):
                 return False
-            pause = self._pause_asked(flight)
+            pause = self._requested_pause(flight)
             if not pause:
-                self._send(arrival, flight, placer)
+                self._send_to_engine(arrival, flight, placer)
                 return True
-            await sleep(2 * HOP)
+            await sleep(2 * HOP_LATENCY)
             self.tally.ends["turned away"] += 1
             tried.add(flight.upstream.incarnation)
             flight.end()
             placer.pause(flight.upstream, pause)
         return False
 
-    def _pause_asked(self, flight: Flight) -> Millis:
+    def _requested_pause(self, flight: Flight) -> Millis:
         """Return the pause for which the engine of a flight asks; 0 if it runs it."""
         now = self._clock.now()
         number = list(self.engines).index(flight.upstream.incarnation)
-        for spell in self._cfg.spells:
-            if number < spell.engines and spell.at <= now < spell.at + spell.span:
-                return spell.pause
+        for period in self._cfg.spells:
+            if number < period.engines and period.at <= now < period.at + period.span:
+                return period.pause
         return 0
 
-    def _send(self, arrival: Arrival, flight: Flight, placer: Placer) -> None:
+    def _send_to_engine(self, arrival: Arrival, flight: Flight, placer: Placer) -> None:
         def first() -> None:
             flight.first_byte()
             now = self._clock.now()
@@ -193,7 +195,7 @@
             service = expected_service(arrival.req)
             self.tally.answered(arrival, service, now, in_time=in_time)
 
-        def arrive() -> None:
+        def deliver() -> None:
             if not self.engines[flight.upstream.incarnation].submit(run):
                 self.tally.ends["engine full"] += 1
                 flight.end()
@@ -201,26 +203,26 @@
         run = Run(
             arrival.req,
             arrival.made,
-            on_first=lambda: call_after(HOP, first),
-            on_end=lambda: call_after(HOP, flight.end),
+            on_first=lambda: call_after(HOP_LATENCY, first),
+            on_end=lambda: call_after(HOP_LATENCY, flight.end),
         )
-        call_after(HOP, arrive)
+        call_after(HOP_LATENCY, deliver)
 
     # Shared sums
 
-    async def _report(self, number: int) -> None:
+    async def _report_load(self, number: int) -> None:
         interval = self._cfg.interval or MIN_INTERVAL
         await sleep(self._rng.randrange(interval))
         while True:
             await sleep(interval)
             report = self._placers[number].load_report()
-            self._summer.update(number, report, self._clock.now())
+            self._aggregator.update(number, report, self._clock.now())
 
-    async def _add_up(self) -> None:
+    async def _aggregate_loads(self) -> None:
         interval = self._cfg.interval or MIN_INTERVAL
         while True:
             await sleep(interval)
-            for number, totals in self._summer.totals(self._clock.now()).items():
+            for number, totals in self._aggregator.totals(self._clock.now()).items():
                 sums = decode(totals.data, LoadSums)
                 self._placers[number].apply_sums(totals.included, sums)
                 interval = self._cfg.interval or interval_for(len(totals.data))
@@ -231,7 +233,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def play(cfg: FleetSettings, *, seed: int) -> Fleet:
+def simulate_fleet(cfg: FleetSettings, *, seed: int) -> Fleet:
     """Play a fleet in virtual time and return it, with its tally."""
 
     async def run() -> Fleet:
@@ -246,11 +248,11 @@
         loop.close()
 
 
-def _row(number: int, cfg: FleetSettings) -> Registration:
+def _make_registration(number: int, cfg: FleetSettings) -> Registration:
     return Registration(
         incarnation=Incarnation(f"i-{number}"),
         pool=POOL,
-        ip=f"10.0.{number // IPS_PER_NET}.{number % IPS_PER_NET + 1}",
+        ip=f"10.0.{number // ADDRESSES_PER_SUBNET}.{number % ADDRESSES_PER_SUBNET + 1}",
         port=80,
         failure_domain="emulated",
         slots=cfg.engine.slots,
@@ -259,7 +261,7 @@
     )
 
 
-def _route(kind: RequestKind) -> Route:
+def _make_route(kind: RequestKind) -> Route:
     return Route(
         name=kind.name,
         host="emulated",
--- a/tests/emulate/test_fleet.py
+++ b/tests/emulate/test_fleet.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from leadseam.emulate.experiment import outcome
-from leadseam.emulate.fleet import play
+from leadseam.emulate.fleet import simulate_fleet
 from leadseam.emulate.settings import Experiment, FleetSettings
 from leadseam.settings.load import load_settings
 
@@ -22,13 +22,13 @@
 
 def test_a_seed_gives_the_same_requests_and_ends() -> None:
     cfg = make_fleet()
-    first, second, other = (play(cfg, seed=seed).tally for seed in (1, 1, 2))
+    first, second, other = (simulate_fleet(cfg, seed=seed).tally for seed in (1, 1, 2))
     assert first == second
     assert first != other
 
 
 def test_who_asks_for_little_is_served_in_time() -> None:
-    tally = play(make_fleet(rate=20.0, floods=()), seed=1).tally
+    tally = simulate_fleet(make_fleet(rate=20.0, floods=()), seed=1).tally
     assert tally.ends["refused"] == 0
     assert tally.ends["in time"] / tally.ends.total() > 0.95
     assert tally.worth(10**9) > 0.95
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from leadseam.emulate.fleet import play
+from leadseam.emulate.fleet import simulate_fleet
 from leadseam.emulate.settings import EngineSpeed, FleetSettings, Flood, RequestKind
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_floods_get_alike_where_engines_give_less_than_is_stated(seed: int) -> None:
-    tally = play(make_fleet(), seed=seed).tally
+    tally = simulate_fleet(make_fleet(), seed=seed).tally
     assert short_spans(tally) == []
     # Before, 0.17, 0.25 and 0.24 of what the worst served tenth of accounts was due was
     # earned, now 0.59, 0.76 and 0.74; answers in time were 355, 363 and 350, now 454,
@@ -121,7 +121,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_floods_get_alike_where_engines_give_what_is_stated(seed: int) -> None:
-    assert short_spans(play(make_fleet(stated=170_000), seed=seed).tally) == []
+    assert (
+        short_spans(simulate_fleet(make_fleet(stated=170_000), seed=seed).tally) == []
+    )
 
 
 def dry_seconds(tally: Tally) -> int:
@@ -147,5 +149,5 @@
     # The evidence: lines by second of three such days have accounts that ask for
     # 250,000 each second, get 0 and 0 as `stopped`, then 81,000, 183,000 and 137,000.
     # Here 12, 8 and 10 of 56 seconds were dry (seeds 1 to 3), now 0, 1 and 2.
-    tally = play(make_fleet(stated=170_000, engines=8), seed=seed).tally
+    tally = simulate_fleet(make_fleet(stated=170_000, engines=8), seed=seed).tally
     assert dry_seconds(tally) < 6
--- a/tests/emulate/test_spells.py
+++ b/tests/emulate/test_spells.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from leadseam.emulate.experiment import outcome
-from leadseam.emulate.fleet import play
+from leadseam.emulate.fleet import simulate_fleet
 from leadseam.emulate.settings import EngineSpeed, FleetSettings, RefusalPeriod
 from tests.emulate.test_shares import KINDS
 
@@ -33,7 +33,7 @@
 
 
 def test_engines_that_rest_are_asked_once_by_each_entry_and_pause() -> None:
-    fleet = play(msgspec.structs.replace(KIOSKS, spells=(SPELL,)), seed=1)
+    fleet = simulate_fleet(msgspec.structs.replace(KIOSKS, spells=(SPELL,)), seed=1)
     # Two pauses of 3 s begin in 4 s; a few requests are on their way when it comes.
     asked = KIOSKS.entries * SPELL.engines * 2
     assert 0 < fleet.tally.ends["turned away"] < 1.2 * asked
