--- a/src/leadseam/emulate/tally.py
+++ b/src/leadseam/emulate/tally.py
@@ -14,7 +14,7 @@
     from leadseam.clock import Millis
     from leadseam.emulate.callers import Arrival
 
-WORST_PART = 10
+WORST_SERVED_DIVISOR = 10
 """One in so many accounts counts as worst served."""
 
 
@@ -33,19 +33,19 @@
     """
 
     ends: Counter[str] = field(default_factory=Counter)
-    asked: Counter[str] = field(default_factory=Counter)
+    requested: Counter[str] = field(default_factory=Counter)
     begun: Counter[str] = field(default_factory=Counter)
-    asked_in: Counter[tuple[str, int]] = field(default_factory=Counter)
-    begun_in: Counter[tuple[str, int]] = field(default_factory=Counter)
+    requested_by_second: Counter[tuple[str, int]] = field(default_factory=Counter)
+    begun_by_second: Counter[tuple[str, int]] = field(default_factory=Counter)
     owed: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
     earned: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
 
     def arrived(self, arrival: Arrival, service: int) -> None:
         """Count a request."""
         self.owed[arrival.account] += arrival.kind.worth
-        self.asked[arrival.account] += service
+        self.requested[arrival.account] += service
         second = arrival.at // MILLIS_PER_SECOND
-        self.asked_in[arrival.account, second] += service
+        self.requested_by_second[arrival.account, second] += service
 
     def answered(
         self, arrival: Arrival, service: int, now: Millis, *, in_time: bool
@@ -55,7 +55,7 @@
         self.earned[arrival.account] += kind.worth if in_time else kind.late
         self.ends["in time" if in_time else "late"] += 1
         self.begun[arrival.account] += service
-        self.begun_in[arrival.account, now // MILLIS_PER_SECOND] += service
+        self.begun_by_second[arrival.account, now // MILLIS_PER_SECOND] += service
 
     def due(self, capacity: int) -> dict[str, float]:
         """Return the worth that each account is due.
@@ -64,13 +64,13 @@
             capacity: Service that operators state for the time played. What an account
                 asks for beyond its max-min share of it is not due.
         """
-        level = fair_level(self.asked.values(), capacity)
+        level = fair_level(self.requested.values(), capacity)
         return {
-            name: self.owed[name] * min(1.0, level / asked)
-            for name, asked in self.asked.items()
+            name: self.owed[name] * min(1.0, level / requested)
+            for name, requested in self.requested.items()
         }
 
-    def parts(self, capacity: int) -> dict[str, float]:
+    def earned_fractions(self, capacity: int) -> dict[str, float]:
         """Return the part of what each account is due that it earned."""
         due = self.due(capacity)
         return {name: min(self.earned[name] / due[name], 1.0) for name in due}
@@ -78,11 +78,23 @@
     def worth(self, capacity: int) -> float:
         """Return the part of all that is due that was earned."""
         due = self.due(capacity)
-        parts = self.parts(capacity)
-        whole = sum(due.values())
-        return sum(parts[name] * due[name] for name in due) / whole if whole else 0.0
+        earned_fractions = self.earned_fractions(capacity)
+        total_due = sum(due.values())
+        return (
+            sum(earned_fractions[name] * due[name] for name in due) / total_due
+            if total_due
+            else 0.0
+        )
 
     def worst(self, capacity: int) -> float:
         """Return the mean part that the worst served tenth of accounts earned."""
-        parts = sorted(self.parts(capacity).values())
-        return mean(parts[: max(len(parts) // WORST_PART, 1)]) if parts else 0.0
+        earned_fractions = sorted(self.earned_fractions(capacity).values())
+        return (
+            mean(
+                earned_fractions[
+                    : max(len(earned_fractions) // WORST_SERVED_DIVISOR, 1)
+                ]
+            )
+            if earned_fractions
+            else 0.0
+        )
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -90,17 +90,20 @@
         First second, account, service begun, and service due, of each such span.
     """
     found = []
-    accounts = sorted(tally.asked)
+    accounts = sorted(tally.requested)
     for first in range(SETTLED, SECONDS - SPAN + 1):
         seconds = range(first, first + SPAN)
         got = {
-            name: sum(tally.begun_in[name, second] for second in seconds)
+            name: sum(tally.begun_by_second[name, second] for second in seconds)
             for name in accounts
         }
         best = max(accounts, key=got.__getitem__)
         for name in accounts:
             due = sum(
-                min(tally.asked_in[name, second], tally.begun_in[best, second])
+                min(
+                    tally.requested_by_second[name, second],
+                    tally.begun_by_second[best, second],
+                )
                 for second in seconds
             )
             if got[name] < due / 2 - 3 * LARGEST:
@@ -131,7 +134,7 @@
     dry = 0
     for rank in FLOODING:
         begun = [
-            tally.begun_in[f"account-{rank}", second]
+            tally.begun_by_second[f"account-{rank}", second]
             for second in range(SETTLED, SECONDS)
         ]
         usual = sum(begun) / len(begun)
