--- a/src/leadseam/emulate/virtual.py
+++ b/src/leadseam/emulate/virtual.py
@@ -12,7 +12,7 @@
     from leadseam.clock import Millis
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Waits for nothing; what it would wait for passes at once."""
 
     def __init__(self) -> None:
@@ -29,12 +29,12 @@
     """Runs timers in order without waiting for them."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 class VirtualClock:
