--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -31,16 +31,16 @@
     from collections.abc import Coroutine
 
 ENTRIES = 22
-SLOTS, QUEUE, WORK = 6, 24, 60
+SLOTS, QUEUE, SERVICE_TIME = 6, 24, 60
 """Requests that an upstream works on and queues, and mean milliseconds for each."""
 HOP = 1
-SUMS = 100
+SUMS_INTERVAL = 100
 """Milliseconds between two reports of an entry, and between two sums."""
-OBJECTIVE, PATIENCE = 200, 1_500
+OBJECTIVE, CALLER_TIMEOUT = 200, 1_500
 ACCOUNTS = 30
-CLUMP = 3
+BURST = 3
 """Requests that an account sends at one moment."""
-VISITS = 1_000
+VISIT_INTERVAL = 1_000
 """Milliseconds between two moments at which one request comes to each entry."""
 VISITOR = "visitor"
 
@@ -49,20 +49,20 @@
     """Works on some requests, queues some, and turns the rest away."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.turned_away = 0
+        self.refused = 0
         self._rng = rng
         self._ends: list[float] = []
 
-    def take(self, now: int) -> int | None:
+    def accept(self, now: int) -> int | None:
         """Return when a request that comes now is answered, or None."""
         while self._ends and self._ends[0] <= now:
             heapq.heappop(self._ends)
         if len(self._ends) >= SLOTS + QUEUE:
-            self.turned_away += 1
+            self.refused += 1
             return None
         waiting = len(self._ends) - SLOTS
         begin = now if waiting < 0 else sorted(self._ends)[waiting]
-        end = begin + self._rng.uniform(0.5, 1.5) * WORK
+        end = begin + self._rng.uniform(0.5, 1.5) * SERVICE_TIME
         heapq.heappush(self._ends, end)
         return round(end)
 
@@ -91,8 +91,8 @@
         ]
         self.servers = {row.incarnation: Server(self._rng) for row in rows}
         self._placers = [self._placer(rows) for _ in range(ENTRIES)]
-        self._summer = LoadAggregator()
-        self._numbers = 0
+        self._aggregator = LoadAggregator()
+        self._request_count = 0
 
     def _placer(self, rows: list[Any]) -> Placer:
         view = UpstreamView()
@@ -108,29 +108,32 @@
             rng=random.Random(self._rng.random()),
         )
 
-    def part(self, who: str, *ends: str) -> float:
+    def fraction(self, group_name: str, *ends: str) -> float:
         """Return the part of somebody's requests that ended in one of some ways."""
-        return sum(self.ends[who][end] for end in ends) / self.ends[who].total()
+        return (
+            sum(self.ends[group_name][end] for end in ends)
+            / self.ends[group_name].total()
+        )
 
     async def run(self, *, rate: int, span: int) -> None:
         """Play some milliseconds with so many requests a second, besides visits."""
-        sharing = [asyncio.create_task(self._report(n)) for n in range(ENTRIES)]
-        sharing.append(asyncio.create_task(self._add_up()))
+        sharing = [asyncio.create_task(self._report_load(n)) for n in range(ENTRIES)]
+        sharing.append(asyncio.create_task(self._aggregate_loads()))
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._visit(group, span))
+            group.create_task(self._send_visits(group, span))
             weights = [1 / (rank + 1) for rank in range(ACCOUNTS)]
             while self.clock.now() < span:
-                await asyncio.sleep(self._rng.expovariate(rate / CLUMP))
+                await asyncio.sleep(self._rng.expovariate(rate / BURST))
                 (account,) = self._rng.choices(range(ACCOUNTS), weights)
                 entry = self._rng.randrange(ENTRIES)
-                for _ in range(CLUMP):
+                for _ in range(BURST):
                     group.create_task(self._call(entry, f"account-{account}"))
         for task in sharing:
             task.cancel()
 
-    async def _visit(self, group: asyncio.TaskGroup, span: int) -> None:
+    async def _send_visits(self, group: asyncio.TaskGroup, span: int) -> None:
         while self.clock.now() < span:
-            await sleep(VISITS)
+            await sleep(VISIT_INTERVAL)
             for entry in range(ENTRIES):
                 group.create_task(self._call(entry, VISITOR))
 
@@ -139,7 +142,7 @@
         began = self.clock.now()
         served = await self._attempt(entry, account, began)
         if not served and account != VISITOR:
-            left = began + PATIENCE - self.clock.now()
+            left = began + CALLER_TIMEOUT - self.clock.now()
             pause = round(left * RETRY_AFTER_SHARE)
             await sleep(self._rng.randint(pause // 2, pause))
             other = self._rng.randrange(ENTRIES)
@@ -149,16 +152,16 @@
         self.ends[VISITOR if account == VISITOR else "others"][end] += 1
 
     async def _attempt(self, entry: int, account: str, began: int) -> bool:
-        self._numbers += 1
+        self._request_count += 1
         route = make_route("r", "/", "p")
         admitted = AdmittedRequest(
-            req=make_request(request_id=f"r-{self._numbers}"),
+            req=make_request(request_id=f"r-{self._request_count}"),
             body=b"",
             route=msgspec.structs.replace(route, latency_objective=OBJECTIVE),
             pool="p",
             account=account,
             arrived=self.clock.now(),
-            deadline=began + PATIENCE,
+            deadline=began + CALLER_TIMEOUT,
         )
         tried: set[Any] = set()
         while len(tried) < min(MAX_SENDS, len(self.servers)):
@@ -168,7 +171,7 @@
             if isinstance(flight, Reason):
                 return False
             await sleep(HOP)
-            end = self.servers[flight.upstream.incarnation].take(self.clock.now())
+            end = self.servers[flight.upstream.incarnation].accept(self.clock.now())
             await sleep(HOP if end is None else max(end - self.clock.now(), 0) + HOP)
             flight.end()
             if end is not None:
@@ -176,22 +179,24 @@
             tried.add(flight.upstream.incarnation)
         return False
 
-    async def _report(self, entry: int) -> None:
-        await sleep(self._rng.randrange(SUMS))
+    async def _report_load(self, entry: int) -> None:
+        await sleep(self._rng.randrange(SUMS_INTERVAL))
         while True:
-            await sleep(SUMS)
+            await sleep(SUMS_INTERVAL)
             report = self._placers[entry].load_report()
-            self._summer.update(entry, report, self.clock.now())
+            self._aggregator.update(entry, report, self.clock.now())
 
-    async def _add_up(self) -> None:
+    async def _aggregate_loads(self) -> None:
         while True:
-            await sleep(SUMS)
-            for entry, totals in self._summer.totals(self.clock.now()).items():
+            await sleep(SUMS_INTERVAL)
+            for entry, totals in self._aggregator.totals(self.clock.now()).items():
                 sums = decode(totals.data, LoadSums)
                 self._placers[entry].apply_sums(totals.included, sums)
 
 
-def play_plain(*, rate: int, upstreams: int, seed: int, span: int) -> PlainFleet:
+def simulate_plain_pool(
+    *, rate: int, upstreams: int, seed: int, span: int
+) -> PlainFleet:
     """Play a plain pool in virtual time and return what its callers got."""
     loop = VirtualLoop()
 
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -21,14 +21,16 @@
 EXAMPLE = Path("examples/crashes.yaml")
 
 
-def test_one_deadly_caller_crashes_three_and_is_known_everywhere() -> None:
+def test_one_deadly_caller_crashes_three_upstreams_before_all_entries_refuse_it() -> (
+    None
+):
     tally = CrashSimulation(CrashFleet(deadly=1), seed=1).run()
     assert tally.crashes == 3
     assert 0 < tally.known_after < 2_000
     assert (tally.convicted, tally.answered) == (0, tally.good)
 
 
-def test_one_that_crashes_late_crashes_four() -> None:
+def test_a_request_that_crashes_late_crashes_four_upstreams() -> None:
     tally = CrashSimulation(CrashFleet(deadly=1, deadly_after=1_000), seed=1).run()
     assert (tally.crashes, tally.convicted) == (4, 0)
 
@@ -55,7 +57,7 @@
     assert tally.answered == tally.good
 
 
-def test_all_that_comes_is_counted_once() -> None:
+def test_each_good_request_is_counted_once() -> None:
     tally = CrashSimulation(CrashFleet(deadly=2, mass=0.1, rate=40), seed=4).run()
     assert tally.hit_answered <= tally.hit <= tally.good
     assert tally.answered + tally.convicted <= tally.good
@@ -80,7 +82,7 @@
     assert fleets["347 entries"].entries == 347
 
 
-def test_a_variant_that_is_no_fleet_is_named() -> None:
+def test_an_invalid_variant_is_named_in_the_error() -> None:
     data = {"crashes": {}, "variants": {"none": {"upstreams": 0}}}
     experiment = parse_settings(data, CrashExperiment, "x.yaml")
     with pytest.raises(SettingsError, match=r"x.yaml: variant none: \$.upstreams"):
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -59,7 +59,7 @@
     assert compared[1].outcomes[0].busy > compared[0].outcomes[0].busy
 
 
-def test_a_variant_that_is_no_fleet_is_named() -> None:
+def test_an_invalid_variant_is_named_in_the_error() -> None:
     data = SMALL | {"variants": {"none": {"engines": 0}}}
     experiment = parse_settings(data, Experiment, "small.yaml")
     with pytest.raises(SettingsError, match=r"small.yaml: variant none: \$.engines"):
--- a/tests/emulate/test_fleet.py
+++ b/tests/emulate/test_fleet.py
@@ -27,14 +27,14 @@
     assert first != other
 
 
-def test_who_asks_for_little_is_served_in_time() -> None:
+def test_a_lightly_loaded_fleet_answers_in_time() -> None:
     tally = simulate_fleet(make_fleet(rate=20.0, floods=()), seed=1).tally
     assert tally.ends["refused"] == 0
     assert tally.ends["in time"] / tally.ends.total() > 0.95
     assert tally.worth(10**9) > 0.95
 
 
-def test_old_sums_cost_what_callers_value() -> None:
+def test_stale_sums_lower_the_earned_worth() -> None:
     # On the bench of the users 0.906 of the worth of a flooded day was earned with
     # sums every 50 ms, 0.888 with 200 ms and 0.841 with 400 ms; here over 10 s and
     # three seeds 0.936, 0.894 and 0.838.
@@ -44,7 +44,7 @@
     assert fresh.worst > stale.worst
 
 
-def test_sums_at_the_products_pace_cost_little() -> None:
+def test_sums_at_the_default_pace_cost_little() -> None:
     # Three seeds over 10 s: 0.927 for 0.936 with 50 ms, within +- 0.032.
     fresh = outcome(make_fleet(interval=50), 1)
     paced = outcome(make_fleet(interval=0), 1)
--- a/tests/emulate/test_plain_entries.py
+++ b/tests/emulate/test_plain_entries.py
@@ -9,7 +9,12 @@
 
 import pytest
 
-from tests.emulate.plain_callers import SLOTS, VISITOR, WORK, play_plain
+from tests.emulate.plain_callers import (
+    SERVICE_TIME,
+    SLOTS,
+    VISITOR,
+    simulate_plain_pool,
+)
 
 SERVED = ("in time", "late")
 
@@ -18,14 +23,16 @@
 def test_requests_to_all_entries_are_served_a_quarter_as_often_as_others(
     seed: int,
 ) -> None:
-    fleet = play_plain(rate=240, upstreams=2, seed=seed, span=6_000)
-    others = fleet.part("others", *SERVED)
-    assert fleet.part(VISITOR, *SERVED) >= others / 4
+    fleet = simulate_plain_pool(rate=240, upstreams=2, seed=seed, span=6_000)
+    others = fleet.fraction("others", *SERVED)
+    assert fleet.fraction(VISITOR, *SERVED) >= others / 4
 
 
 def test_upstreams_are_kept_busy_though_their_queues_are_not_filled() -> None:
     seconds, upstreams = 6, 2
-    fleet = play_plain(rate=240, upstreams=upstreams, seed=1, span=seconds * 1_000)
+    fleet = simulate_plain_pool(
+        rate=240, upstreams=upstreams, seed=1, span=seconds * 1_000
+    )
     served = sum(ends[end] for ends in fleet.ends.values() for end in SERVED)
-    bearable = seconds * upstreams * SLOTS * 1_000 / WORK
-    assert served > 0.9 * bearable
+    capacity = seconds * upstreams * SLOTS * 1_000 / SERVICE_TIME
+    assert served > 0.9 * capacity
--- a/tests/emulate/test_plain_service.py
+++ b/tests/emulate/test_plain_service.py
@@ -27,7 +27,7 @@
 from leadseam.routing.placer import Placer
 from tests.routing.samples import make_request, make_route, make_upstream
 
-SLOTS, QUEUE, WORK = 6, 24, 45
+SLOTS, QUEUE, SERVICE_TIME = 6, 24, 45
 """Requests that the server works on, that it queues, and milliseconds for each."""
 SPAN = 10_000
 FLOOD_EVERY = 3
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._ends: list[int] = []
 
-    def take(self, now: int) -> int | None:
+    def accept(self, now: int) -> int | None:
         """Return when a request that comes now is answered, or None if declined."""
         while self._ends and self._ends[0] <= now:
             heapq.heappop(self._ends)
@@ -50,29 +50,29 @@
             return None
         waiting = len(self._ends) - SLOTS
         begin = now if waiting < 0 else sorted(self._ends)[waiting]
-        heapq.heappush(self._ends, begin + WORK)
-        return begin + WORK
+        heapq.heappush(self._ends, begin + SERVICE_TIME)
+        return begin + SERVICE_TIME
 
 
-def served_parts() -> dict[str, float]:
+def served_fractions() -> dict[str, float]:
     """Return the part of each account's requests that the service answers."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(_play(VirtualClock(loop)))
+        return loop.run_until_complete(_simulate(VirtualClock(loop)))
     finally:
         loop.close()
 
 
-async def _play(clock: VirtualClock) -> dict[str, float]:
+async def _simulate(clock: VirtualClock) -> dict[str, float]:
     placer = _make_placer(clock)
     server = Server()
-    asked = {"flood": 0, "small": 0}
+    sent = {"flood": 0, "small": 0}
     answered = {"flood": 0, "small": 0}
 
-    async def come(account: str) -> None:
+    async def send_request(account: str) -> None:
         now = clock.now()
-        asked[account] += 1
-        req = make_request(request_id=f"{account}-{asked[account]}")
+        sent[account] += 1
+        req = make_request(request_id=f"{account}-{sent[account]}")
         admitted = AdmittedRequest(
             req=req,
             body=b"",
@@ -86,7 +86,7 @@
         flight = await placer.place(admitted, set(), again=False)
         if isinstance(flight, Reason):
             return
-        end = server.take(clock.now())
+        end = server.accept(clock.now())
         if end is not None:
             answered[account] += 1
             await sleep(end - clock.now())
@@ -95,12 +95,12 @@
     async with asyncio.TaskGroup() as group:
         for now in range(SPAN):
             if now % FLOOD_EVERY == 0:
-                group.create_task(come("flood"))
+                group.create_task(send_request("flood"))
             if now % BURST_EVERY == BURST_EVERY // 2:
                 for _ in range(BURST):
-                    group.create_task(come("small"))
+                    group.create_task(send_request("small"))
             await sleep(1)
-    return {name: answered[name] / asked[name] for name in asked}
+    return {name: answered[name] / sent[name] for name in sent}
 
 
 def _make_placer(clock: VirtualClock) -> Placer:
@@ -119,16 +119,16 @@
 
 
 def test_a_small_account_is_served_as_often_as_one_that_floods() -> None:
-    parts = served_parts()
+    fractions = served_fractions()
     # It asks for 22 of the 133 requests a second that the service bears.
-    assert parts["small"] >= parts["flood"]
+    assert fractions["small"] >= fractions["flood"]
 
 
 @pytest.mark.parametrize("now", [0, 100])
 def test_the_modelled_server_declines_what_it_cannot_queue(now: int) -> None:
     server = Server()
-    ends = [server.take(now) for _ in range(SLOTS + QUEUE + 1)]
-    assert ends[0] == now + WORK
-    assert ends[SLOTS] == now + 2 * WORK
+    ends = [server.accept(now) for _ in range(SLOTS + QUEUE + 1)]
+    assert ends[0] == now + SERVICE_TIME
+    assert ends[SLOTS] == now + 2 * SERVICE_TIME
     assert ends[-1] is None
-    assert server.take(now + WORK) is not None
+    assert server.accept(now + SERVICE_TIME) is not None
--- a/tests/emulate/test_spells.py
+++ b/tests/emulate/test_refusal_periods.py
@@ -12,7 +12,7 @@
 ENGINE = EngineSpeed(
     slots=64, read_per_ms=157, step_ms=3.55, memory_tokens=838_546, parts_kept=200
 )
-KIOSKS = FleetSettings(
+FLEET = FleetSettings(
     kinds=KINDS,
     accounts=20,
     span=6_000,
@@ -22,18 +22,20 @@
     stated=900_000,
     engine=ENGINE,
 )
-SPELL = RefusalPeriod(engines=8, at=1_000, span=4_000, pause=3_000)
+REFUSAL_PERIOD = RefusalPeriod(engines=8, at=1_000, span=4_000, pause=3_000)
 
 
-def test_callers_lose_next_to_nothing_while_two_fifths_of_the_engines_rest() -> None:
-    whole = outcome(KIOSKS, 1)
-    resting = outcome(msgspec.structs.replace(KIOSKS, spells=(SPELL,)), 1)
+def test_little_worth_is_lost_while_two_fifths_of_the_engines_refuse() -> None:
+    undisturbed = outcome(FLEET, 1)
+    refusing = outcome(msgspec.structs.replace(FLEET, spells=(REFUSAL_PERIOD,)), 1)
     # Were the resting ones kept as homes of prompts, 0.06 would be lost.
-    assert resting.worth > whole.worth - 0.02
+    assert refusing.worth > undisturbed.worth - 0.02
 
 
-def test_engines_that_rest_are_asked_once_by_each_entry_and_pause() -> None:
-    fleet = simulate_fleet(msgspec.structs.replace(KIOSKS, spells=(SPELL,)), seed=1)
+def test_each_entry_sends_to_a_refusing_engine_once_per_pause() -> None:
+    fleet = simulate_fleet(
+        msgspec.structs.replace(FLEET, spells=(REFUSAL_PERIOD,)), seed=1
+    )
     # Two pauses of 3 s begin in 4 s; a few requests are on their way when it comes.
-    asked = KIOSKS.entries * SPELL.engines * 2
-    assert 0 < fleet.tally.ends["turned away"] < 1.2 * asked
+    allowed_requests = FLEET.entries * REFUSAL_PERIOD.engines * 2
+    assert 0 < fleet.tally.ends["turned away"] < 1.2 * allowed_requests
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -26,18 +26,18 @@
 if TYPE_CHECKING:
     from leadseam.emulate.tally import Tally
 
-SPAN = 6
+COMPARED_SECONDS = 6
 """Seconds over which accounts are compared."""
-SECONDS = 11
+DURATION_SECONDS = 11
 FLOOD_AT = 1
-SETTLED = 3
+STEADY_FROM = 3
 """Second from which the floods fill a whole window of service."""
-LARGEST = 15_000
+LARGE_REQUEST = 15_000
 """Service of a large request: three of them are no sign of unfairness."""
 
 # Name, weight, shared and own prompt tokens, tokens made, objective, patience, worth in
 # time and late: the mix of an order desk.
-MIX = (
+REQUEST_MIX = (
     ("menus", 90, 5_382, 4_400, 385, 800, 15_000, 4.3, 2.2),
     ("chat", 129, 198, 420, 294, 400, 12_000, 2.0, 1.0),
     ("notes", 143, 568, 1_200, 21, 400, 3_000, 0.43, 0.22),
@@ -56,17 +56,19 @@
 )
 KINDS = tuple(
     RequestKind(**dict(zip(FIELDS, row, strict=True)), subjects=SUBJECTS)  # type: ignore[arg-type]
-    for row in MIX
+    for row in REQUEST_MIX
 )
-FLOODING = range(0, 14, 2)
+FLOODING_RANKS = range(0, 14, 2)
 """Ranks of the accounts that flood."""
 
 
 def make_fleet(**changes: object) -> FleetSettings:
     """Return a third of an order desk whose engines give far less than is stated."""
     floods = tuple(
-        Flood(account=rank, at=FLOOD_AT * 1_000, span=SECONDS * 1_000, times=9.5)
-        for rank in FLOODING
+        Flood(
+            account=rank, at=FLOOD_AT * 1_000, span=DURATION_SECONDS * 1_000, times=9.5
+        )
+        for rank in FLOODING_RANKS
     )
     fields: dict[str, object] = {
         "kinds": KINDS,
@@ -78,12 +80,12 @@
         "engine": EngineSpeed(slots=64, read_per_ms=50.0, step_ms=3.74),
         "floods": floods,
         "crowded": 2,
-        "span": SECONDS * 1_000,
+        "span": DURATION_SECONDS * 1_000,
     }
     return FleetSettings(**(fields | changes))  # type: ignore[arg-type]
 
 
-def short_spans(tally: Tally) -> list[tuple[int, str, int, int]]:
+def underserved_intervals(tally: Tally) -> list[tuple[int, str, int, int]]:
     """Return where an account got less than half of what it asked or the best got.
 
     Returns:
@@ -91,13 +93,13 @@
     """
     found = []
     accounts = sorted(tally.requested)
-    for first in range(SETTLED, SECONDS - SPAN + 1):
-        seconds = range(first, first + SPAN)
-        got = {
+    for first in range(STEADY_FROM, DURATION_SECONDS - COMPARED_SECONDS + 1):
+        seconds = range(first, first + COMPARED_SECONDS)
+        received = {
             name: sum(tally.begun_by_second[name, second] for second in seconds)
             for name in accounts
         }
-        best = max(accounts, key=got.__getitem__)
+        best = max(accounts, key=received.__getitem__)
         for name in accounts:
             due = sum(
                 min(
@@ -106,15 +108,15 @@
                 )
                 for second in seconds
             )
-            if got[name] < due / 2 - 3 * LARGEST:
-                found.append((first, name, got[name], due))
+            if received[name] < due / 2 - 3 * LARGE_REQUEST:
+                found.append((first, name, received[name], due))
     return found
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_floods_get_alike_where_engines_give_less_than_is_stated(seed: int) -> None:
     tally = simulate_fleet(make_fleet(), seed=seed).tally
-    assert short_spans(tally) == []
+    assert underserved_intervals(tally) == []
     # Before, 0.17, 0.25 and 0.24 of what the worst served tenth of accounts was due was
     # earned, now 0.59, 0.76 and 0.74; answers in time were 355, 363 and 350, now 454,
     # 467 and 454.
@@ -125,21 +127,24 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_floods_get_alike_where_engines_give_what_is_stated(seed: int) -> None:
     assert (
-        short_spans(simulate_fleet(make_fleet(stated=170_000), seed=seed).tally) == []
+        underserved_intervals(
+            simulate_fleet(make_fleet(stated=170_000), seed=seed).tally
+        )
+        == []
     )
 
 
-def dry_seconds(tally: Tally) -> int:
+def starved_seconds(tally: Tally) -> int:
     """Return the seconds in which a flooding account begins little of its usual."""
-    dry = 0
-    for rank in FLOODING:
+    starved = 0
+    for rank in FLOODING_RANKS:
         begun = [
             tally.begun_by_second[f"account-{rank}", second]
-            for second in range(SETTLED, SECONDS)
+            for second in range(STEADY_FROM, DURATION_SECONDS)
         ]
         usual = sum(begun) / len(begun)
-        dry += sum(service < usual / 4 for service in begun)
-    return dry
+        starved += sum(service < usual / 4 for service in begun)
+    return starved
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -153,4 +158,4 @@
     # 250,000 each second, get 0 and 0 as `stopped`, then 81,000, 183,000 and 137,000.
     # Here 12, 8 and 10 of 56 seconds were dry (seeds 1 to 3), now 0, 1 and 2.
     tally = simulate_fleet(make_fleet(stated=170_000, engines=8), seed=seed).tally
-    assert dry_seconds(tally) < 6
+    assert starved_seconds(tally) < 6
