--- a/src/leadseam/emulate/__init__.py
+++ b/src/leadseam/emulate/__init__.py
@@ -1,1 +1,1 @@
-"""A model of engines and callers that drives the entries' own decision code."""
+"""Simulation of a fleet: modelled engines and callers around the real entry code."""
