--- a/src/leadseam/emulate/callers.py
+++ b/src/leadseam/emulate/callers.py
@@ -1,4 +1,4 @@
-"""What callers ask for: kinds of request, accounts of unequal size, and floods."""
+"""The request workload: kinds of request, accounts of unequal size, and floods."""
 
 from __future__ import annotations
 
@@ -17,29 +17,36 @@
 
 
 OWN_TOKENS_SIGMA = 0.9
-"""Standard deviation of the logarithm of a prompt's own tokens: a few are very long."""
+"""Standard deviation of the logarithm of a prompt's own token count.
+
+A few prompts are very long.
+"""
 OUTPUT_TOKENS_SIGMA = 0.45
-"""The same of the tokens made."""
+"""Standard deviation of the logarithm of the number of output tokens."""
 MAX_ENTRIES_PER_ACCOUNT = 8
-"""Entries that callers of the largest account use: a balancer hashes few callers."""
+"""Number of entries that the callers of the largest account use.
+
+An account has few callers, and the load balancer hashes each of them to one entry.
+"""
 MIN_ENTRIES_PER_ACCOUNT = 2
+"""Number of entries that the callers of the smallest accounts use."""
 CROWDED_CALLER_FRACTION = 0.5
-"""Part of the callers that use the crowded entries, where there are some."""
+"""Fraction of callers that are hashed to the crowded entries, if there are any."""
 RANKS_PER_ENTRY_LESS = 4
-"""Ranks by which the number of entries falls by one."""
+"""Number of ranks after which an account uses one entry less."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as a caller sends it.
+    """A request sent by a caller.
 
     Args:
-        at: When.
+        at: Time of arrival.
         account: Name of the client account.
-        entry: Number of the entry that it comes to.
-        kind: Its kind.
+        entry: Index of the entry that receives it.
+        kind: Kind of the request.
         req: The request.
-        made: Tokens that it will make.
+        made: Number of output tokens that it will generate.
     """
 
     at: Millis
@@ -51,11 +58,14 @@
 
 
 class ArrivalGenerator:
-    """Draws arrivals; the same ones for a seed, whatever the fleet decides.
+    """Generates random arrivals, which depend on the seed alone.
+
+    Decisions of the fleet have no influence on them, so variants of a fleet get the
+    same requests.
 
     Args:
-        cfg: The fleet and what is asked of it.
-        seed: Seed of all that is drawn.
+        cfg: Settings of the fleet and its workload.
+        seed: Seed of the random generator.
     """
 
     def __init__(self, cfg: FleetSettings, seed: int) -> None:
@@ -66,10 +76,10 @@
         self._request_count = 0
 
     def __repr__(self) -> str:
-        return f"Callers(accounts={len(self._sizes)}, rate={self._cfg.rate})"
+        return f"ArrivalGenerator(accounts={len(self._sizes)}, rate={self._cfg.rate})"
 
     def arrivals(self) -> Iterator[Arrival]:
-        """Yield arrivals in order of time."""
+        """Yield arrivals in chronological order."""
         at = 0.0
         total_size = sum(self._sizes)
         rate = self._cfg.rate / MILLIS_PER_SECOND
@@ -81,7 +91,7 @@
             yield self._draw_arrival(round(at), weights)
 
     def _draw_entries(self, rank: int) -> list[int]:
-        """Draw the entries that an account's callers use."""
+        """Draw the entries that the callers of an account are hashed to."""
         count = max(
             MAX_ENTRIES_PER_ACCOUNT - rank // RANKS_PER_ENTRY_LESS,
             MIN_ENTRIES_PER_ACCOUNT,
@@ -89,7 +99,7 @@
         return [self._rng.randrange(self._hashable_entries()) for _ in range(count)]
 
     def _hashable_entries(self) -> int:
-        """Return how many entries a caller may be hashed to, from the first on."""
+        """Return `n` if a caller may be hashed to any of the first `n` entries."""
         crowded = self._cfg.crowded
         if crowded and self._rng.random() < CROWDED_CALLER_FRACTION:
             return min(crowded, self._cfg.entries)
