--- a/src/leadseam/emulate/crash_settings.py
+++ b/src/leadseam/emulate/crash_settings.py
@@ -1,4 +1,4 @@
-"""Settings of plays with requests that crash upstreams."""
+"""Settings of simulations with requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 
 
 class CrashFleet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A fleet, what is asked of it, and what crashes its upstreams.
+    """A fleet, its workload, and the causes of upstream crashes.
 
     Args:
         entries: Number of entries.
         upstreams: Number of upstreams.
-        slots: Requests that an upstream runs at a time.
-        rate: Good requests a second.
-        run: Median milliseconds that a good request runs.
-        first_byte: Part of its time after which it has a first byte.
-        hot: Part of the good requests that are one and the same.
-        attempts: Upstreams that an entry sends a request to at the most.
-        patience: Milliseconds in which a caller of a good request sends it again.
-        pause: Milliseconds until it does.
-        deadly: Callers that each send the same deadly request again and again.
-        deadly_pause: Milliseconds between an answer and their next send.
-        deadly_after: Milliseconds from its begin to the crash.
-        mass: Part of the upstreams that crash each second by themselves.
-        down: Least and most milliseconds until an upstream is back.
-        certain: Milliseconds from a crash until the entry that saw it is sure.
-        heard: Milliseconds until the other entries hear of it.
-        alike: Whether all ends weigh the same, however early.
-        span: Milliseconds played.
+        slots: Number of requests that an upstream runs concurrently.
+        rate: Good requests per second. A good request never crashes an upstream.
+        run: Median run time of a good request in milliseconds.
+        first_byte: Fraction of its run time after which a request has its first byte.
+        hot: Fraction of the good requests that are identical.
+        attempts: Maximum number of upstreams that an entry sends a request to.
+        patience: Milliseconds during which the caller of a good request retries it.
+        pause: Milliseconds before each of these retries.
+        deadly: Number of callers that send the same deadly request repeatedly.
+        deadly_pause: Milliseconds between a failure and their next attempt.
+        deadly_after: Milliseconds from the start of a deadly request to the crash.
+        mass: Fraction of the upstreams that crash each second without such a cause.
+        down: Minimum and maximum milliseconds until a crashed upstream is up again.
+        certain: Milliseconds from a crash until the entry that saw it has confirmed it.
+        heard: Milliseconds from a report until the other entries receive it.
+        alike: Whether every crash has the weight of an early one, regardless of when
+            in the request it happened.
+        span: Simulated time in milliseconds.
     """
 
     entries: PositiveInt = 20
@@ -61,12 +62,12 @@
 class CrashExperiment(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Variants of a fleet, each played with the same seeds.
+    """A fleet and its variants, each simulated with the same seeds.
 
     Args:
-        crashes: The fleet.
-        seeds: Seeds of all that is random.
-        variants: By name, fields of the fleet with other values.
+        crashes: The base fleet.
+        seeds: Seeds of the random generator, one simulation each.
+        variants: Fields of the fleet that differ, by name of the variant.
     """
 
     crashes: CrashFleet
