--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -1,9 +1,10 @@
-"""Plays requests that crash upstreams against the entries' own book of suspects.
+"""Simulates requests that crash upstreams, using the entries' own crash detection.
 
-What is the product's: `Suspects`, its book and the weight of ends, at each entry and in
-one replica. Modelled: upstreams with slots that crash and come back, the times until an
-end is certain and until others hear of it, callers that send again. Left out: losses of
-messages, replicas that fail, processor time.
+Production code: `Suspects` with its `CrashTable` and the weight of crashes at each
+entry, and the `CrashTable` of a single replica. Modelled: upstreams with slots that
+crash and restart, the delays until a crash is confirmed and until other entries receive
+it, and callers that retry. Not modelled: lost messages, failing replicas, and processor
+time.
 """
 
 from __future__ import annotations
@@ -30,28 +31,29 @@
     Action = Callable[[], None]
 
 RUN_TIME_SIGMA = 0.6
-"""Standard deviation of the logarithm of a good request's time."""
+"""Standard deviation of the logarithm of a good request's run time."""
 BACKGROUND_CRASH_INTERVAL: Millis = 100
-"""Time between two draws of upstreams that crash by themselves."""
+"""Interval at which upstreams that crash by themselves are drawn."""
 DEADLY_REQUEST = Suspect("deadly", "account", 7)
 HOT_REQUEST = Suspect("hot", "account", 7)
 
 
 @dataclass(slots=True)
 class CrashTally:
-    """What came of one play.
+    """Counts of one simulation.
 
     Attributes:
-        crashes: Upstreams that crashed under the deadly request.
+        crashes: Upstreams that the deadly request crashed.
         by_themselves: Upstreams that crashed by themselves.
-        known_after: From its first crash until all entries refuse it, or -1.
+        known_after: Time from the first crash by the deadly request until all entries
+            refuse it, or -1.
         good: Good requests.
-        answered: Those that were answered.
-        hit: Those that lost an upstream at least once.
-        hit_answered: Those among them that were answered.
-        convicted: Good requests that were refused as crashing upstreams.
-        put_off: Sends of good ones that were put off for a suspicion.
-        rows: Rows told between entries and replica.
+        answered: Good requests that were answered.
+        hit: Good requests whose upstream crashed at least once.
+        hit_answered: Requests counted in `hit` that were answered.
+        convicted: Good requests that were refused as the cause of crashes.
+        put_off: Attempts of good requests that were postponed because of a suspicion.
+        rows: Crash rows sent between the entries and the replica.
     """
 
     crashes: int = 0
@@ -68,7 +70,7 @@
 
 @dataclass(slots=True)
 class _Call:
-    """One request of a caller until it is answered or given up."""
+    """A request of a caller, over all its attempts."""
 
     suspect: Suspect
     deadline: Millis
@@ -84,7 +86,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """A request at an upstream, sent by an entry."""
+    """One attempt of a request, sent by an entry to an upstream."""
 
     call: _Call
     entry: int
@@ -95,7 +97,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Upstream:
-    """One upstream; its incarnation changes with each start."""
+    """An upstream. Each restart gives it a new incarnation."""
 
     incarnation: Incarnation
     running: list[_Attempt] = field(default_factory=list)
@@ -103,14 +105,14 @@
 
 
 class CrashSimulation:
-    """One play in virtual time.
+    """A discrete-event simulation in virtual time.
 
     Args:
-        cfg: Its settings.
-        seed: Seed of all that is random.
+        cfg: Settings of the simulation.
+        seed: Seed of the random generator.
 
     Attributes:
-        tally: What came of it.
+        tally: Counts so far.
     """
 
     def __init__(self, cfg: CrashFleet, *, seed: int) -> None:
@@ -129,10 +131,10 @@
         self._first_crash: Millis = -1
 
     def __repr__(self) -> str:
-        return f"CrashPlay(now={self._now}, {self.tally})"
+        return f"CrashSimulation(now={self._now}, {self.tally})"
 
     def run(self) -> CrashTally:
-        """Play the settings' span, and let all that is under way end."""
+        """Simulate the configured span, then let requests in progress finish."""
         self._schedule(0, self._generate_request)
         if self._cfg.mass:
             self._schedule(BACKGROUND_CRASH_INTERVAL, self._draw_background_crashes)
@@ -155,7 +157,7 @@
     # Callers
 
     def _generate_request(self) -> None:
-        """Have a good request arrive, and the next one later."""
+        """Send a good request and schedule the arrival of the next one."""
         if self._now >= self._cfg.span:
             return
         gap = self._rng.expovariate(self._cfg.rate) * MILLIS_PER_SECOND
@@ -171,7 +173,7 @@
         return lambda: self._send(call)
 
     def _send(self, call: _Call) -> None:
-        """Send a request through an entry, unless its caller has given up."""
+        """Send a request to a random entry, unless its caller has given up."""
         if self._now >= call.deadline:
             return
         call.sends += 1
@@ -184,7 +186,7 @@
     # Entries
 
     def _start_attempt(self, call: _Call, entry: int, number: int) -> None:
-        """Send an attempt to the least loaded upstream, if it may be."""
+        """Refuse or postpone a request, or send it to a least loaded upstream."""
         suspects = self._entries[entry]
         if suspects.table.convicts(call.suspect.fingerprint):
             self._refuse(call)
@@ -217,7 +219,7 @@
         call.finished = True
 
     def _complete_attempt(self, upstream: _Upstream, attempt: _Attempt) -> None:
-        """End an attempt in good order, or with its upstream."""
+        """Complete an attempt; a deadly one crashes its upstream instead."""
         if attempt.finished:
             return
         if attempt.call.deadly:
@@ -268,7 +270,7 @@
         upstream.up = True
 
     def _fail_attempt(self, attempt: _Attempt, incarnation: Incarnation) -> None:
-        """Note an attempt that broke, and make the next one."""
+        """Record an attempt whose upstream crashed, and schedule the next attempt."""
         attempt.finished = True
         call = attempt.call
         if not call.deadly and not call.hit:
@@ -292,14 +294,14 @@
         )
         return age <= EARLY_LIMIT and not begun
 
-    # What is told
+    # Crash reports
 
     def _confirm(self, entry: int, incarnation: Incarnation) -> None:
         self._report_rows(self._entries[entry].ended(incarnation, self._now).rows)
         self._check_known_everywhere()
 
     def _report_rows(self, rows: tuple[CrashRow, ...]) -> None:
-        """Merge rows at the replica, and have all entries hear what is news."""
+        """Merge rows at the replica and schedule the delivery of changes to entries."""
         self.tally.rows += len(rows)
         merged = [self._replica_table.merge(row, self._now) for row in rows]
         reported = [row for row in merged if row is not None and _is_reported(row)]
@@ -324,7 +326,7 @@
 
 
 def render(name: str, tallies: list[CrashTally]) -> str:
-    """Return one line of a table for the plays of a variant, added up."""
+    """Return a table row with the results of a variant over all its seeds."""
 
     def total(field_name: str) -> int:
         return sum(getattr(one, field_name) for one in tallies)
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams, played at sizes that no test runs for real."""
+"""Simulated crashes of upstreams, at sizes too large to test with real processes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 def test_few_are_refused_where_upstreams_crash_by_themselves(
     seed: int, alike: int, weighed: int
 ) -> None:
-    """Of some 2,400 requests; 15% of the upstreams crash each second."""
+    """There are some 2,400 requests, and 15% of the upstreams crash each second."""
     for cfg, convicted in (
         (CrashFleet(rate=40, mass=0.15, alike=True), alike),
         (CrashFleet(rate=40, mass=0.15), weighed),
