--- a/src/leadseam/emulate/engine.py
+++ b/src/leadseam/emulate/engine.py
@@ -1,6 +1,6 @@
-"""A model of an engine: slots, one reader of prompts, a queue, steps of a batch.
+"""A model of an engine: slots, a queue, serial prefill and decode steps.
 
-Left out: memory that runs short, steps that take longer in a full batch, faults.
+Not modelled: memory shortage, decode steps that take longer in a full batch, faults.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
     from leadseam.wire.feed import Registration
 
 MAX_QUEUED = 25
-"""Requests that wait for a slot; more are refused."""
+"""Maximum number of requests that wait for a slot; further ones are refused."""
 
 
 @dataclass(slots=True)
 class Run:
-    """A request at an engine.
+    """A request that is queued or running at an engine.
 
     Args:
         req: The request.
-        made: Tokens that it makes.
-        on_first: Called with its first token.
-        on_end: Called at its end.
+        made: Number of output tokens that it generates.
+        on_first: Called when the first token is generated.
+        on_end: Called when the request completes.
     """
 
     req: RoutedRequest
@@ -42,15 +42,15 @@
 
 
 class Engine:
-    """One emulated engine.
+    """An emulated engine.
 
     Args:
-        row: Its registration.
-        speed: How fast it is.
+        row: Registration of the engine.
+        speed: Slots and speeds of the engine.
 
     Attributes:
-        tokens_read: Prompt tokens read so far.
-        busy_ms: Milliseconds that slots were in use, added up.
+        tokens_read: Number of prompt tokens prefilled so far.
+        busy_ms: Milliseconds that slots were in use, summed over all slots.
     """
 
     def __init__(self, row: Registration, speed: EngineSpeed) -> None:
@@ -68,7 +68,7 @@
         return f"Engine({self.row.instance}, running={self._running})"
 
     def submit(self, run: Run) -> bool:
-        """Take a request; return False if the queue is full."""
+        """Start or queue a request; return False if the queue is full."""
         if self._running < self._speed.slots:
             self._start(run)
             return True
@@ -97,7 +97,11 @@
         run.on_end()
 
     def _prefill(self, req: RoutedRequest) -> int:
-        """Return the prompt tokens to be read, and keep the parts."""
+        """Return the number of prompt tokens to prefill, and cache the prompt's parts.
+
+        Only a prefix of cached parts is reused: from the first part that isn't cached
+        on, all are prefilled. The cache evicts the least recently used parts.
+        """
         unread = 0
         prefix_cached = True
         for part in req.parts:
@@ -112,10 +116,10 @@
 
 
 def millis_to_seconds(millis: float) -> float:
-    """Return a span of fractional milliseconds in seconds."""
+    """Convert milliseconds, which may be fractional, to seconds."""
     return millis / MILLIS_PER_SECOND
 
 
 def call_after(delay: Millis, call: Callable[[], None]) -> None:
-    """Call something after a delay of the running loop."""
+    """Schedule a call on the running event loop after a delay."""
     asyncio.get_running_loop().call_later(seconds(delay), call)
--- a/tests/emulate/test_engine.py
+++ b/tests/emulate/test_engine.py
@@ -1,4 +1,4 @@
-"""The model of an engine, and the loop whose time jumps."""
+"""The model of an engine, on an event loop with virtual time."""
 
 from __future__ import annotations
 
@@ -17,13 +17,18 @@
 
 
 def make_prompt(name: str, *, shared: int = 100, own: int = 200) -> RoutedRequest:
-    """Return a request of one shared part and one of its own."""
+    """Return a request whose prompt has a shared part and a part of its own."""
     parts = (PromptPart("shared", shared), PromptPart(name, own))
     return replace(make_request(), parts=parts)
 
 
 def simulate(*names: str) -> tuple[list[tuple[str, str, int]], Engine, list[bool]]:
-    """Send requests at once; return what happened when, the engine, what it took."""
+    """Send requests at once.
+
+    Returns:
+        Events with the request's name and time, the engine, and for each request
+        whether the engine accepted it.
+    """
     events: list[tuple[str, str, int]] = []
     loop = VirtualLoop()
     clock = VirtualClock(loop)
@@ -56,7 +61,8 @@
 
 def test_a_request_is_read_then_made_and_the_next_one_waits_for_its_slot() -> None:
     events, engine, _ = simulate("a", "b")
-    # 300 tokens read and a step; five steps; then 200, for the shared part is kept.
+    # "a" prefills 300 tokens and takes five steps, of which the first one gives its
+    # first token. "b" prefills only 200, because the shared part is cached.
     assert events == [
         ("first", "a", 32),
         ("end", "a", 40),
