--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -1,4 +1,4 @@
-"""Plays variants of a fleet with the same seeds, and compares them."""
+"""Simulates variants of a fleet with the same seeds and compares the results."""
 
 from __future__ import annotations
 
@@ -17,19 +17,22 @@
     from leadseam.emulate.settings import Experiment, FleetSettings
 
 STUDENT_T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
-"""Factor of the 95% interval of a mean of 2, 3, ... 10 values; 2 beyond."""
+"""Student's t factors for the 95% confidence interval of a mean of 2 to 10 values.
+
+For more values the factor is taken as 2.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one play came to.
+    """Results of one simulation.
 
     Args:
-        worth: Part of what all accounts are due that was earned.
-        worst: The same of the worst served tenth of accounts.
-        refused: Part of the requests that were refused in the end.
-        begun: Tokens of service begun, a second.
-        busy: Part of the engines' slots in use.
+        worth: Fraction of the worth due to all accounts that was earned.
+        worst: Mean of this fraction over the worst served tenth of accounts.
+        refused: Fraction of the requests that were refused after their retry.
+        begun: Tokens of service begun per second.
+        busy: Mean fraction of the engines' slots in use.
     """
 
     worth: float
@@ -41,18 +44,18 @@
 
 @dataclass(frozen=True, slots=True)
 class VariantOutcomes:
-    """The plays of one variant, in the order of the seeds."""
+    """Results of a variant, in the order of the seeds."""
 
     name: str
     outcomes: tuple[Outcome, ...]
 
 
 def run_experiment(experiment: Experiment, name: str) -> list[VariantOutcomes]:
-    """Play every variant with every seed, the fleet as given first.
+    """Simulate the base fleet and then every variant, each with every seed.
 
     Args:
-        experiment: What to play.
-        name: Name of its file, for errors.
+        experiment: The base fleet, its variants and the seeds.
+        name: Name of the experiment's file, for error messages.
 
     Raises:
         SettingsError: If a variant is not a valid fleet.
@@ -65,7 +68,7 @@
 
 
 def outcome(cfg: FleetSettings, seed: int) -> Outcome:
-    """Play a fleet once."""
+    """Simulate a fleet with one seed and return the results."""
     fleet = simulate_fleet(cfg, seed=seed)
     tally = fleet.tally
     span = cfg.span / MILLIS_PER_SECOND
@@ -81,7 +84,7 @@
 
 
 def confidence_half_width(values: Sequence[float]) -> float:
-    """Return half of the 95% interval of the mean; 0 of a single value."""
+    """Return half the width of the mean's 95% confidence interval; 0 for one value."""
     if len(values) < 2:
         return 0.0
     position = len(values) - 2
@@ -90,7 +93,10 @@
 
 
 def render(compared: Iterable[VariantOutcomes]) -> str:
-    """Return the comparison as a table, with differences of pairs of the same seed."""
+    """Return the comparison as a table.
+
+    Differences from the base fleet are taken between simulations with the same seed.
+    """
     rows = list(compared)
     base = [one.worth for one in rows[0].outcomes]
     lines = [f"{'':24}   worth  against as given   worst  refused  begun/s   busy"]
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: variants, their comparison, and the command."""
+"""Variants of an experiment, their comparison, and the command."""
 
 from __future__ import annotations
 
