--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -1,8 +1,8 @@
-"""Entries that place requests by their own code, before emulated engines and callers.
+"""Simulates a fleet: production entries between emulated callers and engines.
 
-Each entry is the product's `Placer`, and what entries share goes through the product's
-sums. Left out: processor time, upstreams that come and go, faults but for engines that
-turn requests away.
+Each entry is a production `Placer`, and the load that entries share is summed by a
+production `LoadAggregator`. Not modelled: processor time, upstreams that join or leave,
+and faults other than engines that refuse requests.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
 
 POOL = "emulated"
 HOP_LATENCY: Millis = 1
-"""Time from box to box: 1 to 2 ms between failure domains."""
+"""Latency between two boxes: between failure domains it is 1 to 2 ms."""
 DRAIN_TIME: Millis = 4_000
-"""Time after the last arrival in which second tries come and go."""
+"""Time after the last arrival during which retries are made and finish."""
 ADDRESSES_PER_SUBNET = 250
 
 
@@ -78,7 +78,7 @@
 
 
 class _FeedStub:
-    """The part of a feed that placing asks for."""
+    """The part of a `FeedClient` that a `Placer` uses."""
 
     def __init__(self, rows: Sequence[Registration], cfg: FleetSettings) -> None:
         speed = cfg.engine
@@ -90,11 +90,11 @@
 
 
 class Fleet:
-    """One emulated fleet; needs a running `VirtualLoop`.
+    """An emulated fleet, which needs a running `VirtualLoop`.
 
     Args:
-        cfg: Its settings.
-        seed: Seed of all that is random.
+        cfg: Settings of the fleet.
+        seed: Seed of all random generators.
     """
 
     def __init__(self, cfg: FleetSettings, *, seed: int) -> None:
@@ -115,7 +115,7 @@
         return f"Fleet(entries={len(self._placers)}, engines={len(self.engines)})"
 
     async def run(self) -> Tally:
-        """Play the settings' span and return what callers got."""
+        """Simulate the configured span and return the counts."""
         for number in range(len(self._placers)):
             self._spawn(self._report_load(number))
         self._spawn(self._aggregate_loads())
@@ -134,7 +134,7 @@
     # Callers
 
     async def _serve(self, arrival: Arrival) -> None:
-        """Send a request, and once more to another entry if it is refused."""
+        """Send a request; if it is refused, retry it once at a random entry."""
         self.tally.arrived(arrival, expected_service(arrival.req))
         deadline = self._clock.now() + arrival.kind.patience
         if await self._attempt_entry(arrival, arrival.entry, deadline):
@@ -178,7 +178,7 @@
         return False
 
     def _requested_pause(self, flight: Flight) -> Millis:
-        """Return the pause for which the engine of a flight asks; 0 if it runs it."""
+        """Return the pause that the engine of a flight asks for; 0 if it accepts it."""
         now = self._clock.now()
         number = list(self.engines).index(flight.upstream.incarnation)
         for period in self._cfg.spells:
@@ -208,7 +208,7 @@
         )
         call_after(HOP_LATENCY, deliver)
 
-    # Shared sums
+    # Load sums
 
     async def _report_load(self, number: int) -> None:
         interval = self._cfg.interval or MIN_INTERVAL
@@ -234,7 +234,7 @@
 
 
 def simulate_fleet(cfg: FleetSettings, *, seed: int) -> Fleet:
-    """Play a fleet in virtual time and return it, with its tally."""
+    """Simulate a fleet in virtual time and return it with its tally."""
 
     async def run() -> Fleet:
         fleet = Fleet(cfg, seed=seed)
--- a/tests/emulate/test_fleet.py
+++ b/tests/emulate/test_fleet.py
@@ -1,4 +1,4 @@
-"""An emulated fleet: the entries' own decisions against modelled engines."""
+"""An emulated fleet: production entries with modelled engines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_fleet(**changes: object) -> FleetSettings:
-    """Return the fleet of the example for a short time, with other values."""
+    """Return the example's fleet with a short span and some fields replaced."""
     fleet = load_settings(EXAMPLE, Experiment).fleet
     return msgspec.structs.replace(fleet, span=4_000, **changes)
 
@@ -35,9 +35,9 @@
 
 
 def test_stale_sums_lower_the_earned_worth() -> None:
-    # On the bench of the users 0.906 of the worth of a flooded day was earned with
-    # sums every 50 ms, 0.888 with 200 ms and 0.841 with 400 ms; here over 10 s and
-    # three seeds 0.936, 0.894 and 0.838.
+    # In a benchmark run by users, with floods, 0.906 of the worth was earned with sums
+    # every 50 ms, 0.888 with 200 ms and 0.841 with 400 ms. The simulation over 10 s and
+    # three seeds earned 0.936, 0.894 and 0.838.
     fresh = outcome(make_fleet(interval=50), 1)
     stale = outcome(make_fleet(interval=400), 1)
     assert fresh.worth > stale.worth + 0.03
@@ -45,7 +45,8 @@
 
 
 def test_sums_at_the_default_pace_cost_little() -> None:
-    # Three seeds over 10 s: 0.927 for 0.936 with 50 ms, within +- 0.032.
+    # Three seeds over 10 s earned 0.927 of the worth at the default pace and 0.936 with
+    # sums every 50 ms, with an interval of +- 0.032.
     fresh = outcome(make_fleet(interval=50), 1)
     paced = outcome(make_fleet(interval=0), 1)
     assert paced.worth > fresh.worth - 0.05
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -1,17 +1,18 @@
-"""Client accounts that flood a fleet get alike, whatever engines give.
-
-The story: on an evening of floods, after a quarter of the engines had gone, one account
-was refused or kept waiting for six seconds and got 14,500 tokens a second of the
-283,000 that it asked for, while another got 120,000. The cause: shares were taken of
-the capacity that operators state. Engines gave a third to a half of that, so all
-accounts were within such a share, and within it nothing orders accounts that come
-through different entries: who asked at most entries most often got most.
-
-The evidence: the product's own decisions against modelled engines, which give some
-200,000 tokens a second of 740,000 that are asked for; half of all callers use two of
-nine entries, and no entry is short of processor time. With 430,000 stated an account
-got less than half of its part of six seconds twice, once and four times (seeds 1 to 3;
-the least was 0.18 of it), with 170,000 stated never. Nothing else differs.
+"""Flooding accounts get equal service, whatever the actual capacity of the engines.
+
+Guards against shares that are computed from the capacity that operators state. In a
+flood, after a quarter of the engines had gone, one account was refused or kept waiting
+for six seconds and got 14,500 of the 283,000 tokens per second that it requested, while
+another got 120,000. The engines delivered a third to a half of the stated capacity, so
+all accounts were within their shares. Within its share, nothing orders accounts that
+use different entries: who sent to the most entries most often got most.
+
+The simulation reproduces this with production entries. Its engines deliver some 200,000
+of 740,000 requested tokens per second, half of all callers use two of nine entries, and
+no entry is short of processor time. With 430,000 tokens per second stated, intervals of
+six seconds in which an account got less than half of its part occurred twice, once and
+four times (seeds 1 to 3; the least was 0.18 of it). With 170,000 stated and all else
+equal, there were none.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
     from leadseam.emulate.tally import Tally
 
 COMPARED_SECONDS = 6
-"""Seconds over which accounts are compared."""
+"""Length in seconds of the intervals over which accounts are compared."""
 DURATION_SECONDS = 11
 FLOOD_AT = 1
 STEADY_FROM = 3
-"""Second from which the floods fill a whole window of service."""
+"""Second from which on the window of recent service is wholly within the floods."""
 LARGE_REQUEST = 15_000
-"""Service of a large request: three of them are no sign of unfairness."""
+"""Service of a large request. A shortfall of three of them is no sign of unfairness."""
 
 # Name, weight, shared and own prompt tokens, tokens made, objective, patience, worth in
-# time and late: the mix of an order desk.
+# time and late: the mix of an ordering service.
 REQUEST_MIX = (
     ("menus", 90, 5_382, 4_400, 385, 800, 15_000, 4.3, 2.2),
     ("chat", 129, 198, 420, 294, 400, 12_000, 2.0, 1.0),
@@ -63,7 +64,7 @@
 
 
 def make_fleet(**changes: object) -> FleetSettings:
-    """Return a third of an order desk whose engines give far less than is stated."""
+    """Return a third of an ordering service with far less capacity than is stated."""
     floods = tuple(
         Flood(
             account=rank, at=FLOOD_AT * 1_000, span=DURATION_SECONDS * 1_000, times=9.5
@@ -86,10 +87,13 @@
 
 
 def underserved_intervals(tally: Tally) -> list[tuple[int, str, int, int]]:
-    """Return where an account got less than half of what it asked or the best got.
+    """Find intervals in which an account got less than half of its due.
+
+    Due in each second is what the account requested, or what the best served account of
+    the interval got, if that is less.
 
     Returns:
-        First second, account, service begun, and service due, of each such span.
+        First second, account, service begun, and service due, of each such interval.
     """
     found = []
     accounts = sorted(tally.requested)
@@ -117,9 +121,9 @@
 def test_floods_get_alike_where_engines_give_less_than_is_stated(seed: int) -> None:
     tally = simulate_fleet(make_fleet(), seed=seed).tally
     assert underserved_intervals(tally) == []
-    # Before, 0.17, 0.25 and 0.24 of what the worst served tenth of accounts was due was
-    # earned, now 0.59, 0.76 and 0.74; answers in time were 355, 363 and 350, now 454,
-    # 467 and 454.
+    # The worst served tenth of accounts earned 0.59, 0.76 and 0.74 of their due (seeds
+    # 1 to 3), and 0.17, 0.25 and 0.24 with shares of the stated capacity. There were
+    # 454, 467 and 454 answers in time, and 355, 363 and 350 with those shares.
     assert tally.worst(sum(tally.begun.values())) > 0.5
     assert tally.ends["in time"] > 400
 
@@ -135,7 +139,7 @@
 
 
 def starved_seconds(tally: Tally) -> int:
-    """Return the seconds in which a flooding account begins little of its usual."""
+    """Count seconds in which a flooding account begins under a quarter of its mean."""
     starved = 0
     for rank in FLOODING_RANKS:
         begun = [
@@ -149,13 +153,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_who_floods_is_not_served_by_turns(seed: int) -> None:
-    # The story: on the same evening, on another day of it, an account got 43,000 tokens
-    # a second of 419,000 in six seconds, another 132,000; engines gave more than is
-    # stated. What an account had got counted in full for four seconds and then not at
-    # all, so one that got much in a second was stopped for the next three, and all that
-    # had been stopped together went on together. Six seconds may hold two such stops.
-    # The evidence: lines by second of three such days have accounts that ask for
-    # 250,000 each second, get 0 and 0 as `stopped`, then 81,000, 183,000 and 137,000.
-    # Here 12, 8 and 10 of 56 seconds were dry (seeds 1 to 3), now 0, 1 and 2.
+    # Guards against a usage window with a hard edge. Service counted in full for four
+    # seconds and then not at all, so an account that got much in one second was stopped
+    # for the next three, and accounts that were stopped together resumed together. Six
+    # seconds may contain two such stops. With engines that delivered more than the
+    # stated capacity, one account got 43,000 of 419,000 tokens per second for six
+    # seconds, another 132,000. In the logs of three such runs, accounts that requested
+    # 250,000 each second got 0 and 0 as `stopped`, then 81,000, 183,000 and 137,000.
+    # In this simulation 12, 8 and 10 of 56 seconds were starved then (seeds 1 to 3),
+    # and 0, 1 and 2 since.
     tally = simulate_fleet(make_fleet(stated=170_000, engines=8), seed=seed).tally
     assert starved_seconds(tally) < 6
