--- a/src/leadseam/emulate/settings.py
+++ b/src/leadseam/emulate/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an emulated fleet and of an experiment with it."""
+"""Settings of an emulated fleet and of experiments that compare variants of it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from leadseam.settings.load import parse_settings
 
 BASE_VARIANT = "as given"
-"""Name of the fleet without a variant's changes."""
+"""Name under which the base fleet is listed among the variants."""
 
 Fleet = TypeVar("Fleet", bound=msgspec.Struct)
 PositiveInt = Annotated[int, Meta(ge=1)]
@@ -21,14 +21,15 @@
 class EngineSpeed(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """How fast the engines are.
+    """Capacity and speed of the engines.
 
     Args:
-        slots: Requests that run at a time.
-        read_per_ms: Prompt tokens read in a millisecond.
-        step_ms: Milliseconds of a token made.
-        memory_tokens: Tokens that fit into its KV cache, as operators state it.
-        parts_kept: Prompt parts kept in memory; the one unused longest goes first.
+        slots: Number of requests that run concurrently.
+        read_per_ms: Prompt tokens prefilled per millisecond.
+        step_ms: Milliseconds per output token of a request.
+        memory_tokens: Tokens that fit into the KV cache, as stated by operators.
+        parts_kept: Number of prompt parts that stay cached; the least recently used
+            one is evicted first.
     """
 
     slots: PositiveInt = 12
@@ -44,16 +45,16 @@
     """A kind of request.
 
     Args:
-        name: Its name.
-        weight: Its part of all requests, against the other kinds.
-        shared: Prompt tokens that requests on the same subject share.
-        own: Median of its own prompt tokens.
-        made: Median of the tokens made.
-        objective: Milliseconds to a first token in time.
+        name: Name of the kind.
+        weight: Frequency of the kind, relative to the weights of the other kinds.
+        shared: Number of prompt tokens that requests on the same subject share.
+        own: Median number of prompt tokens that are not shared.
+        made: Median number of output tokens.
+        objective: Milliseconds within which a first token is in time.
         patience: Milliseconds that a caller waits.
-        worth: What callers value of an answer in time.
-        late: What they value of a late one.
-        subjects: Number of subjects.
+        worth: Value of an answer in time to its caller.
+        late: Value of a late answer.
+        subjects: Number of different subjects.
     """
 
     name: str
@@ -69,13 +70,13 @@
 
 
 class Flood(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One client account asks for more than usual for a while.
+    """A period in which one client account sends more requests than usual.
 
     Args:
         account: Rank of the account by size, from 0.
-        at: When it begins, in milliseconds.
-        span: How long it lasts, in milliseconds.
-        times: How many times the usual.
+        at: Start of the period in milliseconds.
+        span: Duration of the period in milliseconds.
+        times: Factor by which the account's request rate rises.
     """
 
     account: NonNegativeInt
@@ -87,13 +88,13 @@
 class RefusalPeriod(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Some engines turn all requests away for a while and ask for pauses.
+    """A period in which some engines refuse all requests and ask for pauses.
 
     Args:
-        engines: Number of engines, the first ones.
-        at: When it begins, in milliseconds.
-        span: How long it lasts, in milliseconds.
-        pause: Milliseconds in which an engine wants nothing more from an entry.
+        engines: Number of engines that refuse, counted from the first one.
+        at: Start of the period in milliseconds.
+        span: Duration of the period in milliseconds.
+        pause: Milliseconds for which an engine asks an entry to send it nothing.
     """
 
     engines: PositiveInt
@@ -105,22 +106,23 @@
 class FleetSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """An emulated fleet and what its callers ask for.
+    """An emulated fleet and its workload.
 
     Args:
         kinds: Kinds of request.
         entries: Number of entries.
         engines: Number of engines.
-        accounts: Number of client accounts; their sizes fall as 1 / rank.
-        rate: Requests a second without floods.
-        stated: Tokens a second that operators state.
-        engine: How fast engines are.
-        interval: Interval of the shared sums in ms; 0 as the product paces it.
-        floods: Floods.
-        crowded: Entries that half of all callers use, as a balancer hashes them; 0 if
-            callers are spread evenly.
-        spells: When engines turn requests away.
-        span: Milliseconds played.
+        accounts: Number of client accounts; their request rates fall as 1 / rank.
+        rate: Requests per second without floods.
+        stated: Capacity in tokens per second, as stated by operators.
+        engine: Capacity and speed of each engine.
+        interval: Milliseconds between load sums; 0 for the interval that production
+            code chooses.
+        floods: Periods in which an account sends more than usual.
+        crowded: Number of entries to which a load balancer hashes half of all callers;
+            0 if callers are spread evenly.
+        spells: Periods in which engines refuse requests.
+        span: Simulated time in milliseconds.
     """
 
     kinds: Annotated[tuple[RequestKind, ...], Meta(min_length=1)]
@@ -138,12 +140,12 @@
 
 
 class Experiment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Variants of a fleet, each played with the same seeds.
+    """A fleet and its variants, each simulated with the same seeds.
 
     Args:
-        fleet: The fleet.
-        seeds: Seeds of the callers' requests.
-        variants: By name, fields of the fleet with other values.
+        fleet: The base fleet.
+        seeds: Seeds of the random generators, one simulation each.
+        variants: Fields of the fleet that differ, by name of the variant.
     """
 
     fleet: FleetSettings
@@ -154,12 +156,12 @@
 def expand_variants(
     base: Fleet, variants: dict[str, dict[str, object]], name: str
 ) -> dict[str, Fleet]:
-    """Return the fleets of an experiment by variant, the one as given first.
+    """Return the fleets of an experiment by name of the variant, the base fleet first.
 
     Args:
-        given: The fleet as given.
-        variants: By name, fields of it with other values.
-        name: Name of the experiment's file, for errors.
+        base: The base fleet.
+        variants: Fields of the fleet that differ, by name of the variant.
+        name: Name of the experiment's file, for error messages.
 
     Raises:
         SettingsError: If a variant is not a valid fleet.
--- a/tests/emulate/test_refusal_periods.py
+++ b/tests/emulate/test_refusal_periods.py
@@ -1,4 +1,4 @@
-"""Engines that turn all away for a while and ask for pauses, beside others."""
+"""Periods in which some engines of a fleet refuse all requests and ask for pauses."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def test_little_worth_is_lost_while_two_fifths_of_the_engines_refuse() -> None:
     undisturbed = outcome(FLEET, 1)
     refusing = outcome(msgspec.structs.replace(FLEET, spells=(REFUSAL_PERIOD,)), 1)
-    # Were the resting ones kept as homes of prompts, 0.06 would be lost.
+    # If the refusing engines stayed the homes of their prompts, 0.06 would be lost.
     assert refusing.worth > undisturbed.worth - 0.02
 
 
@@ -36,6 +36,7 @@
     fleet = simulate_fleet(
         msgspec.structs.replace(FLEET, spells=(REFUSAL_PERIOD,)), seed=1
     )
-    # Two pauses of 3 s begin in 4 s; a few requests are on their way when it comes.
+    # Two pauses of 3 s begin in the 4 s. A few requests are already on their way when
+    # an entry is asked to pause.
     allowed_requests = FLEET.entries * REFUSAL_PERIOD.engines * 2
     assert 0 < fleet.tally.ends["turned away"] < 1.2 * allowed_requests
