--- a/src/leadseam/emulate/tally.py
+++ b/src/leadseam/emulate/tally.py
@@ -1,4 +1,4 @@
-"""What callers of an emulated fleet got."""
+"""Counts of an emulated fleet: service, worth and ends of requests by account."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
     from leadseam.emulate.callers import Arrival
 
 WORST_SERVED_DIVISOR = 10
-"""One in so many accounts counts as worst served."""
+"""Reciprocal of the fraction of accounts that count as worst served."""
 
 
 @dataclass(slots=True)
 class Tally:
-    """Counts by client account.
+    """Counts by client account, except `ends`.
 
     Args:
-        ends: Number of requests by their end.
-        asked: Service asked for.
-        begun: Service begun.
-        asked_in: Service asked for by account and second.
-        begun_in: Service begun by account and second.
+        ends: Number of requests by how they ended, and of attempts that were turned
+            away.
+        requested: Service requested.
+        begun: Service begun: that of requests with a first token.
+        requested_by_second: Service requested, by account and second.
+        begun_by_second: Service begun, by account and second.
         owed: Worth of all requests if all were answered in time.
-        earned: Worth of the answers.
+        earned: Worth of the answers given, in time or late.
     """
 
     ends: Counter[str] = field(default_factory=Counter)
@@ -41,7 +42,7 @@
     earned: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
 
     def arrived(self, arrival: Arrival, service: int) -> None:
-        """Count a request."""
+        """Count a request that has arrived."""
         self.owed[arrival.account] += arrival.kind.worth
         self.requested[arrival.account] += service
         second = arrival.at // MILLIS_PER_SECOND
@@ -50,7 +51,7 @@
     def answered(
         self, arrival: Arrival, service: int, now: Millis, *, in_time: bool
     ) -> None:
-        """Count a first token."""
+        """Count a request whose first token has reached its entry."""
         kind = arrival.kind
         self.earned[arrival.account] += kind.worth if in_time else kind.late
         self.ends["in time" if in_time else "late"] += 1
@@ -61,8 +62,9 @@
         """Return the worth that each account is due.
 
         Args:
-            capacity: Service that operators state for the time played. What an account
-                asks for beyond its max-min share of it is not due.
+            capacity: Service that the capacity stated by operators allows in the
+                simulated time. What an account requests beyond its max-min fair share
+                of it is not due.
         """
         level = fair_level(self.requested.values(), capacity)
         return {
@@ -71,12 +73,12 @@
         }
 
     def earned_fractions(self, capacity: int) -> dict[str, float]:
-        """Return the part of what each account is due that it earned."""
+        """Return the fraction of its worth due that each account earned."""
         due = self.due(capacity)
         return {name: min(self.earned[name] / due[name], 1.0) for name in due}
 
     def worth(self, capacity: int) -> float:
-        """Return the part of all that is due that was earned."""
+        """Return the fraction of the worth due to all accounts that was earned."""
         due = self.due(capacity)
         earned_fractions = self.earned_fractions(capacity)
         total_due = sum(due.values())
@@ -87,7 +89,7 @@
         )
 
     def worst(self, capacity: int) -> float:
-        """Return the mean part that the worst served tenth of accounts earned."""
+        """Return the mean earned fraction of the worst served tenth of accounts."""
         earned_fractions = sorted(self.earned_fractions(capacity).values())
         return (
             mean(
