--- a/src/leadseam/emulate/virtual.py
+++ b/src/leadseam/emulate/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer, and a clock that reads it."""
+"""An event loop in virtual time, which skips to the next timer, and its clock."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Waits for nothing; what it would wait for passes at once."""
+    """Advances virtual time by the timeout instead of waiting for it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let the time pass; sockets are never looked at."""
+        """Advance the time by `timeout`; sockets are never polled."""
         self.now += max(timeout or 0.0, 0.0)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order without waiting for them."""
+    """An event loop that runs timers in order without waiting for them."""
 
     def __init__(self) -> None:
         self._virtual_selector = _VirtualTimeSelector()
@@ -38,23 +38,23 @@
 
 
 class VirtualClock:
-    """The time of a virtual loop.
+    """A clock that reads the time of a virtual loop.
 
     Args:
-        loop: The loop.
+        loop: The loop that keeps the time.
     """
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
 
     def now(self) -> Millis:
-        """Return the virtual milliseconds."""
+        """Return the virtual time in milliseconds."""
         return round(self._loop.time() * MILLIS_PER_SECOND)
 
     def running(self) -> Millis:
-        """Return the same: nothing is ever suspended here."""
+        """Return the same as `now`: a virtual box is never suspended."""
         return self.now()
 
     def wall(self) -> Millis:
-        """Return the same: nothing here depends on the time of day."""
+        """Return the same as `now`: no simulation depends on the time of day."""
         return self.now()
