--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a plain pool through many entries, whose loads are shared now and then."""
+"""Simulates callers of a plain pool and entries that share their load periodically."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 
 ENTRIES = 22
 SLOTS, QUEUE, SERVICE_TIME = 6, 24, 60
-"""Requests that an upstream works on and queues, and mean milliseconds for each."""
+"""Requests that an upstream runs and that it queues, and mean milliseconds of each."""
 HOP = 1
 SUMS_INTERVAL = 100
-"""Milliseconds between two reports of an entry, and between two sums."""
+"""Milliseconds between load reports of an entry, and between sums of them."""
 OBJECTIVE, CALLER_TIMEOUT = 200, 1_500
 ACCOUNTS = 30
 BURST = 3
-"""Requests that an account sends at one moment."""
+"""Number of requests that an account sends at the same time."""
 VISIT_INTERVAL = 1_000
-"""Milliseconds between two moments at which one request comes to each entry."""
+"""Milliseconds between visits: one request to each entry, all at the same time."""
 VISITOR = "visitor"
 
 
 class Server:
-    """Works on some requests, queues some, and turns the rest away."""
+    """An upstream that runs some requests, queues some, and refuses the rest."""
 
     def __init__(self, rng: random.Random) -> None:
         self.refused = 0
@@ -54,7 +54,7 @@
         self._ends: list[float] = []
 
     def accept(self, now: int) -> int | None:
-        """Return when a request that comes now is answered, or None."""
+        """Return when a request that arrives now completes, or None if refused."""
         while self._ends and self._ends[0] <= now:
             heapq.heappop(self._ends)
         if len(self._ends) >= SLOTS + QUEUE:
@@ -69,13 +69,13 @@
 
 @dataclass
 class PlainFleet:
-    """Entries, upstreams of one plain pool and their callers.
+    """Entries, the upstreams of one plain pool, and their callers.
 
     Args:
-        clock: The time of a running `VirtualLoop`.
-        upstreams: Upstreams of the pool.
-        seed: Seed of all that is random.
-        ends: How requests ended, of `visitor` and of all `others`.
+        clock: Clock of a running `VirtualLoop`.
+        upstreams: Number of upstreams in the pool.
+        seed: Seed of all random generators.
+        ends: Counts of requests by how they ended, for `visitor` and for all `others`.
     """
 
     clock: VirtualClock
@@ -109,14 +109,14 @@
         )
 
     def fraction(self, group_name: str, *ends: str) -> float:
-        """Return the part of somebody's requests that ended in one of some ways."""
+        """Return the fraction of a group's requests that ended in one of `ends`."""
         return (
             sum(self.ends[group_name][end] for end in ends)
             / self.ends[group_name].total()
         )
 
     async def run(self, *, rate: int, span: int) -> None:
-        """Play some milliseconds with so many requests a second, besides visits."""
+        """Simulate `span` ms with `rate` requests per second, in addition to visits."""
         sharing = [asyncio.create_task(self._report_load(n)) for n in range(ENTRIES)]
         sharing.append(asyncio.create_task(self._aggregate_loads()))
         async with asyncio.TaskGroup() as group:
@@ -138,7 +138,7 @@
                 group.create_task(self._call(entry, VISITOR))
 
     async def _call(self, entry: int, account: str) -> None:
-        """Make a request; all but visitors come back once after a refusal."""
+        """Make a request; all callers but visitors retry once after a refusal."""
         began = self.clock.now()
         served = await self._attempt(entry, account, began)
         if not served and account != VISITOR:
@@ -197,7 +197,7 @@
 def simulate_plain_pool(
     *, rate: int, upstreams: int, seed: int, span: int
 ) -> PlainFleet:
-    """Play a plain pool in virtual time and return what its callers got."""
+    """Simulate a plain pool in virtual time and return it with its counts."""
     loop = VirtualLoop()
 
     async def run() -> PlainFleet:
--- a/tests/emulate/test_plain_entries.py
+++ b/tests/emulate/test_plain_entries.py
@@ -1,8 +1,8 @@
-"""An overloaded plain pool behind many entries, and requests that come to all of them.
+"""An overloaded plain pool behind many entries, and callers that use all of them.
 
-Found on a drawn day: 22 entries, two of three servers gone, the last one turned away
-two in five arrivals; of 125 requests that came one to each entry at a moment 3 to 6
-were served, of the others half.
+Guards against a failure of a randomly generated load test: with 22 entries and two of
+three servers gone, the last server refused two in five arrivals. Of 125 requests that
+were sent one to each entry at the same time, 3 to 6 were served, of the others half.
 """
 
 from __future__ import annotations
--- a/tests/emulate/test_plain_service.py
+++ b/tests/emulate/test_plain_service.py
@@ -1,10 +1,10 @@
-"""A plain service that one account floods, and a small account beside it.
+"""A plain service that one account floods while a small account also uses it.
 
-Found on a drawn day (`mix`, seed 229169157007): two of three servers of a plain service
-were taken away, requests filled the queue of the last one, and of 125 that came at
-moments of their own to all entries 6 were served, of the others a third to a half.
-Entries send to plain services without a queue of their own, so which account gets a
-place there is decided by who comes when.
+Guards against a failure of a randomly generated load test (`mix`, seed 229169157007).
+After two of three servers of a plain service had been removed, requests filled the
+queue of the last one. Of 125 requests sent to all entries at separate moments 6 were
+served, of the others a third to a half. Entries sent to plain services without a queue
+of their own, so the time of arrival alone decided which account got a place there.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 from tests.routing.samples import make_request, make_route, make_upstream
 
 SLOTS, QUEUE, SERVICE_TIME = 6, 24, 45
-"""Requests that the server works on, that it queues, and milliseconds for each."""
+"""Requests that the server runs, requests that it queues, and milliseconds each."""
 SPAN = 10_000
 FLOOD_EVERY = 3
-"""Milliseconds between two requests of the account that floods."""
+"""Milliseconds between requests of the flooding account."""
 BURST, BURST_EVERY = 22, 1_000
-"""Requests of the small account at a moment, and milliseconds between the moments."""
+"""Requests in a burst of the small account, and milliseconds between bursts."""
 
 
 class Server:
-    """Works on some requests, queues some, and declines the rest."""
+    """A server that runs some requests, queues some, and declines the rest."""
 
     def __init__(self) -> None:
         self._ends: list[int] = []
 
     def accept(self, now: int) -> int | None:
-        """Return when a request that comes now is answered, or None if declined."""
+        """Return when a request that arrives now completes, or None if declined."""
         while self._ends and self._ends[0] <= now:
             heapq.heappop(self._ends)
         if len(self._ends) >= SLOTS + QUEUE:
@@ -55,7 +55,7 @@
 
 
 def served_fractions() -> dict[str, float]:
-    """Return the part of each account's requests that the service answers."""
+    """Return the fraction of each account's requests that the service answers."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(_simulate(VirtualClock(loop)))
@@ -120,7 +120,7 @@
 
 def test_a_small_account_is_served_as_often_as_one_that_floods() -> None:
     fractions = served_fractions()
-    # It asks for 22 of the 133 requests a second that the service bears.
+    # It sends 22 requests per second; the service has capacity for 133.
     assert fractions["small"] >= fractions["flood"]
 
 
