--- a/src/leadseam/emulate/callers.py
+++ b/src/leadseam/emulate/callers.py
@@ -32,7 +32,7 @@
 """Number of entries that the callers of the smallest accounts use."""
 CROWDED_CALLER_FRACTION = 0.5
 """Fraction of callers that are hashed to the crowded entries, if there are any."""
-RANKS_PER_ENTRY_LESS = 4
+RANK_STEP = 4
 """Number of ranks after which an account uses one entry less."""
 
 
@@ -93,7 +93,7 @@
     def _draw_entries(self, rank: int) -> list[int]:
         """Draw the entries that the callers of an account are hashed to."""
         count = max(
-            MAX_ENTRIES_PER_ACCOUNT - rank // RANKS_PER_ENTRY_LESS,
+            MAX_ENTRIES_PER_ACCOUNT - rank // RANK_STEP,
             MIN_ENTRIES_PER_ACCOUNT,
         )
         return [self._rng.randrange(self._hashable_entries()) for _ in range(count)]
--- a/src/leadseam/emulate/crashes.py
+++ b/src/leadseam/emulate/crashes.py
@@ -128,7 +128,7 @@
         ]
         self._entries = [Suspects() for _ in range(cfg.entries)]
         self._replica_table = CrashTable()
-        self._first_crash: Millis = -1
+        self._first_deadly_crash: Millis = -1
 
     def __repr__(self) -> str:
         return f"CrashSimulation(now={self._now}, {self.tally})"
@@ -224,8 +224,8 @@
             return
         if attempt.call.deadly:
             self.tally.crashes += 1
-            if self._first_crash < 0:
-                self._first_crash = self._now
+            if self._first_deadly_crash < 0:
+                self._first_deadly_crash = self._now
             self._crash(upstream)
             return
         attempt.finished = True
@@ -315,10 +315,10 @@
         self._check_known_everywhere()
 
     def _check_known_everywhere(self) -> None:
-        if self.tally.known_after >= 0 or self._first_crash < 0:
+        if self.tally.known_after >= 0 or self._first_deadly_crash < 0:
             return
         if all(one.table.convicts(DEADLY_REQUEST.fingerprint) for one in self._entries):
-            self.tally.known_after = self._now - self._first_crash
+            self.tally.known_after = self._now - self._first_deadly_crash
 
 
 def _is_reported(row: CrashRow) -> bool:
--- a/src/leadseam/emulate/engine.py
+++ b/src/leadseam/emulate/engine.py
@@ -49,13 +49,13 @@
         speed: Slots and speeds of the engine.
 
     Attributes:
-        tokens_read: Number of prompt tokens prefilled so far.
+        prefilled_tokens: Number of prompt tokens prefilled so far.
         busy_ms: Milliseconds that slots were in use, summed over all slots.
     """
 
     def __init__(self, row: Registration, speed: EngineSpeed) -> None:
         self.row = row
-        self.tokens_read = 0
+        self.prefilled_tokens = 0
         self.busy_ms = 0.0
         self._speed = speed
         self._running = 0
@@ -102,17 +102,17 @@
         Only a prefix of cached parts is reused: from the first part that isn't cached
         on, all are prefilled. The cache evicts the least recently used parts.
         """
-        unread = 0
+        uncached_tokens = 0
         prefix_cached = True
         for part in req.parts:
             prefix_cached = prefix_cached and part.identity in self._cached_parts
-            unread += 0 if prefix_cached else part.tokens
+            uncached_tokens += 0 if prefix_cached else part.tokens
             self._cached_parts[part.identity] = None
             self._cached_parts.move_to_end(part.identity)
         while len(self._cached_parts) > self._speed.parts_kept:
             self._cached_parts.popitem(last=False)
-        self.tokens_read += unread
-        return unread
+        self.prefilled_tokens += uncached_tokens
+        return uncached_tokens
 
 
 def millis_to_seconds(millis: float) -> float:
--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -92,17 +92,17 @@
     return factor * stdev(values) / sqrt(len(values))
 
 
-def render(compared: Iterable[VariantOutcomes]) -> str:
+def render(results: Iterable[VariantOutcomes]) -> str:
     """Return the comparison as a table.
 
     Differences from the base fleet are taken between simulations with the same seed.
     """
-    rows = list(compared)
-    base = [one.worth for one in rows[0].outcomes]
+    rows = list(results)
+    base_worths = [one.worth for one in rows[0].outcomes]
     lines = [f"{'':24}   worth  against as given   worst  refused  begun/s   busy"]
     for row in rows:
-        pairs = zip(row.outcomes, base, strict=True)
-        gains = [one.worth - before for one, before in pairs]
+        pairs = zip(row.outcomes, base_worths, strict=True)
+        gains = [one.worth - base_worth for one, base_worth in pairs]
         lines.append(
             f"{row.name:24}   {mean(one.worth for one in row.outcomes):.3f}"
             f"   {mean(gains):+.3f} +- {confidence_half_width(gains):.3f}"
--- a/src/leadseam/emulate/fleet.py
+++ b/src/leadseam/emulate/fleet.py
@@ -106,7 +106,7 @@
         rows = [_make_registration(number, cfg) for number in range(cfg.engines)]
         self.engines = {row.incarnation: Engine(row, cfg.engine) for row in rows}
         feed = cast("FeedClient", _FeedStub(rows, cfg))
-        self._placers = [self._placer(feed) for _ in range(cfg.entries)]
+        self._placers = [self._make_placer(feed) for _ in range(cfg.entries)]
         self._routes = {kind.name: _make_route(kind) for kind in cfg.kinds}
         self._aggregator = LoadAggregator()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -127,7 +127,7 @@
             task.cancel()
         return self.tally
 
-    def _placer(self, feed: FeedClient) -> Placer:
+    def _make_placer(self, feed: FeedClient) -> Placer:
         rng = random.Random(self._rng.random())
         return Placer(feed=feed, health=UpstreamHealth(), clock=self._clock, rng=rng)
 
@@ -187,7 +187,7 @@
         return 0
 
     def _send_to_engine(self, arrival: Arrival, flight: Flight, placer: Placer) -> None:
-        def first() -> None:
+        def record_first_token() -> None:
             flight.first_byte()
             now = self._clock.now()
             placer.record_answer(flight.upstream)
@@ -203,7 +203,7 @@
         run = Run(
             arrival.req,
             arrival.made,
-            on_first=lambda: call_after(HOP_LATENCY, first),
+            on_first=lambda: call_after(HOP_LATENCY, record_first_token),
             on_end=lambda: call_after(HOP_LATENCY, flight.end),
         )
         call_after(HOP_LATENCY, deliver)
--- a/tests/emulate/plain_callers.py
+++ b/tests/emulate/plain_callers.py
@@ -90,11 +90,11 @@
             for number in range(1, self.upstreams + 1)
         ]
         self.servers = {row.incarnation: Server(self._rng) for row in rows}
-        self._placers = [self._placer(rows) for _ in range(ENTRIES)]
+        self._placers = [self._make_placer(rows) for _ in range(ENTRIES)]
         self._aggregator = LoadAggregator()
         self._request_count = 0
 
-    def _placer(self, rows: list[Any]) -> Placer:
+    def _make_placer(self, rows: list[Any]) -> Placer:
         view = UpstreamView()
         view.update("a", rows, 0)
         pools = {"p": Pool("p", PoolKind.SERVICE)}
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -63,12 +63,12 @@
     assert tally.answered + tally.convicted <= tally.good
 
 
-def test_a_seed_plays_the_same_again() -> None:
+def test_a_seed_gives_the_same_simulation() -> None:
     cfg = CrashFleet(deadly=2, mass=0.1, rate=40)
     assert CrashSimulation(cfg, seed=5).run() == CrashSimulation(cfg, seed=5).run()
 
 
-def test_plays_are_added_up() -> None:
+def test_render_sums_the_simulations_of_a_variant() -> None:
     one = CrashTally(3, 0, 400, 100, 99, 10, 9, 0, 1, 50)
     other = CrashTally(4, 2, 300, 100, 100, 10, 10, 1, 0, 60)
     assert render("x", [one, other]) == (
--- a/tests/emulate/test_engine.py
+++ b/tests/emulate/test_engine.py
@@ -59,7 +59,9 @@
     return events, engine, accepted
 
 
-def test_a_request_is_read_then_made_and_the_next_one_waits_for_its_slot() -> None:
+def test_a_request_is_prefilled_and_decoded_while_the_next_one_waits_for_its_slot() -> (
+    None
+):
     events, engine, _ = simulate("a", "b")
     # "a" prefills 300 tokens and takes five steps, of which the first one gives its
     # first token. "b" prefills only 200, because the shared part is cached.
@@ -69,11 +71,11 @@
         ("first", "b", 62),
         ("end", "b", 70),
     ]
-    assert engine.tokens_read == 500
+    assert engine.prefilled_tokens == 500
     assert engine.busy_ms == pytest.approx(70)
 
 
-def test_a_full_queue_takes_nothing_more() -> None:
+def test_a_full_queue_accepts_no_request() -> None:
     names = [f"r{number}" for number in range(MAX_QUEUED + 2)]
     events, _, accepted = simulate(*names)
     assert accepted == [True] * (MAX_QUEUED + 1) + [False]
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -51,12 +51,12 @@
     assert set(experiment.variants) == {"as paced", "every 200 ms", "every 400 ms"}
 
 
-def test_every_variant_is_played_with_every_seed() -> None:
+def test_every_variant_is_simulated_with_every_seed() -> None:
     experiment = parse_settings(SMALL, Experiment, "small.yaml")
-    compared = run_experiment(experiment, "small.yaml")
-    assert [one.name for one in compared] == [BASE_VARIANT, "one engine"]
-    assert [len(one.outcomes) for one in compared] == [2, 2]
-    assert compared[1].outcomes[0].busy > compared[0].outcomes[0].busy
+    results = run_experiment(experiment, "small.yaml")
+    assert [one.name for one in results] == [BASE_VARIANT, "one engine"]
+    assert [len(one.outcomes) for one in results] == [2, 2]
+    assert results[1].outcomes[0].busy > results[0].outcomes[0].busy
 
 
 def test_an_invalid_variant_is_named_in_the_error() -> None:
--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -146,13 +146,13 @@
             tally.begun_by_second[f"account-{rank}", second]
             for second in range(STEADY_FROM, DURATION_SECONDS)
         ]
-        usual = sum(begun) / len(begun)
-        starved += sum(service < usual / 4 for service in begun)
+        mean_service = sum(begun) / len(begun)
+        starved += sum(service < mean_service / 4 for service in begun)
     return starved
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_who_floods_is_not_served_by_turns(seed: int) -> None:
+def test_flooding_accounts_are_served_steadily(seed: int) -> None:
     # Guards against a usage window with a hard edge. Service counted in full for four
     # seconds and then not at all, so an account that got much in one second was stopped
     # for the next three, and accounts that were stopped together resumed together. Six
