--- a/tests/emulate/test_shares.py
+++ b/tests/emulate/test_shares.py
@@ -118,7 +118,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_floods_get_alike_where_engines_give_less_than_is_stated(seed: int) -> None:
+def test_flooding_accounts_get_equal_service_when_capacity_is_overstated(
+    seed: int,
+) -> None:
     tally = simulate_fleet(make_fleet(), seed=seed).tally
     assert underserved_intervals(tally) == []
     # The worst served tenth of accounts earned 0.59, 0.76 and 0.74 of their due (seeds
@@ -129,7 +131,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_floods_get_alike_where_engines_give_what_is_stated(seed: int) -> None:
+def test_flooding_accounts_get_equal_service_when_capacity_is_stated_correctly(
+    seed: int,
+) -> None:
     assert (
         underserved_intervals(
             simulate_fleet(make_fleet(stated=170_000), seed=seed).tally
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -240,7 +240,7 @@
         "routing/usage.py",
         "    return served if asked > SCARCITY_RATIO * served else capacity\n",
         "    return capacity\n",
-        f"{SHARES}::test_floods_get_alike_where_engines_give_less_than_is_stated",
+        f"{SHARES}::test_flooding_accounts_get_equal_service_when_capacity_is_overstated",
     ),
     Variant(
         "an id stands for one start",
