--- a/src/leadseam/emulate/crash_settings.py
+++ b/src/leadseam/emulate/crash_settings.py
@@ -1,4 +1,4 @@
-"""Settings of plays with requests that crash upstreams."""
+"""Settings of simulations with requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -7,66 +7,67 @@
 import msgspec
 from msgspec import Meta
 
-from leadseam.emulate.settings import Count, Positive, Span
+from leadseam.emulate.settings import NonNegativeInt, PositiveFloat, PositiveInt
 
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class CrashFleet(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A fleet, what is asked of it, and what crashes its upstreams.
+    """A fleet, its workload, and the causes of upstream crashes.
 
     Args:
         entries: Number of entries.
         upstreams: Number of upstreams.
-        slots: Requests that an upstream runs at a time.
-        rate: Good requests a second.
-        run: Median milliseconds that a good request runs.
-        first_byte: Part of its time after which it has a first byte.
-        hot: Part of the good requests that are one and the same.
-        attempts: Upstreams that an entry sends a request to at the most.
-        patience: Milliseconds in which a caller of a good request sends it again.
-        pause: Milliseconds until it does.
-        deadly: Callers that each send the same deadly request again and again.
-        deadly_pause: Milliseconds between an answer and their next send.
-        deadly_after: Milliseconds from its begin to the crash.
-        mass: Part of the upstreams that crash each second by themselves.
-        down: Least and most milliseconds until an upstream is back.
-        certain: Milliseconds from a crash until the entry that saw it is sure.
-        heard: Milliseconds until the other entries hear of it.
-        alike: Whether all ends weigh the same, however early.
-        span: Milliseconds played.
+        slots: Number of requests that an upstream runs concurrently.
+        rate: Good requests per second. A good request never crashes an upstream.
+        run: Median run time of a good request in milliseconds.
+        first_byte: Fraction of its run time after which a request has its first byte.
+        hot: Fraction of the good requests that are identical.
+        attempts: Maximum number of upstreams that an entry sends a request to.
+        patience: Milliseconds during which the caller of a good request retries it.
+        pause: Milliseconds before each of these retries.
+        deadly: Number of callers that send the same deadly request repeatedly.
+        deadly_pause: Milliseconds between a failure and their next attempt.
+        deadly_after: Milliseconds from the start of a deadly request to the crash.
+        mass: Fraction of the upstreams that crash each second without such a cause.
+        down: Minimum and maximum milliseconds until a crashed upstream is up again.
+        certain: Milliseconds from a crash until the entry that saw it has confirmed it.
+        heard: Milliseconds from a report until the other entries receive it.
+        alike: Whether every crash has the weight of an early one, regardless of when
+            in the request it happened.
+        span: Simulated time in milliseconds.
     """
 
-    entries: Count = 20
-    upstreams: Count = 20
-    slots: Count = 12
-    rate: Positive = 100.0
-    run: Count = 1_000
-    first_byte: Part = 0.1
-    hot: Part = 0.0
-    attempts: Count = 2
-    patience: Count = 15_000
-    pause: Count = 300
-    deadly: Span = 0
-    deadly_pause: Count = 300
-    deadly_after: Count = 40
-    mass: Part = 0.0
-    down: tuple[Count, Count] = (1_000, 10_000)
-    certain: Count = 25
-    heard: Count = 30
+    entries: PositiveInt = 20
+    upstreams: PositiveInt = 20
+    slots: PositiveInt = 12
+    rate: PositiveFloat = 100.0
+    run: PositiveInt = 1_000
+    first_byte: Fraction = 0.1
+    hot: Fraction = 0.0
+    attempts: PositiveInt = 2
+    patience: PositiveInt = 15_000
+    pause: PositiveInt = 300
+    deadly: NonNegativeInt = 0
+    deadly_pause: PositiveInt = 300
+    deadly_after: PositiveInt = 40
+    mass: Fraction = 0.0
+    down: tuple[PositiveInt, PositiveInt] = (1_000, 10_000)
+    certain: PositiveInt = 25
+    heard: PositiveInt = 30
     alike: bool = False
-    span: Count = 60_000
+    span: PositiveInt = 60_000
 
 
 class CrashExperiment(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Variants of a fleet, each played with the same seeds.
+    """A fleet and its variants, each simulated with the same seeds.
 
     Args:
-        crashes: The fleet.
-        seeds: Seeds of all that is random.
-        variants: By name, fields of the fleet with other values.
+        crashes: The base fleet.
+        seeds: Seeds of the random generator, one simulation each.
+        variants: Fields of the fleet that differ, by name of the variant.
     """
 
     crashes: CrashFleet
--- a/src/leadseam/emulate/experiment.py
+++ b/src/leadseam/emulate/experiment.py
@@ -1,4 +1,4 @@
-"""Plays variants of a fleet with the same seeds, and compares them."""
+"""Simulates variants of a fleet with the same seeds and compares the results."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 from typing import TYPE_CHECKING
 
 from leadseam.clock import MILLIS_PER_SECOND
-from leadseam.emulate.fleet import play
-from leadseam.emulate.settings import with_variants
+from leadseam.emulate.fleet import simulate_fleet
+from leadseam.emulate.settings import expand_variants
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
     from leadseam.emulate.settings import Experiment, FleetSettings
 
-STUDENT_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
-"""Factor of the 95% interval of a mean of 2, 3, ... 10 values; 2 beyond."""
+STUDENT_T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
+"""Student's t factors for the 95% confidence interval of a mean of 2 to 10 values.
+
+For more values the factor is taken as 2.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one play came to.
+    """Results of one simulation.
 
     Args:
-        worth: Part of what all accounts are due that was earned.
-        worst: The same of the worst served tenth of accounts.
-        refused: Part of the requests that were refused in the end.
-        begun: Tokens of service begun, a second.
-        busy: Part of the engines' slots in use.
+        worth: Fraction of the worth due to all accounts that was earned.
+        worst: Mean of this fraction over the worst served tenth of accounts.
+        refused: Fraction of the requests that were refused after their retry.
+        begun: Tokens of service begun per second.
+        busy: Mean fraction of the engines' slots in use.
     """
 
     worth: float
@@ -40,33 +43,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
-    """The plays of one variant, in the order of the seeds."""
+class VariantOutcomes:
+    """Results of a variant, in the order of the seeds."""
 
     name: str
     outcomes: tuple[Outcome, ...]
 
 
-def run_experiment(experiment: Experiment, name: str) -> list[Compared]:
-    """Play every variant with every seed, the fleet as given first.
+def run_experiment(experiment: Experiment, name: str) -> list[VariantOutcomes]:
+    """Simulate the base fleet and then every variant, each with every seed.
 
     Args:
-        experiment: What to play.
-        name: Name of its file, for errors.
+        experiment: The base fleet, its variants and the seeds.
+        name: Name of the experiment's file, for error messages.
 
     Raises:
         SettingsError: If a variant is not a valid fleet.
     """
-    fleets = with_variants(experiment.fleet, experiment.variants, name)
+    fleets = expand_variants(experiment.fleet, experiment.variants, name)
     return [
-        Compared(variant, tuple(outcome(cfg, seed) for seed in experiment.seeds))
+        VariantOutcomes(variant, tuple(outcome(cfg, seed) for seed in experiment.seeds))
         for variant, cfg in fleets.items()
     ]
 
 
 def outcome(cfg: FleetSettings, seed: int) -> Outcome:
-    """Play a fleet once."""
-    fleet = play(cfg, seed=seed)
+    """Simulate a fleet with one seed and return the results."""
+    fleet = simulate_fleet(cfg, seed=seed)
     tally = fleet.tally
     span = cfg.span / MILLIS_PER_SECOND
     capacity = round(cfg.stated * span)
@@ -80,26 +83,29 @@
     )
 
 
-def half_interval(values: Sequence[float]) -> float:
-    """Return half of the 95% interval of the mean; 0 of a single value."""
+def confidence_half_width(values: Sequence[float]) -> float:
+    """Return half the width of the mean's 95% confidence interval; 0 for one value."""
     if len(values) < 2:
         return 0.0
     position = len(values) - 2
-    factor = STUDENT_95[position] if position < len(STUDENT_95) else 2.0
+    factor = STUDENT_T_95[position] if position < len(STUDENT_T_95) else 2.0
     return factor * stdev(values) / sqrt(len(values))
 
 
-def render(compared: Iterable[Compared]) -> str:
-    """Return the comparison as a table, with differences of pairs of the same seed."""
-    rows = list(compared)
-    base = [one.worth for one in rows[0].outcomes]
+def render(results: Iterable[VariantOutcomes]) -> str:
+    """Return the comparison as a table.
+
+    Differences from the base fleet are taken between simulations with the same seed.
+    """
+    rows = list(results)
+    base_worths = [one.worth for one in rows[0].outcomes]
     lines = [f"{'':24}   worth  against as given   worst  refused  begun/s   busy"]
     for row in rows:
-        pairs = zip(row.outcomes, base, strict=True)
-        gains = [one.worth - before for one, before in pairs]
+        pairs = zip(row.outcomes, base_worths, strict=True)
+        gains = [one.worth - base_worth for one, base_worth in pairs]
         lines.append(
             f"{row.name:24}   {mean(one.worth for one in row.outcomes):.3f}"
-            f"   {mean(gains):+.3f} +- {half_interval(gains):.3f}"
+            f"   {mean(gains):+.3f} +- {confidence_half_width(gains):.3f}"
             f"   {mean(one.worst for one in row.outcomes):.3f}"
             f"    {mean(one.refused for one in row.outcomes):.3f}"
             f"  {mean(one.begun for one in row.outcomes):7.0f}"
--- a/tests/emulate/test_crashes.py
+++ b/tests/emulate/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams, played at sizes that no test runs for real."""
+"""Simulated crashes of upstreams, at sizes too large to test with real processes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from leadseam.cli import emulate
 from leadseam.emulate.crash_settings import CrashExperiment, CrashFleet
-from leadseam.emulate.crashes import CrashPlay, CrashTally, render
-from leadseam.emulate.settings import with_variants
+from leadseam.emulate.crashes import CrashSimulation, CrashTally, render
+from leadseam.emulate.settings import expand_variants
 from leadseam.errors import SettingsError
 from leadseam.settings.load import load_settings, parse_settings
 
@@ -21,15 +21,17 @@
 EXAMPLE = Path("examples/crashes.yaml")
 
 
-def test_one_deadly_caller_crashes_three_and_is_known_everywhere() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1), seed=1).run()
+def test_one_deadly_caller_crashes_three_upstreams_before_all_entries_refuse_it() -> (
+    None
+):
+    tally = CrashSimulation(CrashFleet(deadly=1), seed=1).run()
     assert tally.crashes == 3
     assert 0 < tally.known_after < 2_000
     assert (tally.convicted, tally.answered) == (0, tally.good)
 
 
-def test_one_that_crashes_late_crashes_four() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1, deadly_after=1_000), seed=1).run()
+def test_a_request_that_crashes_late_crashes_four_upstreams() -> None:
+    tally = CrashSimulation(CrashFleet(deadly=1, deadly_after=1_000), seed=1).run()
     assert (tally.crashes, tally.convicted) == (4, 0)
 
 
@@ -39,34 +41,34 @@
 def test_few_are_refused_where_upstreams_crash_by_themselves(
     seed: int, alike: int, weighed: int
 ) -> None:
-    """Of some 2,400 requests; 15% of the upstreams crash each second."""
+    """There are some 2,400 requests, and 15% of the upstreams crash each second."""
     for cfg, convicted in (
         (CrashFleet(rate=40, mass=0.15, alike=True), alike),
         (CrashFleet(rate=40, mass=0.15), weighed),
     ):
-        tally = CrashPlay(cfg, seed=seed).run()
+        tally = CrashSimulation(cfg, seed=seed).run()
         assert tally.by_themselves > 90
         assert tally.convicted == convicted
 
 
 def test_nobody_is_refused_where_one_in_fifty_crashes_each_second() -> None:
-    tally = CrashPlay(CrashFleet(deadly=1, mass=0.02), seed=1).run()
+    tally = CrashSimulation(CrashFleet(deadly=1, mass=0.02), seed=1).run()
     assert (tally.crashes, tally.convicted) == (3, 0)
     assert tally.answered == tally.good
 
 
-def test_all_that_comes_is_counted_once() -> None:
-    tally = CrashPlay(CrashFleet(deadly=2, mass=0.1, rate=40), seed=4).run()
+def test_each_good_request_is_counted_once() -> None:
+    tally = CrashSimulation(CrashFleet(deadly=2, mass=0.1, rate=40), seed=4).run()
     assert tally.hit_answered <= tally.hit <= tally.good
     assert tally.answered + tally.convicted <= tally.good
 
 
-def test_a_seed_plays_the_same_again() -> None:
+def test_a_seed_gives_the_same_simulation() -> None:
     cfg = CrashFleet(deadly=2, mass=0.1, rate=40)
-    assert CrashPlay(cfg, seed=5).run() == CrashPlay(cfg, seed=5).run()
+    assert CrashSimulation(cfg, seed=5).run() == CrashSimulation(cfg, seed=5).run()
 
 
-def test_plays_are_added_up() -> None:
+def test_render_sums_the_simulations_of_a_variant() -> None:
     one = CrashTally(3, 0, 400, 100, 99, 10, 9, 0, 1, 50)
     other = CrashTally(4, 2, 300, 100, 100, 10, 10, 1, 0, 60)
     assert render("x", [one, other]) == (
@@ -76,15 +78,15 @@
 
 def test_the_example_is_valid() -> None:
     experiment = load_settings(EXAMPLE, CrashExperiment)
-    fleets = with_variants(experiment.crashes, experiment.variants, str(EXAMPLE))
+    fleets = expand_variants(experiment.crashes, experiment.variants, str(EXAMPLE))
     assert fleets["347 entries"].entries == 347
 
 
-def test_a_variant_that_is_no_fleet_is_named() -> None:
+def test_an_invalid_variant_is_named_in_the_error() -> None:
     data = {"crashes": {}, "variants": {"none": {"upstreams": 0}}}
     experiment = parse_settings(data, CrashExperiment, "x.yaml")
     with pytest.raises(SettingsError, match=r"x.yaml: variant none: \$.upstreams"):
-        with_variants(experiment.crashes, experiment.variants, "x.yaml")
+        expand_variants(experiment.crashes, experiment.variants, "x.yaml")
 
 
 def test_the_command_prints_a_table(
--- a/tests/emulate/test_engine.py
+++ b/tests/emulate/test_engine.py
@@ -1,4 +1,4 @@
-"""The model of an engine, and the loop whose time jumps."""
+"""The model of an engine, on an event loop with virtual time."""
 
 from __future__ import annotations
 
@@ -17,58 +17,66 @@
 
 
 def make_prompt(name: str, *, shared: int = 100, own: int = 200) -> RoutedRequest:
-    """Return a request of one shared part and one of its own."""
+    """Return a request whose prompt has a shared part and a part of its own."""
     parts = (PromptPart("shared", shared), PromptPart(name, own))
     return replace(make_request(), parts=parts)
 
 
-def play(*names: str) -> tuple[list[tuple[str, str, int]], Engine, list[bool]]:
-    """Send requests at once; return what happened when, the engine, what it took."""
-    seen: list[tuple[str, str, int]] = []
+def simulate(*names: str) -> tuple[list[tuple[str, str, int]], Engine, list[bool]]:
+    """Send requests at once.
+
+    Returns:
+        Events with the request's name and time, the engine, and for each request
+        whether the engine accepted it.
+    """
+    events: list[tuple[str, str, int]] = []
     loop = VirtualLoop()
     clock = VirtualClock(loop)
 
-    def note(what: str, name: str) -> None:
-        seen.append((what, name, clock.now()))
+    def record(what: str, name: str) -> None:
+        events.append((what, name, clock.now()))
 
     async def run() -> tuple[Engine, list[bool]]:
         engine = Engine(make_upstream(1), SPEED)
-        taken = [
-            engine.take(
+        accepted = [
+            engine.submit(
                 Run(
                     make_prompt(name),
                     5,
-                    on_first=lambda name=name: note("first", name),  # type: ignore[misc]
-                    on_end=lambda name=name: note("end", name),  # type: ignore[misc]
+                    on_first=lambda name=name: record("first", name),  # type: ignore[misc]
+                    on_end=lambda name=name: record("end", name),  # type: ignore[misc]
                 )
             )
             for name in names
         ]
         await asyncio.sleep(3_600)
-        return engine, taken
+        return engine, accepted
 
     try:
-        engine, taken = loop.run_until_complete(run())
+        engine, accepted = loop.run_until_complete(run())
     finally:
         loop.close()
-    return seen, engine, taken
+    return events, engine, accepted
 
 
-def test_a_request_is_read_then_made_and_the_next_one_waits_for_its_slot() -> None:
-    seen, engine, _ = play("a", "b")
-    # 300 tokens read and a step; five steps; then 200, for the shared part is kept.
-    assert seen == [
+def test_a_request_is_prefilled_and_decoded_while_the_next_one_waits_for_its_slot() -> (
+    None
+):
+    events, engine, _ = simulate("a", "b")
+    # "a" prefills 300 tokens and takes five steps, of which the first one gives its
+    # first token. "b" prefills only 200, because the shared part is cached.
+    assert events == [
         ("first", "a", 32),
         ("end", "a", 40),
         ("first", "b", 62),
         ("end", "b", 70),
     ]
-    assert engine.tokens_read == 500
+    assert engine.prefilled_tokens == 500
     assert engine.busy_ms == pytest.approx(70)
 
 
-def test_a_full_queue_takes_nothing_more() -> None:
+def test_a_full_queue_accepts_no_request() -> None:
     names = [f"r{number}" for number in range(MAX_QUEUED + 2)]
-    seen, _, taken = play(*names)
-    assert taken == [True] * (MAX_QUEUED + 1) + [False]
-    assert [name for what, name, _ in seen if what == "end"] == names[:-1]
+    events, _, accepted = simulate(*names)
+    assert accepted == [True] * (MAX_QUEUED + 1) + [False]
+    assert [name for what, name, _ in events if what == "end"] == names[:-1]
--- a/tests/emulate/test_experiment.py
+++ b/tests/emulate/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: variants, their comparison, and the command."""
+"""Variants of an experiment, their comparison, and the command."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from leadseam.cli import emulate
 from leadseam.emulate.experiment import (
-    Compared,
     Outcome,
-    half_interval,
+    VariantOutcomes,
+    confidence_half_width,
     render,
     run_experiment,
 )
-from leadseam.emulate.settings import AS_GIVEN, Experiment
+from leadseam.emulate.settings import BASE_VARIANT, Experiment
 from leadseam.errors import SettingsError
 from leadseam.runtime.process import EXIT_USAGE
 from leadseam.settings.load import load_settings, parse_settings
@@ -51,15 +51,15 @@
     assert set(experiment.variants) == {"as paced", "every 200 ms", "every 400 ms"}
 
 
-def test_every_variant_is_played_with_every_seed() -> None:
+def test_every_variant_is_simulated_with_every_seed() -> None:
     experiment = parse_settings(SMALL, Experiment, "small.yaml")
-    compared = run_experiment(experiment, "small.yaml")
-    assert [one.name for one in compared] == [AS_GIVEN, "one engine"]
-    assert [len(one.outcomes) for one in compared] == [2, 2]
-    assert compared[1].outcomes[0].busy > compared[0].outcomes[0].busy
+    results = run_experiment(experiment, "small.yaml")
+    assert [one.name for one in results] == [BASE_VARIANT, "one engine"]
+    assert [len(one.outcomes) for one in results] == [2, 2]
+    assert results[1].outcomes[0].busy > results[0].outcomes[0].busy
 
 
-def test_a_variant_that_is_no_fleet_is_named() -> None:
+def test_an_invalid_variant_is_named_in_the_error() -> None:
     data = SMALL | {"variants": {"none": {"engines": 0}}}
     experiment = parse_settings(data, Experiment, "small.yaml")
     with pytest.raises(SettingsError, match=r"small.yaml: variant none: \$.engines"):
@@ -70,12 +70,12 @@
     def outcomes(*worths: float) -> tuple[Outcome, ...]:
         return tuple(Outcome(worth, 0.5, 0.1, 1_000, 0.8) for worth in worths)
 
-    assert half_interval([0.02]) == 0
-    assert half_interval([0.01, 0.03]) == pytest.approx(12.71 * 0.01)
+    assert confidence_half_width([0.02]) == 0
+    assert confidence_half_width([0.01, 0.03]) == pytest.approx(12.71 * 0.01)
     table = render(
         [
-            Compared(AS_GIVEN, outcomes(0.80, 0.90)),
-            Compared("other", outcomes(0.82, 0.92)),
+            VariantOutcomes(BASE_VARIANT, outcomes(0.80, 0.90)),
+            VariantOutcomes("other", outcomes(0.82, 0.92)),
         ]
     )
     assert table.splitlines()[2].split() == [
