--- a/src/leadseam/entry/program.py
+++ b/src/leadseam/entry/program.py
@@ -108,7 +108,7 @@
 
     def _on_resume(self) -> None:
         self._staleness.resumed()
-        self.dispatcher.timeouts.look()
+        self.dispatcher.timeouts.rearm()
 
     def _readiness(self) -> str:
         if self._frontend.stopping:
--- a/src/leadseam/runtime/timeouts.py
+++ b/src/leadseam/runtime/timeouts.py
@@ -51,7 +51,7 @@
             finally:
                 del self._due[limit]
 
-    def look(self) -> None:
+    def rearm(self) -> None:
         """Set all limits anew; those that have passed cut off at once."""
         now = asyncio.get_running_loop().time()
         for limit, due in self._due.items():
--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -133,7 +133,7 @@
 
     def resumed(self) -> None:
         """Look at all that may be due after the box was suspended."""
-        self._timeouts.look()
+        self._timeouts.rearm()
         if self._upstream is not None:
             self._upstream.drop_idle()
 
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -175,7 +175,7 @@
     try:
         async with timeouts.until(1_000):
             clock.suspend(away)
-            timeouts.look()
+            timeouts.rearm()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
     except TimeoutError:
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -19,7 +19,7 @@
     with pytest.raises(TimeoutError):
         async with timeouts.until(LONG):
             clock.suspend(LONG)
-            timeouts.look()
+            timeouts.rearm()
             await asyncio.Event().wait()
     assert repr(timeouts) == "Timeouts(0)"
 
@@ -29,7 +29,7 @@
     timeouts = Timeouts(clock)
     async with timeouts.until(LONG), timeouts.until(None):
         clock.suspend(LONG - 60_000)
-        timeouts.look()
+        timeouts.rearm()
         await asyncio.sleep(0.01)
     assert repr(timeouts) == "Timeouts(0)"
 
@@ -42,4 +42,4 @@
             try:
                 await asyncio.Event().wait()
             finally:
-                timeouts.look()
+                timeouts.rearm()
