--- a/src/leadseam/runtime/suspension.py
+++ b/src/leadseam/runtime/suspension.py
@@ -57,9 +57,9 @@
         """Compare until cancelled."""
         while True:
             await sleep(INTERVAL)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Tell of a suspension since the last look, if there was one."""
         left_out = self._left_out()
         away, self._away = left_out - self._away, left_out
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -13,10 +13,10 @@
     metrics = Metrics()
     watch = SuspensionWatch(clock, metrics, on_resume=lambda: resumed.append(1))
     clock.suspend(2_000)
-    watch.look()
-    watch.look()
+    watch.check()
+    watch.check()
     clock.suspend(300)
-    watch.look()
+    watch.check()
     assert len(resumed) == 2
     assert b"leadseam_suspended_ms_total 2300" in metrics.render()
 
@@ -26,5 +26,5 @@
     watch = SuspensionWatch(clock, Metrics(), on_resume=lambda: None)
     clock.advance(20_000)
     clock.suspend(NOTABLE - 1)
-    watch.look()
+    watch.check()
     assert "left_out=49" in repr(watch)
