--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -10,7 +10,7 @@
 from leadseam.routing.attempt import FIRST_SERVER_ERROR, Broken, Streaming, Whole
 from leadseam.routing.balance import own_tokens
 from leadseam.routing.reply import NOT_YET
-from leadseam.runtime.logs import LineBudget, lines_not_written
+from leadseam.runtime.logs import LineBudget, count_dropped_lines
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -61,7 +61,7 @@
 
     def update_dropped_lines(self) -> None:
         """Show how many lines were left out, here or for want of an outlet."""
-        dropped = self._lines.suppressed + lines_not_written()
+        dropped = self._lines.suppressed + count_dropped_lines()
         self._metrics.logs_dropped.set({}, dropped)
 
     def refusal(
--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -105,7 +105,7 @@
         return True
 
 
-def lines_not_written() -> int:
+def count_dropped_lines() -> int:
     """Return the lines that standard output could not take."""
     handlers = logging.getLogger().handlers
     return sum(one.dropped for one in handlers if isinstance(one, DroppingHandler))
