--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -129,7 +129,7 @@
         self, upstream: Registration, admitted: AdmittedRequest, head: AnswerHead
     ) -> None:
         """Note that an upstream turns a request away and asks for a pause."""
-        self._metrics.pauses_asked.inc("read" if head.pause else "not_read")
+        self._metrics.pauses_requested.inc("read" if head.pause else "not_read")
         if self._lines.take():
             extra = {
                 **self._context(admitted),
--- a/src/leadseam/runtime/metrics.py
+++ b/src/leadseam/runtime/metrics.py
@@ -139,7 +139,7 @@
             "Retries that were not allowed, by rule.",
             "rule",
         )
-        self.pauses_asked = metrics.tally(
+        self.pauses_requested = metrics.tally(
             "upstream_pauses_asked_total",
             "Answers of upstreams that ask for a pause, by whether it can be read.",
             "result",
