--- a/src/leadseam/control/service.py
+++ b/src/leadseam/control/service.py
@@ -11,7 +11,7 @@
 from leadseam.control.state import ChangeResult, Leave, LeaveResult, Replace
 from leadseam.feed.evacuation_server import OrderStatus
 from leadseam.incarnation import Incarnation
-from leadseam.runtime.logs import LineBudget
+from leadseam.runtime.logs import LogLineLimiter
 
 if TYPE_CHECKING:
     from leadseam.control.configuration import Configuration
@@ -84,7 +84,7 @@
         self._feed = feed
         self._clock = clock
         self._metrics = metrics
-        self._line_budget = LineBudget(clock, rate=REFUSAL_LINES_PER_S)
+        self._line_budget = LogLineLimiter(clock, rate=REFUSAL_LINES_PER_S)
         self._min_voters = min_voters
         self._started = clock.now()
 
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -10,7 +10,7 @@
 from leadseam.routing.attempt import FIRST_SERVER_ERROR, Broken, Streaming, Whole
 from leadseam.routing.balance import own_tokens
 from leadseam.routing.reply import NOT_YET
-from leadseam.runtime.logs import LineBudget, count_dropped_lines
+from leadseam.runtime.logs import LogLineLimiter, count_dropped_lines
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,7 +57,7 @@
         self._account_log = account_log
         self._clock = clock
         self._metrics = metrics
-        self._lines = LineBudget(clock)
+        self._lines = LogLineLimiter(clock)
 
     def update_dropped_lines(self) -> None:
         """Show how many lines were left out, here or for want of an outlet."""
--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -77,7 +77,7 @@
             self.dropped += 1
 
 
-class LineBudget:
+class LogLineLimiter:
     """Bounds the lines that single requests cause.
 
     Args:
