--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from leadseam.clock import Clock, Millis
 
-LINES_PER_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 """Lines on single requests that a process may write in a second. At 300 bytes and 60 us
 a line that is 30 KB/s and 0.006 cores; beyond it the counters still tell how many
 requests ended how."""
@@ -85,7 +85,7 @@
         rate: Lines a second. Defaults to `LINES_PER_SECOND`.
     """
 
-    def __init__(self, clock: Clock, *, rate: int = LINES_PER_SECOND) -> None:
+    def __init__(self, clock: Clock, *, rate: int = MAX_LINES_PER_SECOND) -> None:
         self.suppressed = 0
         self._clock = clock
         self._rate = rate
--- a/tests/routing/test_gateway.py
+++ b/tests/routing/test_gateway.py
@@ -25,7 +25,7 @@
 from leadseam.routing.retry_budget import RetryLimits
 from leadseam.routing.router import Router
 from leadseam.routing.usage import Standing
-from leadseam.runtime.logs import LINES_PER_SECOND
+from leadseam.runtime.logs import MAX_LINES_PER_SECOND
 from leadseam.runtime.metrics import Metrics, RoutingMetrics
 from leadseam.wire.feed import UsageRow
 from tests.routing.samples import (
@@ -161,7 +161,7 @@
 def test_lines_that_were_left_out_are_counted() -> None:
     metrics = Metrics()
     entry = Entry(metrics)
-    for number in range(LINES_PER_SECOND + 7):
+    for number in range(MAX_LINES_PER_SECOND + 7):
         entry.gateway._refuse(Sender(f"r-{number}", None), NotRun(Reason.NO_KEY), 0)
     entry.gateway.request_log.update_dropped_lines()
     assert b"leadseam_log_lines_dropped 7" in metrics.render()
