--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -134,7 +134,7 @@
             settings.metrics_port,
             self._metrics,
             self.replica.readiness,
-            more=[
+            extra_routes=[
                 *verdict_routes(self._feed.crashes, own_ip=settings.ip),
                 *evacuation_routes(self._service, self._feed, own_ip=settings.ip),
             ],
--- a/src/leadseam/runtime/admin.py
+++ b/src/leadseam/runtime/admin.py
@@ -72,9 +72,9 @@
     metrics: Metrics,
     readiness: Callable[[], str],
     *,
-    more: Iterable[web.AbstractRouteDef] = (),
+    extra_routes: Iterable[web.AbstractRouteDef] = (),
 ) -> web.AppRunner:
     """Serve the admin routes, and more that a role has."""
     app = web.Application()
-    app.add_routes([*admin_routes(metrics, readiness), *more])
+    app.add_routes([*admin_routes(metrics, readiness), *extra_routes])
     return await serve_http(ip, port, app)
