--- a/src/leadseam/control/replica.py
+++ b/src/leadseam/control/replica.py
@@ -303,7 +303,7 @@
             ):
                 self._inbox.put_nowait(_Received(message))
             case _:
-                self._metrics.unexpected.inc({})
+                self._metrics.unexpected_messages.inc({})
 
     # The loop that owns the core and the disk
 
--- a/src/leadseam/feed/server.py
+++ b/src/leadseam/feed/server.py
@@ -187,7 +187,7 @@
                     await self._serve_replica(link)
                     return
                 case _:
-                    self._metrics.unexpected.inc({})
+                    self._metrics.unexpected_messages.inc({})
                     return
 
     async def _serve_replica(self, link: Link) -> None:
@@ -251,7 +251,7 @@
             case Claim() | ClaimDone() | ClaimRelease():
                 spawn(self._claims.handle(subscriber.link, message))
             case _:
-                self._metrics.unexpected.inc({})
+                self._metrics.unexpected_messages.inc({})
 
     async def _push_changes(self) -> None:
         while True:
--- a/src/leadseam/runtime/metrics.py
+++ b/src/leadseam/runtime/metrics.py
@@ -229,6 +229,6 @@
             "evacuated_failure_domains",
             "Failure domains that are evacuated, as far as this replica knows.",
         )
-        self.unexpected = metrics.counter(
+        self.unexpected_messages = metrics.counter(
             "unexpected_messages_total", "Messages of a type not expected on a link."
         )
