--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -25,7 +25,7 @@
 """Sockets that get the numbers which were just given back."""
 
 
-async def assert_closed_once(call: Call, monkeypatch: pytest.MonkeyPatch) -> None:
+async def assert_no_double_close(call: Call, monkeypatch: pytest.MonkeyPatch) -> None:
     """Check that no descriptor is closed twice when callers leave while they connect.
 
     Args:
--- a/tests/routing/test_client.py
+++ b/tests/routing/test_client.py
@@ -14,7 +14,7 @@
 import pytest
 
 from leadseam.routing.client import UpstreamClient
-from tests.descriptors import assert_closed_once
+from tests.descriptors import assert_no_double_close
 from tools.ports import LOOPBACK
 
 if TYPE_CHECKING:
@@ -195,7 +195,7 @@
 ) -> None:
     """A descriptor closed twice would be one that another connection has by then."""
     async with client() as made:
-        await assert_closed_once(functools.partial(send, made), monkeypatch)
+        await assert_no_double_close(functools.partial(send, made), monkeypatch)
 
 
 async def test_a_connection_that_leads_nowhere_is_found_by_probes() -> None:
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -25,7 +25,7 @@
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.sidecar.platform import watch_platform
 from leadseam.sidecar.upstream import Upstream, UpstreamAddress
-from tests.descriptors import assert_closed_once
+from tests.descriptors import assert_no_double_close
 from tools.platform.operator import Operator, tell
 from tools.ports import LOOPBACK
 
@@ -62,7 +62,7 @@
     call: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert callable(call)
-    await assert_closed_once(call, monkeypatch)
+    await assert_no_double_close(call, monkeypatch)
 
 
 async def test_the_next_address_of_a_name_is_tried() -> None:
