--- a/src/leadseam/runtime/connector.py
+++ b/src/leadseam/runtime/connector.py
@@ -17,7 +17,7 @@
     from aiohttp.client_proto import ResponseHandler
 
 
-KEEPALIVE_S = 15.0
+DEFAULT_KEEPALIVE_S = 15.0
 """Seconds that an idle connection is kept where nothing else is known of the peer; the
 library's own measure."""
 
--- a/src/leadseam/sidecar/upstream.py
+++ b/src/leadseam/sidecar/upstream.py
@@ -11,7 +11,7 @@
 
 from leadseam.clock import Clock, Millis, seconds
 from leadseam.outcome import Reason
-from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
+from leadseam.runtime.connector import DEFAULT_KEEPALIVE_S, LoopConnector
 from leadseam.sidecar.meter import meter_for
 from leadseam.wire.dispatch import Chunk, Final, Head
 
@@ -110,7 +110,7 @@
         self._timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=seconds(CONNECT_TIMEOUT)
         )
-        self._connector = LoopConnector(keepalive=KEEPALIVE_S)
+        self._connector = LoopConnector(keepalive=DEFAULT_KEEPALIVE_S)
         self._pooled = self._session(self._connector)
         # A reused connection may make the client library send a request twice.
         self._single_use = self._session(LoopConnector())
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -13,7 +13,7 @@
 
 from leadseam.platform import names
 from leadseam.routing.gateway import MAX_KEPT_ALIVE
-from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
+from leadseam.runtime.connector import DEFAULT_KEEPALIVE_S, LoopConnector
 from tools.platform.nodes import HOST, KEY, document
 from tools.platform.standin import LARGE_BEGIN, LARGE_BODY, WHOLE_STREAM, event
 from tools.waiting import CONDITION_TIMEOUT, until
@@ -388,7 +388,7 @@
 
 async def test_connections_are_kept_up_to_a_limit(platform: Platform) -> None:
     entry = platform.entry_ips[0]
-    connector = LoopConnector(keepalive=KEEPALIVE_S)
+    connector = LoopConnector(keepalive=DEFAULT_KEEPALIVE_S)
     async with aiohttp.ClientSession(connector=connector) as http:
 
         async def is_kept(path: str) -> bool:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -17,7 +17,7 @@
 import aiohttp
 import yaml
 
-from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
+from leadseam.runtime.connector import DEFAULT_KEEPALIVE_S, LoopConnector
 from tools.node import Node
 from tools.platform import suspension
 from tools.platform.suspension import SteadyClock
@@ -63,7 +63,7 @@
     def http(self) -> aiohttp.ClientSession:
         """A client session for the whole test."""
         if self._http is None:
-            connector = LoopConnector(keepalive=KEEPALIVE_S)
+            connector = LoopConnector(keepalive=DEFAULT_KEEPALIVE_S)
             timeout = aiohttp.ClientTimeout(total=120)
             self._http = aiohttp.ClientSession(connector=connector, timeout=timeout)
         return self._http
--- a/tools/path_cost.py
+++ b/tools/path_cost.py
@@ -21,7 +21,7 @@
 import aiohttp
 from docopt import docopt
 
-from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
+from leadseam.runtime.connector import DEFAULT_KEEPALIVE_S, LoopConnector
 from tools.fleet import Fleet
 from tools.load import AccountLoad, Driver, Route, chat_body, entry_route, stream_chat
 from tools.measure import cpu_seconds
@@ -108,7 +108,7 @@
     try:
         await fleet.start_all()
         async with aiohttp.ClientSession(
-            connector=LoopConnector(keepalive=KEEPALIVE_S)
+            connector=LoopConnector(keepalive=DEFAULT_KEEPALIVE_S)
         ) as http:
             urls = {"entry-1": fleet.url("entry-1", PATH)}
             route: Route = entry_route(http, urls, MODEL)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from leadseam.platform import names
-from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
+from leadseam.runtime.connector import DEFAULT_KEEPALIVE_S, LoopConnector
 from tools.platform.nodes import HOST, KEY
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
     async def _keep_calling(self, entry: str) -> None:
         timeout = aiohttp.ClientTimeout(total=GIVE_UP)
         async with aiohttp.ClientSession(
-            connector=LoopConnector(keepalive=KEEPALIVE_S), timeout=timeout
+            connector=LoopConnector(keepalive=DEFAULT_KEEPALIVE_S), timeout=timeout
         ) as http:
             # A request that must not repeat is never sent again by the library.
             http._retry_connection = False
