--- a/src/leadseam/runtime/lag.py
+++ b/src/leadseam/runtime/lag.py
@@ -14,10 +14,10 @@
 
 INTERVAL: Millis = 20
 """Interval of the measurement."""
-KEPT = 0.8
+DECAY = 0.8
 """Part of the last measurement that is kept, so that one quiet turn of the loop does
 not end a busy time: it halves in some 60 ms."""
-NOTABLE: Millis = 100
+LOG_THRESHOLD: Millis = 100
 """Lag that is logged when it is first exceeded, and when it is over."""
 
 log = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
         self._on_measure = on_measure
         self._due: Millis = clock.running() + INTERVAL
         self._lag: float = 0.0
-        self._notable = False
+        self._above_threshold = False
 
     def __repr__(self) -> str:
         return f"LoopLag({self.millis} ms)"
@@ -58,9 +58,9 @@
     def measure(self) -> None:
         """Note how late the last measurement came."""
         late = max(self._clock.running() - self._due, 0)
-        self._lag = max(float(late), self._lag * KEPT)
+        self._lag = max(float(late), self._lag * DECAY)
         self._on_measure(self.millis)
-        if (self._lag > NOTABLE) is not self._notable:
-            self._notable = not self._notable
-            extra = {"lag_ms": round(self._lag), "late": self._notable}
+        if (self._lag > LOG_THRESHOLD) is not self._above_threshold:
+            self._above_threshold = not self._above_threshold
+            extra = {"lag_ms": round(self._lag), "late": self._above_threshold}
             log.warning("event loop lag", extra=extra)
