--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -21,7 +21,10 @@
 a line that is 30 KB/s and 0.006 cores; beyond it the counters still tell how many
 requests ended how."""
 
-_STANDARD = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+_STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {
+    "message",
+    "asctime",
+}
 
 
 class JsonFormatter(logging.Formatter):
@@ -45,7 +48,9 @@
             "message": record.getMessage(),
         }
         extra = vars(record).items()
-        line.update({key: value for key, value in extra if key not in _STANDARD})
+        line.update(
+            {key: value for key, value in extra if key not in _STANDARD_ATTRIBUTES}
+        )
         if record.exc_info:
             line["exception"] = self.formatException(record.exc_info)
         return msgspec.json.encode(line, enc_hook=str).decode()
