--- a/src/leadseam/runtime/metrics.py
+++ b/src/leadseam/runtime/metrics.py
@@ -20,17 +20,17 @@
 
     registry: Registry = field(default_factory=Registry)
     traffic: Traffic = field(default_factory=Traffic)
-    _tallies: list[Tally] = field(default_factory=list)
+    _buffered_counters: list[BufferedCounter] = field(default_factory=list)
 
     def counter(self, name: str, doc: str) -> Counter:
         """Register a counter `leadseam_NAME`."""
         return Counter(f"leadseam_{name}", doc, registry=self.registry)
 
-    def tally(self, name: str, doc: str, label: str) -> Tally:
+    def buffered_counter(self, name: str, doc: str, label: str) -> BufferedCounter:
         """Register a counter `leadseam_NAME` that is counted often, by one label."""
-        tally = Tally(self.counter(name, doc), label)
-        self._tallies.append(tally)
-        return tally
+        buffered_counter = BufferedCounter(self.counter(name, doc), label)
+        self._buffered_counters.append(buffered_counter)
+        return buffered_counter
 
     def gauge(self, name: str, doc: str) -> Gauge:
         """Register a gauge `leadseam_NAME`."""
@@ -44,8 +44,8 @@
 
     def render(self) -> bytes:
         """Return all values in the text format."""
-        for tally in self._tallies:
-            tally.flush()
+        for buffered_counter in self._buffered_counters:
+            buffered_counter.flush()
         content, _ = render(self.registry, ["text/plain"])
         return content + self._render_traffic()
 
@@ -89,7 +89,7 @@
 LATENCY_BUCKETS = [0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0]
 
 
-class Tally:
+class BufferedCounter:
     """Counts by one label, handed to the registry only when somebody reads it.
 
     The registry's own count is much of what a refusal costs.
@@ -123,23 +123,23 @@
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        self.requests = metrics.tally(
+        self.requests = metrics.buffered_counter(
             "routed_requests_total", "Routed requests by outcome.", "outcome"
         )
-        self.refusals = metrics.tally(
+        self.refusals = metrics.buffered_counter(
             "routed_refusals_total",
             "Routed requests refused or failed, by reason.",
             "reason",
         )
-        self.attempts = metrics.tally(
+        self.attempts = metrics.buffered_counter(
             "routed_attempts_total", "Attempts at upstreams by ending.", "ending"
         )
-        self.retries_denied = metrics.tally(
+        self.retries_denied = metrics.buffered_counter(
             "routed_retries_denied_total",
             "Retries that were not allowed, by rule.",
             "rule",
         )
-        self.pauses_requested = metrics.tally(
+        self.pauses_requested = metrics.buffered_counter(
             "upstream_pauses_asked_total",
             "Answers of upstreams that ask for a pause, by whether it can be read.",
             "result",
@@ -196,7 +196,7 @@
         self.leads = metrics.gauge(
             "control_leads", "1 where this replica leads the control group."
         )
-        self.registrations_refused = metrics.tally(
+        self.registrations_refused = metrics.buffered_counter(
             "registrations_refused_total",
             "Registrations that name no upstream, by what is wrong.",
             "fault",
