--- a/src/leadseam/runtime/process.py
+++ b/src/leadseam/runtime/process.py
@@ -46,7 +46,7 @@
 
 def run_program(
     node: str,
-    make: Callable[[], Program],
+    factory: Callable[[], Program],
     *,
     level: str,
     run: RunLoop = run_in_aiomisc,
@@ -62,16 +62,16 @@
     configure_logs(node, level=level)
     # An abort within a library leaves no line: its stack goes to standard error.
     faulthandler.enable()
-    sys.exit(run(_supervise(make)))
+    sys.exit(run(_supervise(factory)))
 
 
-async def _supervise(make: Callable[[], Program]) -> int:
+async def _supervise(factory: Callable[[], Program]) -> int:
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stopping.set)
     try:
-        program = make()
+        program = factory()
         await program.start()
     except StorageError as exc:
         log.error("cannot start", extra={"code": exc.code, "error": exc.message})
