--- a/src/leadseam/runtime/restart.py
+++ b/src/leadseam/runtime/restart.py
@@ -36,8 +36,8 @@
             that the disk has to take what it holds once more.
     """
 
-    def __init__(self, make: Callable[[bool], Program]) -> None:
-        self._make = make
+    def __init__(self, factory: Callable[[bool], Program]) -> None:
+        self._factory = factory
         self._program: Program | None = None
 
     def __repr__(self) -> str:
@@ -46,7 +46,7 @@
     async def start(self) -> None:
         """Start the program; with a disk that fails, `run` goes on trying."""
         try:
-            await self._begin(after_failure=False)
+            await self._start_program(after_failure=False)
         except StorageDamagedError:
             raise
         except StorageError as exc:
@@ -56,8 +56,8 @@
         """Serve until cancelled, or until the program ends by itself."""
         while True:
             if self._program is None:
-                await self._begin_again()
-            if await self._ran_to_its_end():
+                await self._restart_until_started()
+            if await self._run_to_completion():
                 return
 
     async def drain(self) -> None:
@@ -71,23 +71,23 @@
         if program is not None:
             await program.stop()
 
-    async def _begin(self, *, after_failure: bool) -> None:
-        program = self._make(after_failure)
+    async def _start_program(self, *, after_failure: bool) -> None:
+        program = self._factory(after_failure)
         await program.start()
         self._program = program
 
-    async def _begin_again(self) -> None:
+    async def _restart_until_started(self) -> None:
         while self._program is None:
             await sleep(RETRY_PAUSE)
             try:
-                await self._begin(after_failure=True)
+                await self._start_program(after_failure=True)
             except StorageDamagedError:
                 raise
             except StorageError as exc:
                 log.debug("disk fails still", extra={"error": exc.message})
         log.info("disk takes writes again")
 
-    async def _ran_to_its_end(self) -> bool:
+    async def _run_to_completion(self) -> bool:
         """Run the program; return False if its disk failed."""
         assert self._program is not None
         failed: list[StorageError] = []
