--- a/src/leadseam/runtime/suspension.py
+++ b/src/leadseam/runtime/suspension.py
@@ -20,7 +20,7 @@
 INTERVAL: Millis = 20
 """Interval of the comparison: what is due after a suspension is late by no more. It is
 a twenty-fifth of the time within which a final answer may follow a time limit."""
-NOTABLE: Millis = 50
+MIN_SUSPENSION: Millis = 50
 """Time away from which a suspension is told of: the two clocks are read one after the
 other, and a busy box may leave some ms in between."""
 
@@ -44,14 +44,14 @@
         on_resume: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock = clock
-        self._total = metrics.counter(
+        self._suspended_ms = metrics.counter(
             "suspended_ms_total", "Time for which the box was suspended."
         )
         self._on_resume = on_resume
-        self._away = self._left_out()
+        self._suspended = self._read_suspended()
 
     def __repr__(self) -> str:
-        return f"SuspensionWatch(left_out={self._away})"
+        return f"SuspensionWatch(left_out={self._suspended})"
 
     async def run(self) -> None:
         """Compare until cancelled."""
@@ -61,13 +61,13 @@
 
     def check(self) -> None:
         """Tell of a suspension since the last look, if there was one."""
-        left_out = self._left_out()
-        away, self._away = left_out - self._away, left_out
-        if away < NOTABLE:
+        suspended = self._read_suspended()
+        duration, self._suspended = suspended - self._suspended, suspended
+        if duration < MIN_SUSPENSION:
             return
-        log.warning("box was suspended", extra={"away_ms": away})
-        self._total.add({}, away)
+        log.warning("box was suspended", extra={"away_ms": duration})
+        self._suspended_ms.add({}, duration)
         self._on_resume()
 
-    def _left_out(self) -> Millis:
+    def _read_suspended(self) -> Millis:
         return self._clock.now() - self._clock.running()
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -4,7 +4,7 @@
 
 from leadseam.clock import ManualClock
 from leadseam.runtime.metrics import Metrics
-from leadseam.runtime.suspension import NOTABLE, SuspensionWatch
+from leadseam.runtime.suspension import MIN_SUSPENSION, SuspensionWatch
 
 
 def test_each_suspension_is_told_once() -> None:
@@ -25,6 +25,6 @@
     clock = ManualClock(5_000)
     watch = SuspensionWatch(clock, Metrics(), on_resume=lambda: None)
     clock.advance(20_000)
-    clock.suspend(NOTABLE - 1)
+    clock.suspend(MIN_SUSPENSION - 1)
     watch.check()
     assert "left_out=49" in repr(watch)
