--- a/src/leadseam/runtime/timeouts.py
+++ b/src/leadseam/runtime/timeouts.py
@@ -44,7 +44,7 @@
         if due is None:
             yield
             return
-        async with asyncio.timeout(self._left(due)) as limit:
+        async with asyncio.timeout(self._remaining(due)) as limit:
             self._due[limit] = due
             try:
                 yield
@@ -56,7 +56,7 @@
         now = asyncio.get_running_loop().time()
         for limit, due in self._due.items():
             if not limit.expired():
-                limit.reschedule(now + self._left(due))
+                limit.reschedule(now + self._remaining(due))
 
-    def _left(self, due: Millis) -> float:
+    def _remaining(self, due: Millis) -> float:
         return seconds(max(due - self._clock.now(), 0))
