--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("call", [probe, watch, report, operate])
-async def test_a_connect_that_is_given_up_closes_no_descriptor_twice(
+async def test_a_cancelled_connect_closes_no_descriptor_twice(
     call: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert callable(call)
@@ -109,7 +109,7 @@
         return
 
 
-def test_nothing_opens_connections_in_the_library_s_way() -> None:
+def test_nothing_uses_the_library_s_connector() -> None:
     found = [
         f"{path.relative_to(ROOT)}: {call}"
         for folder in FOLDERS
@@ -122,6 +122,6 @@
 
 @pytest.mark.parametrize("args", ["", "timeout=Timeout(total=1)", "limit=0"])
 @pytest.mark.parametrize("name", ["ClientSession", "TCPConnector"])
-def test_the_library_s_way_is_found(name: str, args: str) -> None:
+def test_the_library_s_connector_is_found(name: str, args: str) -> None:
     made = f"{name}({args})"
     assert SESSION.findall(f"async with aiohttp.{made} as http:") == [made]
--- a/tests/runtime/test_lag.py
+++ b/tests/runtime/test_lag.py
@@ -6,7 +6,7 @@
 from leadseam.runtime.lag import INTERVAL, LoopLag
 
 
-def test_a_late_measurement_shows_before_it_is_made() -> None:
+def test_an_overdue_measurement_counts_before_it_is_made() -> None:
     clock = ManualClock(1_000)
     lag = LoopLag(clock)
     clock.advance(INTERVAL)
@@ -15,7 +15,7 @@
     assert lag.millis == 70
 
 
-def test_a_busy_time_ends_by_and_by() -> None:
+def test_the_lag_decays_gradually() -> None:
     clock = ManualClock(0)
     measured: list[int] = []
     lag = LoopLag(clock, measured.append)
@@ -31,7 +31,7 @@
     assert lag.millis == 0
 
 
-def test_a_suspension_is_no_lag() -> None:
+def test_a_suspension_does_not_count_as_lag() -> None:
     clock = ManualClock(1_000)
     lag = LoopLag(clock)
     clock.suspend(5_000)
--- a/tests/runtime/test_process.py
+++ b/tests/runtime/test_process.py
@@ -20,7 +20,7 @@
 """
 
 
-def test_an_abort_within_a_library_leaves_its_stack() -> None:
+def test_an_abort_within_a_library_prints_its_stack() -> None:
     """A loop that polls a descriptor that is gone aborts, and said nothing then."""
     ended = subprocess.run(
         [sys.executable, "-c", ABORTING], capture_output=True, check=False
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -69,7 +69,7 @@
     monkeypatch.setattr(restart, "RETRY_PAUSE", 0)
 
 
-async def test_a_full_disk_ends_no_process() -> None:
+async def test_a_full_disk_does_not_end_the_process() -> None:
     disk = Disk()
     program = RestartingProgram(disk.make)
     await program.start()
@@ -87,7 +87,7 @@
     assert disk.calls[-2:] == ["drained", "stopped"]
 
 
-async def test_a_disk_that_fails_at_the_start_is_waited_for() -> None:
+async def test_start_is_retried_until_the_disk_works() -> None:
     disk = Disk(failing_starts=2)
     program = RestartingProgram(disk.make)
     await program.start()
@@ -97,7 +97,7 @@
     running.cancel()
 
 
-async def test_a_damaged_disk_is_for_an_operator() -> None:
+async def test_a_damaged_disk_ends_the_program() -> None:
     with pytest.raises(StorageDamagedError):
         await RestartingProgram(Disk(damaged=True).make).start()
     disk = Disk()
@@ -109,7 +109,7 @@
         await program.run()
 
 
-async def test_a_stop_while_the_disk_fails_has_nothing_to_release() -> None:
+async def test_stop_while_the_disk_fails() -> None:
     program = RestartingProgram(Disk(failing_starts=1).make)
     await program.start()
     await program.drain()
--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -71,17 +71,17 @@
 
 def load_of_others() -> Ask:
     """Requests of others that count at an engine."""
-    books = [LoadTable(), LoadTable()]
-    books[1].begin(ENGINE, Load(requests=1))
-    exchange(books)
-    return lambda now: books[0].total(ENGINE, now).requests
+    tables = [LoadTable(), LoadTable()]
+    tables[1].begin(ENGINE, Load(requests=1))
+    exchange(tables)
+    return lambda now: tables[0].total(ENGINE, now).requests
 
 
-def service_of_late() -> Ask:
+def recent_service() -> Ask:
     """Service of an account that still counts, of 1,000 tokens."""
-    book = UsageTable()
-    book.record_served("tellers", 1_000, 0)
-    return lambda now: sum(row.served for row in book.rows(now))
+    table = UsageTable()
+    table.record_served("tellers", 1_000, 0)
+    return lambda now: sum(row.served for row in table.rows(now))
 
 
 def upstream_of_a_lost_replica() -> Ask:
@@ -107,23 +107,23 @@
 
 def suspected_request() -> Ask:
     """Whether a suspect of 590 s ago is still known."""
-    book = CrashTable()
-    book.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
+    table = CrashTable()
+    table.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
 
     def ask(now: Millis) -> int:
-        book.expire_suspects(590_000 + now)
-        return len(book)
+        table.expire_suspects(590_000 + now)
+        return len(table)
 
     return ask
 
 
-PLACES: list[tuple[Callable[[], Ask], list[object], list[object]]] = [
+CASES: list[tuple[Callable[[], Ask], list[object], list[object]]] = [
     (leader_lease, [True, True, True], [True, False, False]),
     (follower_is_current, [True, True, True], [True, False, False]),
     (retries_again, [0, 0, 0], [0, 0, 8]),
     (failing_upstream, [False, False, False], [False, True, True]),
     (load_of_others, [1, 1, 1], [1, 0, 0]),
-    (service_of_late, [1_000, 1_000, 1_000], [905, 368, 0]),
+    (recent_service, [1_000, 1_000, 1_000], [905, 368, 0]),
     (upstream_of_a_lost_replica, [1, 1, 1], [1, 1, 0]),
     (silent_upstream, [0, 0, 0], [0, 0, 0]),
     (suspected_request, [1, 1, 1], [1, 1, 0]),
@@ -131,8 +131,8 @@
 """Each place, what it says by a clock that leaves the time away out, and by ours."""
 
 
-@pytest.mark.parametrize(("prepare", "left_out", "counted"), PLACES)
-def test_what_a_place_says_after_a_suspension(
+@pytest.mark.parametrize(("prepare", "left_out", "counted"), CASES)
+def test_results_after_a_suspension(
     prepare: Callable[[], Ask], left_out: list[object], counted: list[object]
 ) -> None:
     assert [asked(prepare, away, ManualClock.running) for away in AWAY] == left_out
@@ -151,7 +151,7 @@
     ("away", "left_out", "counted"),
     [(200, True, True), (2_000, True, False), (20_000, True, False)],
 )
-def test_an_entry_calls_nothing_absent_by_an_old_confirmation(
+def test_an_old_confirmation_does_not_keep_a_feed_fresh(
     away: Millis, left_out: bool, counted: bool
 ) -> None:
     clock = ManualClock(100_000)
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize(
     ("away", "cut_off"), [(200, False), (2_000, True), (20_000, True)]
 )
-async def test_a_limit_of_a_second_cuts_off_on_going_on(
+async def test_a_timeout_of_a_second_expires_on_resume(
     away: Millis, cut_off: bool
 ) -> None:
     clock = ManualClock()
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -7,7 +7,7 @@
 from leadseam.runtime.suspension import MIN_SUSPENSION, SuspensionWatch
 
 
-def test_each_suspension_is_told_once() -> None:
+def test_each_suspension_is_reported_once() -> None:
     clock = ManualClock(5_000)
     resumed: list[int] = []
     metrics = Metrics()
@@ -21,7 +21,7 @@
     assert b"leadseam_suspended_ms_total 2300" in metrics.render()
 
 
-def test_a_box_that_stands_still_or_is_busy_is_not_suspended() -> None:
+def test_an_idle_or_busy_box_is_not_suspended() -> None:
     clock = ManualClock(5_000)
     watch = SuspensionWatch(clock, Metrics(), on_resume=lambda: None)
     clock.advance(20_000)
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -13,7 +13,7 @@
 """Limit that no timer of a test reaches."""
 
 
-async def test_a_limit_that_passed_meanwhile_cuts_off_at_once() -> None:
+async def test_a_timeout_that_passed_while_suspended_expires_at_once() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     with pytest.raises(TimeoutError):
@@ -24,7 +24,7 @@
     assert repr(timeouts) == "Timeouts(0)"
 
 
-async def test_a_limit_that_has_not_passed_cuts_off_nothing() -> None:
+async def test_a_timeout_that_has_not_passed_does_not_expire() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     async with timeouts.until(LONG), timeouts.until(None):
@@ -34,7 +34,7 @@
     assert repr(timeouts) == "Timeouts(0)"
 
 
-async def test_a_limit_that_is_passing_is_left_alone() -> None:
+async def test_a_timeout_that_is_expiring_is_not_rescheduled() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     with pytest.raises(TimeoutError):
