--- a/src/leadseam/runtime/__init__.py
+++ b/src/leadseam/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every program shares: start-up, logs, metrics and the admin server."""
+"""Runtime shared by all programs: start-up, logging, metrics and the admin server."""
