--- a/src/leadseam/runtime/admin.py
+++ b/src/leadseam/runtime/admin.py
@@ -17,11 +17,12 @@
 def admin_routes(
     metrics: Metrics, readiness: Callable[[], str]
 ) -> list[web.AbstractRouteDef]:
-    """Return the admin routes.
+    """Return the routes for health, readiness and metrics.
 
     Args:
-        metrics: What /metrics shows.
-        readiness: Returns why the process is not ready, or an empty text.
+        metrics: Metrics that /metrics renders.
+        readiness: Returns the reason why the process is not ready, or an empty string
+            if it is.
     """
 
     async def healthz(_: web.Request) -> web.Response:
@@ -46,16 +47,17 @@
 async def serve_http(
     ip: str, port: int, app: web.Application, *, grace: float = 0.5
 ) -> web.AppRunner:
-    """Serve an application.
+    """Start an HTTP server for an application.
 
     Args:
-        ip: IP number to bind.
+        ip: IP address to bind.
         port: Port to bind.
-        app: The application.
-        grace: Seconds that open connections get at shutdown. Defaults to 0.5.
+        app: Application to serve.
+        grace: Seconds that open connections have to finish at shutdown. Defaults to
+            0.5.
 
     Returns:
-        The runner, for `cleanup`.
+        The runner; the caller stops the server with its `cleanup`.
     """
     runner = web.AppRunner(
         app, access_log=None, shutdown_timeout=grace, handler_cancellation=True
@@ -74,7 +76,7 @@
     *,
     extra_routes: Iterable[web.AbstractRouteDef] = (),
 ) -> web.AppRunner:
-    """Serve the admin routes, and more that a role has."""
+    """Serve the admin routes and the additional routes of a role."""
     app = web.Application()
     app.add_routes([*admin_routes(metrics, readiness), *extra_routes])
     return await serve_http(ip, port, app)
