--- a/src/leadseam/runtime/connector.py
+++ b/src/leadseam/runtime/connector.py
@@ -1,9 +1,9 @@
-"""HTTP connections that the event loop opens itself.
+"""HTTP connector whose connections are opened by the event loop.
 
-`aiohttp` opens a socket and hands it to the loop. If whoever asked leaves in between,
-both close its descriptor, and the second close hits whoever has the number by then: an
-answer goes to another connection, or the loop, which finds a descriptor gone that it
-still polls, aborts the whole process.
+`aiohttp` connects a socket and then passes it to the loop. If the caller is cancelled
+in between, both close the file descriptor, and the second close hits whichever socket
+has reused the number by then: either an answer goes to the wrong connection, or the
+loop aborts the whole process because a descriptor that it still polls is gone.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 DEFAULT_KEEPALIVE_S = 15.0
-"""Seconds that an idle connection is kept where nothing else is known of the peer; the
-library's own measure."""
+"""Seconds to keep an idle connection if the peer's own keep-alive time is unknown; the
+default of `aiohttp`."""
 
 
 class LoopConnector(aiohttp.TCPConnector):
-    """A pool of connections without a limit, each opened by the event loop.
+    """Unlimited connection pool whose connections are opened by the event loop.
 
     Args:
-        keepalive: Seconds that an idle connection is kept; None closes each after one
-            request.
+        keepalive: Seconds to keep an idle connection; None closes each connection after
+            one request.
     """
 
     def __init__(self, *, keepalive: float | None = None) -> None:
@@ -37,10 +37,10 @@
             super().__init__(limit=0, keepalive_timeout=keepalive)
 
     def drop_idle(self) -> int:
-        """Close the connections that nobody uses; return their number."""
+        """Close all idle connections and return their number."""
         idle = [conn for conns in self._conns.values() for conn, _ in conns]
         for conn in idle:
-            # The pool passes over those that are closed.
+            # The pool skips connections that are closed.
             conn.force_close()
             conn.close()
         return len(idle)
@@ -70,7 +70,7 @@
             try:
                 return await self._open(address, kwargs)
             except OSError:
-                # A name's next address may do; the error of the last one is told.
+                # Another address of the name may work; only the last error is raised.
                 continue
         return await self._open(last, kwargs)
 
--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -1,4 +1,4 @@
-"""Connects that are given up, and the descriptors that they give back."""
+"""Checks that cancelled connects release their file descriptors only once."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     Call = Callable[[int], Awaitable[object]]
 
 GIVE_UPS = 40
-"""Calls that are given up, half of them at moments one turn of the loop apart."""
+"""Calls that are cancelled, half of them one iteration of the loop apart each."""
 OTHERS = 8
-"""Sockets that get the numbers which were just given back."""
+"""Sockets that reuse the descriptor numbers which were just released."""
 
 
 async def assert_no_double_close(call: Call, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Check that no descriptor is closed twice when callers leave while they connect.
+    """Check that no descriptor is closed twice when calls are cancelled in a connect.
 
     Args:
         call: Calls the HTTP server at a port of the loopback address.
-        monkeypatch: Has the caller leave where the library hands a socket over.
+        monkeypatch: Cancels the call where the library hands over a socket.
     """
     calls: list[asyncio.Task[object]] = []
     handed_over: list[tuple[socket.socket, int]] = []
     start_connection = aiohappyeyeballs.start_connection
 
     async def give_up_once_connected(**kwargs: Any) -> socket.socket:
-        # Where the library connects a socket of its own, the caller leaves just then.
+        # If the library connects a socket itself, the call is cancelled right then.
         sock = await start_connection(**kwargs)
         handed_over.append((sock, os.fstat(sock.fileno()).st_ino))
         asyncio.get_running_loop().call_soon(calls[-1].cancel)
@@ -78,9 +78,9 @@
 
 
 def _is_gone(sock: socket.socket, inode: int) -> bool:
-    """Tell whether a socket's descriptor was closed without its knowledge.
+    """Return whether a socket's descriptor was closed behind its back.
 
-    It would close the number again, which may be another's by then.
+    The socket would close the number again, which may belong to another socket by then.
     """
     fd = sock.fileno()
     if fd < 0:
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -1,14 +1,14 @@
-"""Connections are opened by the event loop itself, wherever HTTP is spoken.
-
-What was seen: a run of all tests ended by SIGABRT in the middle of a test; two runs of
-the soak with servers that crash ended early without a word.
-The order of events: a server of the tests crashes and gives its heartbeat up while it
-connects; the library and the loop both close the socket's descriptor; by then it is
-that of another connection; the loop polls a descriptor that is gone, and aborts.
-The cause: this was known of the entries' calls and mended there alone. The sidecar's
-calls, its list of boxes, and the tools still had the library's own connector.
-The evidence: `SIGABRT` in three of three processes that gave up 3,000 connects each
-beside four busy connections, none of three with the loop's own way to connect.
+"""All HTTP connections are opened by the event loop, never by the library's connector.
+
+Guards against a process abort (SIGABRT): if a call is cancelled while the library
+connects, the library and the loop both close the socket's descriptor. By the second
+close the number belongs to another connection, and the loop aborts when it polls a
+descriptor that is gone. It ended a run of all tests in the middle of a test, and two
+soak runs with crashing servers early without any message. Entries already used the
+loop's connector; the sidecar's calls, its list of boxes and the tools did not.
+
+Three of three processes that cancelled 3,000 connects each beside four busy connections
+ended with `SIGABRT`; with the loop's connector, none of three did.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 ROOT = Path(__file__).parents[2]
 FOLDERS = ("src", "tests", "tools")
 SESSION = re.compile(r"(?:TCPConnector|ClientSession)\((?:[^()]|\([^()]*\))*\)")
-"""A call that makes a connector, or that makes a session with one or without."""
+"""Matches calls that create a connector, or a session with or without one."""
 
 
 async def probe(port: int) -> None:
@@ -88,7 +88,7 @@
 
 
 class TwoAddresses(aiohttp.abc.AbstractResolver):
-    """Knows two addresses for each name; nothing listens on the first."""
+    """Resolves each name to two addresses; nothing listens on the first."""
 
     async def resolve(
         self, host: str, port: int = 0, family: int = 0
