--- a/src/leadseam/runtime/lag.py
+++ b/src/leadseam/runtime/lag.py
@@ -1,6 +1,7 @@
-"""How late the event loop runs what is due, as it does for want of processor time.
+"""Event loop lag: how late the loop runs due callbacks when it lacks processor time.
 
-It goes by the clock that leaves suspended time out: a box that was away is not busy."""
+It is measured by the clock that leaves suspended time out: a box that was suspended is
+not overloaded."""
 
 from __future__ import annotations
 
@@ -13,22 +14,22 @@
     from collections.abc import Callable
 
 INTERVAL: Millis = 20
-"""Interval of the measurement."""
+"""Interval between two measurements."""
 DECAY = 0.8
-"""Part of the last measurement that is kept, so that one quiet turn of the loop does
-not end a busy time: it halves in some 60 ms."""
+"""Factor by which the previous lag decays at each measurement, so that one quiet
+iteration of the loop does not end a busy period: the lag halves in some 60 ms."""
 LOG_THRESHOLD: Millis = 100
-"""Lag that is logged when it is first exceeded, and when it is over."""
+"""Lag that is logged, once when it is first exceeded and once when it is over."""
 
 log = logging.getLogger(__name__)
 
 
 class LoopLag:
-    """Measures the lag of this process' event loop.
+    """Measures the lag of this process's event loop.
 
     Args:
         clock: Source of time.
-        on_measure: Called with each measurement, in milliseconds.
+        on_measure: Called with the lag in milliseconds after each measurement.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
 
     @property
     def millis(self) -> Millis:
-        """The lag, with what the next measurement is late already."""
+        """The lag in milliseconds; at least the delay of an overdue measurement."""
         return round(max(self._lag, self._clock.running() - self._due))
 
     async def run(self) -> None:
@@ -56,7 +57,7 @@
             self.measure()
 
     def measure(self) -> None:
-        """Note how late the last measurement came."""
+        """Update the lag with the delay of this measurement."""
         late = max(self._clock.running() - self._due, 0)
         self._lag = max(float(late), self._lag * DECAY)
         self._on_measure(self.millis)
--- a/tests/runtime/test_lag.py
+++ b/tests/runtime/test_lag.py
@@ -1,4 +1,4 @@
-"""The lag of the event loop."""
+"""Measurement of the event loop's lag."""
 
 from __future__ import annotations
 
