--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -1,7 +1,7 @@
-"""JSON log lines on standard output, through the standard library.
+"""JSON log lines on standard output, written with the standard `logging` module.
 
-A line that cannot be written at once is dropped and counted: a reader that is slow must
-not hold up requests.
+A line that cannot be written at once is dropped and counted: a slow reader must not
+block requests.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     from leadseam.clock import Clock, Millis
 
 MAX_LINES_PER_SECOND = 100
-"""Lines on single requests that a process may write in a second. At 300 bytes and 60 us
-a line that is 30 KB/s and 0.006 cores; beyond it the counters still tell how many
-requests ended how."""
+"""Log lines on single requests that a process may write per second. At 300 bytes and
+60 us a line, that is 30 KB/s and 0.006 cores. Above the limit, the metrics still count
+requests by outcome."""
 
 _STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {
     "message",
@@ -28,10 +28,10 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Format a record as one JSON object.
+    """Formats a log record as one JSON object.
 
     Args:
-        node: Name of the process, put on each line.
+        node: Name of the process, added to each line.
     """
 
     def __init__(self, node: str) -> None:
@@ -39,7 +39,7 @@
         self._node = node
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line for a record, with the fields passed as `extra`."""
+        """Return a record as a JSON line, with the fields passed as `extra`."""
         line = {
             "time": round(record.created * 1_000),
             "level": record.levelname.lower(),
@@ -57,10 +57,10 @@
 
 
 class DroppingHandler(logging.Handler):
-    """Writes lines to a descriptor and drops those that would have to wait.
+    """Writes lines to a file descriptor and drops those that would block.
 
     Args:
-        fd: The descriptor; it is switched to non-blocking.
+        fd: File descriptor; it is switched to non-blocking mode.
     """
 
     def __init__(self, fd: int) -> None:
@@ -70,12 +70,12 @@
         os.set_blocking(fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's line."""
+        """Write a record, or count it as dropped."""
         data = self.format(record).encode() + b"\n"
         try:
             written = os.write(self._fd, data)
         except OSError:
-            # Nowhere is left to tell it, but the count.
+            # Standard output is the only log, so the loss is only counted.
             self.dropped += 1
             return
         if written < len(data):
@@ -83,11 +83,11 @@
 
 
 class LogLineLimiter:
-    """Bounds the lines that single requests cause.
+    """Limits how many log lines single requests cause per second.
 
     Args:
         clock: Source of time.
-        rate: Lines a second. Defaults to `LINES_PER_SECOND`.
+        rate: Lines per second. Defaults to `MAX_LINES_PER_SECOND`.
     """
 
     def __init__(self, clock: Clock, *, rate: int = MAX_LINES_PER_SECOND) -> None:
@@ -98,7 +98,7 @@
         self._second: Millis = -1
 
     def take(self) -> bool:
-        """Use one line of this second, if one is left."""
+        """Take one line from this second's allowance; return False if none is left."""
         second = self._clock.now() // 1_000
         if second != self._second:
             self._second = second
@@ -111,17 +111,17 @@
 
 
 def count_dropped_lines() -> int:
-    """Return the lines that standard output could not take."""
+    """Return how many lines were dropped because standard output was not writable."""
     handlers = logging.getLogger().handlers
     return sum(one.dropped for one in handlers if isinstance(one, DroppingHandler))
 
 
 def configure_logs(node: str, *, level: str = "info") -> None:
-    """Send all log lines to standard output.
+    """Configure logging to standard output for the whole process.
 
     Args:
         node: Name of the process.
-        level: Lowest level to write. Defaults to "info".
+        level: Lowest level to log. Defaults to "info".
     """
     handler = DroppingHandler(sys.stdout.fileno())
     handler.setFormatter(JsonFormatter(node))
