--- a/src/leadseam/runtime/loop.py
+++ b/src/leadseam/runtime/loop.py
@@ -1,4 +1,4 @@
-"""The event loop that a program runs in."""
+"""Event loops in which a program can run."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     RunLoop: TypeAlias = Callable[[Main], int]
 
 POOL_SIZE = 4
-"""Threads for disk writes and other blocking calls."""
+"""Threads of the pool for disk writes and other blocking calls."""
 
 
 def run_in_aiomisc(main: Main) -> int:
-    """Run a program in aiomisc's entry point, and return its exit code."""
-    # Imported here: it costs 6 MB and a fifth of the start-up time of a small box.
+    """Run a program's main coroutine with aiomisc and return its exit code."""
+    # Imported on use: it costs 6 MB and a fifth of the start-up time of a small box.
     import aiomisc
 
     with aiomisc.entrypoint(log_config=False, pool_size=POOL_SIZE) as loop:
@@ -28,6 +28,6 @@
 
 
 def run_in_uvloop(main: Main) -> int:
-    """Run a program in uvloop alone, and return its exit code."""
+    """Run a program's main coroutine with uvloop only and return its exit code."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(main)
