--- a/src/leadseam/runtime/metrics.py
+++ b/src/leadseam/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of every program, in Prometheus' format."""
+"""Metrics of every program, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """All counters; one for each refusal and each retry reason, by label.
+    """Creates, registers and renders the metrics of one program.
+
+    Refusals and retries are counted by reason, in a label of one counter.
 
     Args:
-        registry: Where they are registered; one for each process role.
-        traffic: Bytes on inner links, shown as gauges.
+        registry: Registry of the metrics; there is one for each process role.
+        traffic: Bytes sent and received on inner links, rendered with the metrics.
     """
 
     registry: Registry = field(default_factory=Registry)
@@ -27,7 +29,7 @@
         return Counter(f"leadseam_{name}", doc, registry=self.registry)
 
     def buffered_counter(self, name: str, doc: str, label: str) -> BufferedCounter:
-        """Register a counter `leadseam_NAME` that is counted often, by one label."""
+        """Register a frequently incremented counter `leadseam_NAME` with one label."""
         buffered_counter = BufferedCounter(self.counter(name, doc), label)
         self._buffered_counters.append(buffered_counter)
         return buffered_counter
@@ -43,14 +45,14 @@
         )
 
     def render(self) -> bytes:
-        """Return all values in the text format."""
+        """Return all metrics in the text format."""
         for buffered_counter in self._buffered_counters:
             buffered_counter.flush()
         content, _ = render(self.registry, ["text/plain"])
         return content + self._render_traffic()
 
     def _render_traffic(self) -> bytes:
-        """Render the traffic, which is counted too often for the registry."""
+        """Render the traffic, which changes too often to be counted in the registry."""
         lines = []
         for name in self.traffic.__slots__:
             full = f"leadseam_link_{name}_bytes_total"
@@ -60,10 +62,10 @@
 
 
 class EntryMetrics:
-    """Counters of an entry.
+    """Metrics of an entry.
 
     Args:
-        metrics: Where to register.
+        metrics: Metrics to register them with.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -90,13 +92,13 @@
 
 
 class BufferedCounter:
-    """Counts by one label, handed to the registry only when somebody reads it.
+    """Counter with one label that updates the registry only when metrics are read.
 
-    The registry's own count is much of what a refusal costs.
+    Counting in the registry directly would be a large part of a refusal's cost.
 
     Args:
-        counter: Where the counts go.
-        label: The label's name.
+        counter: Counter in the registry that receives the counts.
+        label: Name of the label.
     """
 
     def __init__(self, counter: Counter, label: str) -> None:
@@ -105,21 +107,21 @@
         self._counts: dict[str, int] = {}
 
     def inc(self, value: str) -> None:
-        """Count one for a value of the label."""
+        """Increment the count for a label value."""
         self._counts[value] = self._counts.get(value, 0) + 1
 
     def flush(self) -> None:
-        """Hand all counts to the registry."""
+        """Add all counts to the registry's counter and reset them."""
         for value, count in self._counts.items():
             self._counter.add({self._label: value}, count)
         self._counts.clear()
 
 
 class RoutingMetrics:
-    """Counters and latencies of routed requests.
+    """Metrics of routed requests.
 
     Args:
-        metrics: Where to register.
+        metrics: Metrics to register them with.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -163,10 +165,10 @@
 
 
 class SidecarMetrics:
-    """Counters of a sidecar.
+    """Metrics of a sidecar.
 
     Args:
-        metrics: Where to register.
+        metrics: Metrics to register them with.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -183,10 +185,10 @@
 
 
 class ControlMetrics:
-    """Counters of a control replica.
+    """Metrics of a control replica.
 
     Args:
-        metrics: Where to register.
+        metrics: Metrics to register them with.
     """
 
     def __init__(self, metrics: Metrics) -> None:
