--- a/src/leadseam/runtime/process.py
+++ b/src/leadseam/runtime/process.py
@@ -1,4 +1,4 @@
-"""Start-up and stop of a program."""
+"""Start-up and shutdown of a program."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 
 class Program(Protocol):
-    """What a binary runs."""
+    """Program that a binary runs."""
 
     async def start(self) -> None:
-        """Bind sockets and start tasks."""
+        """Bind sockets and start background tasks."""
 
     async def run(self) -> None:
-        """Serve until the program is done or cancelled."""
+        """Serve until the program ends or is cancelled."""
 
     async def drain(self) -> None:
-        """Finish what is in flight after a request to stop."""
+        """Finish the requests in flight after a shutdown signal."""
 
     async def stop(self) -> None:
-        """Release everything."""
+        """Release all resources."""
 
 
 def run_program(
@@ -51,16 +51,16 @@
     level: str,
     run: RunLoop = run_in_aiomisc,
 ) -> NoReturn:
-    """Run a program until it ends or SIGTERM or SIGINT has been served.
+    """Run a program until it ends, or until SIGTERM or SIGINT has shut it down.
 
     Args:
-        node: Name for the logs.
-        make: Builds the program, called with the loop running.
-        level: Log level.
-        run: Runs the event loop. Defaults to aiomisc's entry point.
+        node: Name of the process in log lines.
+        factory: Creates the program; it is called with the event loop running.
+        level: Lowest level to log.
+        run: Runs the event loop. Defaults to `run_in_aiomisc`.
     """
     configure_logs(node, level=level)
-    # An abort within a library leaves no line: its stack goes to standard error.
+    # An abort within a library logs nothing, so its stack goes to standard error.
     faulthandler.enable()
     sys.exit(run(_supervise(factory)))
 
@@ -79,7 +79,7 @@
     except (LeadseamError, OSError) as exc:
         log.error("cannot start", extra={"error": str(exc)})
         return EXIT_FAILED
-    # What start-up made stays for good: the collector need not look at it again.
+    # Objects from start-up live as long as the process: exclude them from collections.
     gc.enable()
     gc.freeze()
     log.info("started", extra={"clock": steady.CLOCK_NAME})
@@ -91,7 +91,7 @@
     stop = asyncio.create_task(stopping.wait())
     await asyncio.wait({running, stop}, return_when=asyncio.FIRST_COMPLETED)
     if running.done() and (exc := running.exception()) is not None:
-        log.critical("stopped by an error", exc_info=exc)
+        log.critical("program failed", exc_info=exc)
         return EXIT_FAILED
     if not running.done():
         log.info("stopping")
@@ -103,6 +103,6 @@
 
 
 def fail_on_settings(exc: SettingsError) -> NoReturn:
-    """Print a settings fault as one line and exit with `EXIT_USAGE`."""
+    """Print a settings error as one line and exit with `EXIT_USAGE`."""
     print(f"settings: {exc.message}", file=sys.stderr)
     sys.exit(EXIT_USAGE)
--- a/tests/runtime/test_process.py
+++ b/tests/runtime/test_process.py
@@ -1,4 +1,4 @@
-"""What a process leaves behind when it ends."""
+"""Output of a process that aborts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_an_abort_within_a_library_prints_its_stack() -> None:
-    """A loop that polls a descriptor that is gone aborts, and said nothing then."""
+    """An event loop that polls a closed descriptor aborts, and once left no message."""
     ended = subprocess.run(
         [sys.executable, "-c", ABORTING], capture_output=True, check=False
     )
