--- a/src/leadseam/runtime/restart.py
+++ b/src/leadseam/runtime/restart.py
@@ -1,8 +1,9 @@
-"""Runs a program anew, in the same process, once its disk takes writes again.
+"""Restarts a program within the same process once its disk accepts writes again.
 
-A process that ends on a full disk is started again at once, reads the disk, fails and
-ends: three times in 3.6 s, as seen on a control box. Here the process stays and serves
-nothing meanwhile, so that callers and peers are refused at once and go on to another.
+If the process exited on a full disk, it would be started again at once, read the disk,
+fail and exit: three times in 3.6 s, as seen on a control box. Instead the process keeps
+running and serves nothing meanwhile, so that callers and peers are refused at once and
+fail over to another replica.
 """
 
 from __future__ import annotations
@@ -19,21 +20,21 @@
     from leadseam.runtime.process import Program
 
 RETRY_PAUSE: Millis = 500
-"""Pause between two looks at a disk that failed: a look rewrites what the box holds,
-some 10 KB at today's sizes, and an operator frees space in minutes."""
+"""Pause between two attempts to start on a failed disk. An attempt rewrites the stored
+state, some 10 KB at today's sizes, and an operator needs minutes to free space."""
 
 log = logging.getLogger(__name__)
 
 
 class RestartingProgram:
-    """A program that outlives faults of its disk.
+    """Program that survives write failures of its disk.
 
-    A disk whose content is damaged is no such fault: that needs an operator, so it ends
-    the program as before.
+    Damaged data on the disk still ends the program, since it needs an operator.
 
     Args:
-        make: Builds the program anew. It is told whether a write has failed before, so
-            that the disk has to take what it holds once more.
+        factory: Creates a new instance of the program. Its argument is True after a
+            write has failed; the program must then rewrite its stored state, to check
+            that the disk accepts writes.
     """
 
     def __init__(self, factory: Callable[[bool], Program]) -> None:
@@ -44,7 +45,7 @@
         return f"RestartingProgram(up={self._program is not None})"
 
     async def start(self) -> None:
-        """Start the program; with a disk that fails, `run` goes on trying."""
+        """Start the program; if the disk fails, `run` retries."""
         try:
             await self._start_program(after_failure=False)
         except StorageDamagedError:
@@ -53,7 +54,7 @@
             _log_failure(exc)
 
     async def run(self) -> None:
-        """Serve until cancelled, or until the program ends by itself."""
+        """Serve until cancelled or until the program ends without a disk failure."""
         while True:
             if self._program is None:
                 await self._restart_until_started()
@@ -61,12 +62,12 @@
                 return
 
     async def drain(self) -> None:
-        """Finish what is in flight, if anything is."""
+        """Drain the program if it is running."""
         if self._program is not None:
             await self._program.drain()
 
     async def stop(self) -> None:
-        """Release everything that is held."""
+        """Stop the program if it is running."""
         program, self._program = self._program, None
         if program is not None:
             await program.stop()
@@ -84,11 +85,11 @@
             except StorageDamagedError:
                 raise
             except StorageError as exc:
-                log.debug("disk fails still", extra={"error": exc.message})
+                log.debug("disk is still failing", extra={"error": exc.message})
         log.info("disk takes writes again")
 
     async def _run_to_completion(self) -> bool:
-        """Run the program; return False if its disk failed."""
+        """Run the program; return False if it was stopped by a failure of its disk."""
         assert self._program is not None
         failed: list[StorageError] = []
         try:
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -1,4 +1,4 @@
-"""A program that outlives faults of its disk."""
+"""Restarts of a program after failures of its disk."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Disk:
-    """A disk that fails some calls, and what programs on it did."""
+    """A disk with injected failures that records the calls of its programs."""
 
     failing_starts: int = 0
     damaged: bool = False
@@ -23,7 +23,7 @@
     up: asyncio.Event = field(default_factory=asyncio.Event)
 
     def make(self, after_failure: bool) -> OnDisk:
-        """Build a program on this disk."""
+        """Create a program on this disk, or fail as configured."""
         self.calls.append("renewed" if after_failure else "made")
         if self.failing_starts:
             self.failing_starts -= 1
@@ -34,13 +34,13 @@
 
 
 class OnDisk:
-    """A program that ends when its disk is full."""
+    """A program that fails once its disk is full."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
 
     async def start(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("started")
 
     async def run(self) -> None:
@@ -50,11 +50,11 @@
             group.create_task(self._fail())
 
     async def drain(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("drained")
 
     async def stop(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("stopped")
 
     async def _fail(self) -> None:
@@ -65,7 +65,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Look at the disk again at once."""
+    """Retry without a pause."""
     monkeypatch.setattr(restart, "RETRY_PAUSE", 0)
 
 
