--- a/src/leadseam/runtime/suspension.py
+++ b/src/leadseam/runtime/suspension.py
@@ -1,8 +1,8 @@
-"""Notices that the box was suspended, and has what is due looked at.
+"""Detects that the box was suspended and triggers overdue work.
 
-Decisions go by a clock that counts suspended time, so they are right without this. But
-timers of the event loop leave it out: what was due while the box was away would be done
-late by all of that time, a final answer as well as a refusal.
+Decisions use a clock that counts suspended time, so they are right without this. But
+the event loop's timers leave suspended time out: work that fell due meanwhile, such as
+a final answer or a refusal, would be late by the whole suspension.
 """
 
 from __future__ import annotations
@@ -18,21 +18,22 @@
     from leadseam.runtime.metrics import Metrics
 
 INTERVAL: Millis = 20
-"""Interval of the comparison: what is due after a suspension is late by no more. It is
-a twenty-fifth of the time within which a final answer may follow a time limit."""
+"""Interval between two comparisons, and so the longest delay of overdue work after a
+suspension. It is a twenty-fifth of the time within which a final answer must follow a
+time limit."""
 MIN_SUSPENSION: Millis = 50
-"""Time away from which a suspension is told of: the two clocks are read one after the
-other, and a busy box may leave some ms in between."""
+"""Shortest difference that counts as a suspension: the two clocks are read one after
+the other, and on a busy box some ms may pass in between."""
 
 log = logging.getLogger(__name__)
 
 
 class SuspensionWatch:
-    """Compares the clock that counts suspended time with the one that does not.
+    """Detects suspensions by comparing clocks that do and do not count suspended time.
 
     Args:
-        clock: Both.
-        metrics: Where the time away is counted.
+        clock: Source of both times.
+        metrics: Metrics that count the suspended time.
         on_resume: Called after each suspension.
     """
 
@@ -51,16 +52,16 @@
         self._suspended = self._read_suspended()
 
     def __repr__(self) -> str:
-        return f"SuspensionWatch(left_out={self._suspended})"
+        return f"SuspensionWatch(suspended={self._suspended})"
 
     async def run(self) -> None:
-        """Compare until cancelled."""
+        """Compare the clocks until cancelled."""
         while True:
             await sleep(INTERVAL)
             self.check()
 
     def check(self) -> None:
-        """Tell of a suspension since the last look, if there was one."""
+        """Report a suspension since the last check, if there was one."""
         suspended = self._read_suspended()
         duration, self._suspended = suspended - self._suspended, suspended
         if duration < MIN_SUSPENSION:
--- a/tests/runtime/test_suspension.py
+++ b/tests/runtime/test_suspension.py
@@ -1,4 +1,4 @@
-"""Suspensions are noticed, once each, and nothing else is taken for one."""
+"""Each suspension is reported once, and nothing else is taken for one."""
 
 from __future__ import annotations
 
@@ -27,4 +27,4 @@
     clock.advance(20_000)
     clock.suspend(MIN_SUSPENSION - 1)
     watch.check()
-    assert "left_out=49" in repr(watch)
+    assert "suspended=49" in repr(watch)
