--- a/src/leadseam/runtime/tasks.py
+++ b/src/leadseam/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that are kept referenced and whose failures are reported."""
+"""Background tasks: keeps references to them and logs their failures."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def spawn(coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-    """Run a coroutine in the background.
+    """Run a coroutine as a background task.
 
     Args:
-        coro: The coroutine; an exception of it is logged.
+        coro: Coroutine to run; an exception that it raises is logged.
 
     Returns:
-        Its task.
+        The task, which is referenced here until it is done.
     """
     task = asyncio.create_task(coro)
     _running.add(task)
