--- a/src/leadseam/runtime/timeouts.py
+++ b/src/leadseam/runtime/timeouts.py
@@ -1,8 +1,8 @@
-"""Time limits of tasks, which hold although the box was suspended meanwhile.
+"""Timeouts of tasks that count time for which the box was suspended.
 
-Timers of the event loop leave suspended time out, so a limit would pass late by all of
-it. Limits are kept with the time of our clock at which they pass, and set anew when
-the box goes on.
+The event loop's timers leave suspended time out, so a timeout would expire late by the
+whole suspension. Each timeout is kept with its deadline by our clock, and its timer is
+set again after the box resumes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Timeouts:
-    """All time limits that one program has set.
+    """All pending timeouts of one program.
 
     Args:
         clock: Source of time.
@@ -33,13 +33,13 @@
 
     @asynccontextmanager
     async def until(self, due: Millis | None) -> AsyncIterator[None]:
-        """Cut the block off when its time has come.
+        """Cancel the enclosed block at a deadline.
 
         Args:
-            due: Time of the clock, or None for no limit.
+            due: Deadline by the clock, or None for no limit.
 
         Raises:
-            TimeoutError: If the limit has passed within the block.
+            TimeoutError: If the deadline passed within the block.
         """
         if due is None:
             yield
@@ -52,7 +52,7 @@
                 del self._due[limit]
 
     def rearm(self) -> None:
-        """Set all limits anew; those that have passed cut off at once."""
+        """Set all timers again; timeouts whose deadline has passed expire at once."""
         now = asyncio.get_running_loop().time()
         for limit, due in self._due.items():
             if not limit.expired():
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits hold although the loop's timers left suspended time out."""
+"""Timeouts count suspended time, which the loop's timers leave out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from leadseam.runtime.timeouts import Timeouts
 
 LONG = 3_600_000
-"""Limit that no timer of a test reaches."""
+"""Limit that no timer reaches during a test."""
 
 
 async def test_a_timeout_that_passed_while_suspended_expires_at_once() -> None:
