--- a/tests/runtime/test_suspended_places.py
+++ b/tests/runtime/test_suspended_places.py
@@ -1,7 +1,7 @@
-"""What a suspension does at each place that compares two readings of a clock.
+"""Effect of a suspension on all code that compares two readings of the clock.
 
-Each place is prepared, then the box is away for 0.2, 2 and 20 s, then the place is
-asked once by the clock that counts that time, and once by one that leaves it out.
+Each case sets up some state, suspends the box for 0.2, 2 and 20 s, and then evaluates
+the state once by the clock that counts this time and once by one that leaves it out.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def leader_lease() -> Ask:
-    """Whether a leader answers for the group by its lease."""
+    """Whether a leader still holds its lease."""
     cluster = elected()
     leader = cluster.leader()
     assert leader is not None and leader.holds_lease(cluster.now)
@@ -46,7 +46,7 @@
 
 
 def follower_is_current() -> Ask:
-    """Whether a follower says that it holds the newest."""
+    """Whether a follower reports that its state is current."""
     cluster = elected()
     follower = cluster.followers()[0]
     assert follower.is_current(cluster.now)
@@ -54,7 +54,7 @@
 
 
 def retries_again() -> Ask:
-    """How many retries an entry has that had used all up."""
+    """How many retries an entry has that had used up its budget."""
     budget = PoolRetryBudget(RetryLimits(ratio=0.2, slack=10, window=10_000))
     while budget.take("p", 0, 1):
         pass
@@ -62,7 +62,7 @@
 
 
 def failing_upstream() -> Ask:
-    """Whether an upstream that was paused for 0.5 s is used."""
+    """Whether an upstream that was paused for 0.5 s is usable."""
     health = UpstreamHealth()
     while not health.failed(ENGINE, 0):
         pass
@@ -70,7 +70,7 @@
 
 
 def load_of_others() -> Ask:
-    """Requests of others that count at an engine."""
+    """Requests of other entries that still count at an engine."""
     tables = [LoadTable(), LoadTable()]
     tables[1].begin(ENGINE, Load(requests=1))
     exchange(tables)
@@ -78,14 +78,14 @@
 
 
 def recent_service() -> Ask:
-    """Service of an account that still counts, of 1,000 tokens."""
+    """Recent service of an account that still counts, of 1,000 tokens."""
     table = UsageTable()
     table.record_served("tellers", 1_000, 0)
     return lambda now: sum(row.served for row in table.rows(now))
 
 
 def upstream_of_a_lost_replica() -> Ask:
-    """Upstreams that an entry uses after it lost the replica that told of them."""
+    """Upstreams that an entry uses after it lost the replica that reported them."""
     view = UpstreamView()
     view.update("a", [make_upstream(1)], 0)
     view.disconnected("a", 0)
@@ -98,7 +98,7 @@
 
 
 def silent_upstream() -> Ask:
-    """Upstreams that a control box takes for gone at its first look."""
+    """Upstreams that a control box expires at its first check."""
     registry = Registry(1_000)
     registry.heartbeat(make_upstream(1), 0)
     registry.expire(0)
@@ -106,7 +106,7 @@
 
 
 def suspected_request() -> Ask:
-    """Whether a suspect of 590 s ago is still known."""
+    """Whether a suspect recorded 590 s ago is still kept."""
     table = CrashTable()
     table.merge(CrashRow("f", "tellers", 7, (ENGINE,)), 0)
 
@@ -128,7 +128,7 @@
     (silent_upstream, [0, 0, 0], [0, 0, 0]),
     (suspected_request, [1, 1, 1], [1, 1, 0]),
 ]
-"""Each place, what it says by a clock that leaves the time away out, and by ours."""
+"""Each case with its results by the clock without suspended time, and by ours."""
 
 
 @pytest.mark.parametrize(("prepare", "left_out", "counted"), CASES)
@@ -140,7 +140,7 @@
 
 
 def asked(prepare: Callable[[], Ask], away: Millis, read: Read) -> object:
-    """Return what a place says when the box was away."""
+    """Return the result of a case after a suspension."""
     clock = ManualClock()
     ask = prepare()
     clock.suspend(away)
