--- a/src/leadseam/settings/load.py
+++ b/src/leadseam/settings/load.py
@@ -42,7 +42,7 @@
     try:
         settings = msgspec.convert(data, type_)
     except msgspec.ValidationError as exc:
-        raise SettingsError(f"{name}: {_explain(str(exc))}") from exc
+        raise SettingsError(f"{name}: {_format_error(str(exc))}") from exc
     _check_addresses(settings, name, "$")
     return settings
 
@@ -67,7 +67,7 @@
     return data
 
 
-def _explain(message: str) -> str:
+def _format_error(message: str) -> str:
     match = _PATH_IN_MESSAGE.match(message)
     assert match is not None
     return f"{match['path'] or '$'}: {match['what']}"
