--- a/src/leadseam/schema/convert.py
+++ b/src/leadseam/schema/convert.py
@@ -42,15 +42,15 @@
     try:
         match kind:
             case "put_account":
-                return Put(_record(message.put_account, Account))
+                return Put(_to_record(message.put_account, Account))
             case "put_pool":
-                return Put(_record(message.put_pool, Pool))
+                return Put(_to_record(message.put_pool, Pool))
             case "put_upstream":
-                return Put(_record(message.put_upstream, Upstream))
+                return Put(_to_record(message.put_upstream, Upstream))
             case "put_never_repeat":
-                return Put(_record(message.put_never_repeat, NeverRepeat))
+                return Put(_to_record(message.put_never_repeat, NeverRepeat))
             case "delete":
-                return msgspec.convert(_plain(message.delete), Delete)
+                return msgspec.convert(_to_dict(message.delete), Delete)
             case "drain":
                 return Drain(message.drain.upstream, message.drain.draining)
             case _:
@@ -74,26 +74,26 @@
 def _put_to_message(record: ConfigRecord) -> pb.Operation:
     match record:
         case Account():
-            return pb.Operation(put_account=_message(record, pb.Account()))
+            return pb.Operation(put_account=_to_message(record, pb.Account()))
         case Pool():
-            return pb.Operation(put_pool=_message(record, pb.Pool()))
+            return pb.Operation(put_pool=_to_message(record, pb.Pool()))
         case Upstream():
-            return pb.Operation(put_upstream=_message(record, pb.Upstream()))
+            return pb.Operation(put_upstream=_to_message(record, pb.Upstream()))
         case NeverRepeat():
-            return pb.Operation(put_never_repeat=_message(record, pb.NeverRepeat()))
+            return pb.Operation(put_never_repeat=_to_message(record, pb.NeverRepeat()))
 
 
 def configuration_to_message(configuration: Configuration) -> pb.Configuration:
     """Convert a configuration to send."""
     message = pb.Configuration(version=configuration.version)
     for account in configuration.accounts.values():
-        message.accounts.append(_message(account, pb.Account()))
+        message.accounts.append(_to_message(account, pb.Account()))
     for pool in configuration.pools.values():
-        message.pools.append(_message(pool, pb.Pool()))
+        message.pools.append(_to_message(pool, pb.Pool()))
     for upstream in configuration.upstreams.values():
-        message.upstreams.append(_message(upstream, pb.Upstream()))
+        message.upstreams.append(_to_message(upstream, pb.Upstream()))
     for rule in configuration.never_repeat.values():
-        message.never_repeat.append(_message(rule, pb.NeverRepeat()))
+        message.never_repeat.append(_to_message(rule, pb.NeverRepeat()))
     return message
 
 
@@ -106,24 +106,26 @@
     try:
         return Configuration(
             version=message.version,
-            accounts={row.name: _record(row, Account) for row in message.accounts},
-            pools={row.name: _record(row, Pool) for row in message.pools},
-            upstreams={row.name: _record(row, Upstream) for row in message.upstreams},
+            accounts={row.name: _to_record(row, Account) for row in message.accounts},
+            pools={row.name: _to_record(row, Pool) for row in message.pools},
+            upstreams={
+                row.name: _to_record(row, Upstream) for row in message.upstreams
+            },
             never_repeat={
-                row.name: _record(row, NeverRepeat) for row in message.never_repeat
+                row.name: _to_record(row, NeverRepeat) for row in message.never_repeat
             },
         )
     except msgspec.ValidationError as exc:
         raise OperationError(str(exc)) from exc
 
 
-def _plain(message: Message) -> dict[str, Any]:
+def _to_dict(message: Message) -> dict[str, Any]:
     return MessageToDict(message, preserving_proto_field_name=True)
 
 
-def _record(message: Message, type_: type[Any]) -> Any:
-    return msgspec.convert(_plain(message), type_)
+def _to_record(message: Message, type_: type[Any]) -> Any:
+    return msgspec.convert(_to_dict(message), type_)
 
 
-def _message(record: ConfigRecord, message: Any) -> Any:
+def _to_message(record: ConfigRecord, message: Any) -> Any:
     return ParseDict(msgspec.to_builtins(record), message, ignore_unknown_fields=True)
