--- a/src/leadseam/cli/_admin.py
+++ b/src/leadseam/cli/_admin.py
@@ -36,7 +36,7 @@
     def __repr__(self) -> str:
         return f"AdminClient({self._control})"
 
-    async def show(
+    async def print_rows(
         self,
         path: str,
         render: Callable[[list[dict[str, Any]]], str],
@@ -44,15 +44,15 @@
         as_json: bool,
     ) -> int:
         """Print the rows of a list; return the exit code."""
-        async with _session() as http, http.get(self._url(path)) as resp:
+        async with _open_session() as http, http.get(self._url(path)) as resp:
             resp.raise_for_status()
             rows: list[dict[str, Any]] = await resp.json()
         print(json.dumps(rows, indent=2) if as_json else render(rows))
         return EXIT_OK
 
-    async def order(self, path: str) -> int:
+    async def send_command(self, path: str) -> int:
         """Give an order and print the answer; return the exit code."""
-        async with _session() as http, http.post(self._url(path)) as resp:
+        async with _open_session() as http, http.post(self._url(path)) as resp:
             print(await resp.text())
             return EXIT_OK if resp.ok else EXIT_FAILED
 
@@ -84,7 +84,7 @@
         return EXIT_FAILED
 
 
-def _session() -> aiohttp.ClientSession:
+def _open_session() -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=LoopConnector(), timeout=aiohttp.ClientTimeout(total=TIMEOUT_S)
     )
--- a/src/leadseam/cli/evacuations.py
+++ b/src/leadseam/cli/evacuations.py
@@ -42,10 +42,14 @@
 
     async def command(admin: AdminClient) -> int:
         if args["--evacuate"]:
-            return await admin.order(EVACUATE_PATH.format(domain=args["--evacuate"]))
+            return await admin.send_command(
+                EVACUATE_PATH.format(domain=args["--evacuate"])
+            )
         if args["--restore"]:
-            return await admin.order(RESTORE_PATH.format(domain=args["--restore"]))
-        return await admin.show(LIST_PATH, render, as_json=args["--json"])
+            return await admin.send_command(
+                RESTORE_PATH.format(domain=args["--restore"])
+            )
+        return await admin.print_rows(LIST_PATH, render, as_json=args["--json"])
 
     sys.exit(run_command("leadseam-evacuations", args["CONTROL"], command))
 
--- a/src/leadseam/cli/verdicts.py
+++ b/src/leadseam/cli/verdicts.py
@@ -39,8 +39,10 @@
 
     async def command(admin: AdminClient) -> int:
         if args["--lift"]:
-            return await admin.order(LIFT_PATH.format(fingerprint=args["--lift"]))
-        return await admin.show(LIST_PATH, render, as_json=args["--json"])
+            return await admin.send_command(
+                LIFT_PATH.format(fingerprint=args["--lift"])
+            )
+        return await admin.print_rows(LIST_PATH, render, as_json=args["--json"])
 
     sys.exit(run_command("leadseam-verdicts", args["CONTROL"], command))
 
