--- a/src/leadseam/cli/_client.py
+++ b/src/leadseam/cli/_client.py
@@ -49,26 +49,26 @@
 
     def __init__(self, endpoints: list[Endpoint], token: str) -> None:
         self._endpoints = endpoints
-        self._ordered = False
+        self._sorted = False
         self._metadata = {"authorization": f"Bearer {token}"}
 
     async def apply(self, request: pb.ApplyRequest) -> pb.ApplyReply:
         """Apply a change."""
-        return await self._first(
+        return await self._call_any(
             lambda stub: stub.Apply(request, metadata=self._metadata)
         )
 
     async def get(self) -> pb.Configuration:
         """Read the configuration in force."""
         request = pb.GetRequest()
-        return await self._first(
+        return await self._call_any(
             lambda stub: stub.Get(request, metadata=self._metadata)
         )
 
     async def history(self, limit: int) -> pb.HistoryReply:
         """List accepted changes."""
         request = pb.HistoryRequest(limit=limit)
-        return await self._first(
+        return await self._call_any(
             lambda stub: stub.History(request, metadata=self._metadata)
         )
 
@@ -88,19 +88,19 @@
         except UnavailableError:
             return None
 
-    async def _first(self, call: Callable[[OperatorStub], Awaitable[T]]) -> T:
-        if not self._ordered:
-            await self._put_live_first()
+    async def _call_any(self, call: Callable[[OperatorStub], Awaitable[T]]) -> T:
+        if not self._sorted:
+            await self._sort_live_first()
         failures = []
         for endpoint in self._endpoints:
             try:
                 return await self._call(endpoint, call, CALL_TIMEOUT)
             except UnavailableError as exc:
-                self._ordered = False
+                self._sorted = False
                 failures.append(exc.message)
         raise UnavailableError("; ".join(failures))
 
-    async def _put_live_first(self) -> None:
+    async def _sort_live_first(self) -> None:
         """Spare the caller a long wait for a replica that is frozen or cut off."""
         statuses = await self.status()
         live = {reply.identity for _, reply in statuses if reply and reply.current}
@@ -111,7 +111,7 @@
                 key=lambda row: row[1] is None or row[1].identity not in live,
             )
         ]
-        self._ordered = bool(live)
+        self._sorted = bool(live)
 
     async def _call(
         self,
