--- a/src/leadseam/cli/ctl.py
+++ b/src/leadseam/cli/ctl.py
@@ -74,7 +74,7 @@
 EXIT_DENIED = 5
 
 TOKEN_VARIABLE = "LEADSEAM_TOKEN"
-WAIT_POLL = 100
+POLL_INTERVAL = 100
 
 Args = dict[str, Any]
 
@@ -88,11 +88,11 @@
     try:
         sys.exit(asyncio.run(_run(args)))
     except SettingsError as exc:
-        _fail(exc.message, EXIT_USAGE)
+        _exit_with_error(exc.message, EXIT_USAGE)
     except UnavailableError as exc:
-        _fail(exc.message, EXIT_UNAVAILABLE)
+        _exit_with_error(exc.message, EXIT_UNAVAILABLE)
     except DeniedError as exc:
-        _fail(exc.message, EXIT_DENIED)
+        _exit_with_error(exc.message, EXIT_DENIED)
 
 
 async def _run(args: Args) -> int:
@@ -119,16 +119,16 @@
         print(line, file=sys.stderr)
     if args["--dry-run"] or not operations:
         return _print_result(args, {"status": "unchanged", "version": current.version})
-    return await _send(client, args, current, operations)
+    return await _submit(client, args, current, operations)
 
 
 async def _drain(client: OperatorClient, args: Args) -> int:
     current = configuration_from_message(await client.get())
     operation = Drain(args["UPSTREAM"], bool(args["drain"]))
-    return await _send(client, args, current, (operation,))
+    return await _submit(client, args, current, (operation,))
 
 
-async def _send(
+async def _submit(
     client: OperatorClient,
     args: Args,
     current: Configuration,
@@ -169,7 +169,7 @@
 
 async def _history(client: OperatorClient, args: Args) -> int:
     reply = await client.history(int(args["--limit"]))
-    rows = [_plain(row) for row in reply.rows]
+    rows = [_to_dict(row) for row in reply.rows]
     return _print_rows(args, rows)
 
 
@@ -178,7 +178,7 @@
     rows = []
     for endpoint, reply in replies:
         row: dict[str, Any] = {"address": f"{endpoint.ip}:{endpoint.port}"}
-        row |= _plain(reply) if reply is not None else {"role": "unreachable"}
+        row |= _to_dict(reply) if reply is not None else {"role": "unreachable"}
         rows.append(row)
     _print_rows(args, rows)
     current = any(reply is not None and reply.current for _, reply in replies)
@@ -190,22 +190,22 @@
     deadline = clock.now() + int(args["--timeout"])
     version = int(args["VERSION"])
     while True:
-        nodes = await _in_force(client)
+        nodes = await _versions_in_force(client)
         behind = sorted(node for node, held in nodes.items() if held < version)
         if not behind and len(nodes) >= int(args["--nodes"]):
             return _print_result(args, {"version": version, "nodes": len(nodes)})
         if clock.now() >= deadline:
             _print_result(args, {"nodes": len(nodes), "behind": behind})
             return EXIT_REFUSED
-        await sleep(WAIT_POLL)
+        await sleep(POLL_INTERVAL)
 
 
-async def _in_force(client: OperatorClient) -> dict[str, int]:
+async def _versions_in_force(client: OperatorClient) -> dict[str, int]:
     nodes: dict[str, int] = {}
     for _, reply in await client.status():
         for subscriber in reply.subscribers if reply is not None else ():
-            known = nodes.get(subscriber.node, 0)
-            nodes[subscriber.node] = max(known, subscriber.in_force)
+            previous = nodes.get(subscriber.node, 0)
+            nodes[subscriber.node] = max(previous, subscriber.in_force)
     return nodes
 
 
@@ -225,7 +225,7 @@
     return EXIT_DONE
 
 
-def _plain(message: Any) -> dict[str, Any]:
+def _to_dict(message: Any) -> dict[str, Any]:
     return MessageToDict(
         message,
         preserving_proto_field_name=True,
@@ -256,7 +256,7 @@
         raise SettingsError(f"{path}: cannot read: {exc.strerror}") from exc
 
 
-def _fail(message: str, code: int) -> None:
+def _exit_with_error(message: str, code: int) -> None:
     print(f"leadseamctl: {message}", file=sys.stderr)
     sys.exit(code)
 
