--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -36,7 +36,7 @@
     path = Path(args["EXPERIMENT"])
     try:
         if args["--crashes"]:
-            _play_crashes(path, check=args["--check"])
+            _run_crashes(path, check=args["--check"])
             return
         experiment = load_settings(path, Experiment)
         if not args["--check"]:
@@ -46,7 +46,7 @@
         sys.exit(EXIT_USAGE)
 
 
-def _play_crashes(path: Path, *, check: bool) -> None:
+def _run_crashes(path: Path, *, check: bool) -> None:
     experiment = load_settings(path, CrashExperiment)
     fleets = with_variants(experiment.crashes, experiment.variants, str(path))
     if check:
