--- a/src/leadseam/cli/explain.py
+++ b/src/leadseam/cli/explain.py
@@ -46,24 +46,26 @@
     args = docopt(__doc__)
     try:
         keys = [Key(name) for name in args["--by"].split(",")]
-        most = int(args["--rows"])
+        max_rows = int(args["--rows"])
     except ValueError as exc:
         print(f"leadseam-explain: {exc}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
     if args["--accounts"]:
-        print(render_accounts(read_accounts(_lines(args["LOG"])), most=most))
+        print(
+            render_accounts(read_accounts(_read_lines(args["LOG"])), max_rows=max_rows)
+        )
         return
-    requests = list(read_records(_lines(args["LOG"])))
+    requests = list(read_records(_read_lines(args["LOG"])))
     if args["--plot"]:
-        _plot(requests, Path(args["--plot"]))
+        _draw_plot(requests, Path(args["--plot"]))
         return
     if args["--request"]:
         requests = [one for one in requests if one.request_id == args["--request"]]
     for key in keys:
-        print(render(tally(requests, key), key, most=most), end="\n\n")
+        print(render(tally(requests, key), key, max_rows=max_rows), end="\n\n")
 
 
-def _plot(requests: list[EndedRequest], path: Path) -> None:
+def _draw_plot(requests: list[EndedRequest], path: Path) -> None:
     try:
         draw(requests, path)
     except PlotError as exc:
@@ -71,7 +73,7 @@
         sys.exit(EXIT_FAILED)
 
 
-def _lines(paths: list[str]) -> Iterator[str]:
+def _read_lines(paths: list[str]) -> Iterator[str]:
     if not paths:
         yield from sys.stdin
     for path in paths:
--- a/src/leadseam/explain/accounts.py
+++ b/src/leadseam/explain/accounts.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from leadseam.explain.tables import MILLIS_PER_SECOND, render_cells
+from leadseam.explain.tables import MILLIS_PER_SECOND, render_columns
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
 
-MESSAGE = "accounts refused"
-HEAD = (
+LOG_MESSAGE = "accounts refused"
+HEADINGS = (
     "second",
     "account",
     "asked",
@@ -67,54 +67,54 @@
         lines: Lines of one or more entries; other lines are passed over.
     """
     seconds: dict[tuple[int, str], AccountSecond] = {}
-    for fields in _read(lines):
+    for fields in _read_messages(lines):
         second = fields.get("time", 0) // MILLIS_PER_SECOND
         for row in fields.get("accounts", ()):
             account = row.get("account", "")
             key = (second, account)
-            one = seconds.setdefault(key, AccountSecond(second, account))
-            one.add(row, fields.get("sums_age_ms", 0))
+            summary = seconds.setdefault(key, AccountSecond(second, account))
+            summary.add(row, fields.get("sums_age_ms", 0))
     return sorted(
         seconds.values(),
-        key=lambda one: (one.second, -one.refused.total(), one.account),
+        key=lambda summary: (summary.second, -summary.refused.total(), summary.account),
     )
 
 
-def render_accounts(rows: Sequence[AccountSecond], *, most: int) -> str:
+def render_accounts(rows: Sequence[AccountSecond], *, max_rows: int) -> str:
     """Return a table as text.
 
     Args:
         rows: Its rows, in order.
-        most: Rows shown for each second; the number of the others is told.
+        max_rows: Rows shown for each second; the number of the others is told.
     """
     shown: Counter[int] = Counter()
     left_out: defaultdict[int, int] = defaultdict(int)
-    cells = [list(HEAD)]
+    texts = [list(HEADINGS)]
     for row in rows:
-        if shown[row.second] >= most:
+        if shown[row.second] >= max_rows:
             left_out[row.second] += 1
             continue
         shown[row.second] += 1
-        cells.append(_cells(row))
-    lines = render_cells(cells)
+        texts.append(_row_texts(row))
+    lines = render_columns(texts)
     lines += [f"and {count} more in {second}" for second, count in left_out.items()]
     return "\n".join(lines)
 
 
-def _read(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+def _read_messages(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
     for line in lines:
         start = line.find("{")
-        if start < 0 or MESSAGE not in line:
+        if start < 0 or LOG_MESSAGE not in line:
             continue
         try:
             fields = json.loads(line[start:])
         except ValueError:
             continue
-        if isinstance(fields, dict) and fields.get("message") == MESSAGE:
+        if isinstance(fields, dict) and fields.get("message") == LOG_MESSAGE:
             yield fields
 
 
-def _cells(row: AccountSecond) -> list[str]:
+def _row_texts(row: AccountSecond) -> list[str]:
     return [
         str(row.second),
         row.account,
--- a/src/leadseam/explain/tables.py
+++ b/src/leadseam/explain/tables.py
@@ -70,23 +70,23 @@
     return sorted(rows, key=lambda row: (-row.lost, row.name))
 
 
-def render(rows: Sequence[Row], key: Key, *, most: int) -> str:
+def render(rows: Sequence[Row], key: Key, *, max_rows: int) -> str:
     """Return a table as text.
 
     Args:
         rows: Its rows.
         key: What they are grouped by.
-        most: Rows shown; the number of the others is told.
+        max_rows: Rows shown; the number of the others is told.
     """
     head = [key.value, "all", *(ending.value for ending in Ending), "reread"]
-    cells = [head, *(_cells(row) for row in rows[:most])]
-    lines = render_cells(cells)
-    if len(rows) > most:
-        lines.append(f"and {len(rows) - most} more")
+    cells = [head, *(_cells(row) for row in rows[:max_rows])]
+    lines = render_columns(cells)
+    if len(rows) > max_rows:
+        lines.append(f"and {len(rows) - max_rows} more")
     return "\n".join(lines)
 
 
-def render_cells(cells: Sequence[Sequence[str]]) -> list[str]:
+def render_columns(cells: Sequence[Sequence[str]]) -> list[str]:
     """Return the lines of a table; all columns but the first are right-aligned."""
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [_line(line, widths) for line in cells]
--- a/tests/explain/test_accounts.py
+++ b/tests/explain/test_accounts.py
@@ -44,7 +44,7 @@
             )
         ]
     )
-    head, row, more = render_accounts(rows, most=1).splitlines()
+    head, row, more = render_accounts(rows, max_rows=1).splitlines()
     assert head.split()[:3] == ["second", "account", "asked"]
     assert row.split()[:5] == ["1", "many", "100", "20", "7"]
     assert row.endswith("upstream_full:5 entry_busy:2")
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -84,7 +84,7 @@
 
 def test_a_table() -> None:
     rows = tally(read_records(LINES), Key.UPSTREAM)
-    assert render(rows, Key.UPSTREAM, most=2) == (
+    assert render(rows, Key.UPSTREAM, max_rows=2) == (
         "upstream  all  in time  late  refused  failed  reread\n"
         "i-1         4        1     0        1       2       0\n"
         "-           1        0     0        1       0       0\n"
