--- a/src/leadseam/explain/plot.py
+++ b/src/leadseam/explain/plot.py
@@ -54,7 +54,7 @@
     """Return counts for each second from the first to the last, none left out."""
     if not requests:
         return _series((), Counter())
-    seconds = [one.at // MILLIS_PER_SECOND for one in requests]
+    seconds = [one.logged_at // MILLIS_PER_SECOND for one in requests]
     first = min(seconds)
     ended = Counter(
         (str(second - first), one.ending)
--- a/src/leadseam/explain/records.py
+++ b/src/leadseam/explain/records.py
@@ -12,10 +12,10 @@
 
     from leadseam.clock import Millis
 
-FIRST_FAILURE = 400
+MIN_ERROR_STATUS = 400
 """Lowest HTTP status that is no success for the caller."""
-ENDED = "request ended"
-REFUSED = "request refused"
+ENDED_MESSAGE = "request ended"
+REFUSED_MESSAGE = "request refused"
 
 
 class Ending(StrEnum):
@@ -33,7 +33,7 @@
 
     Args:
         request_id: The caller's identifier.
-        at: Time of the line, milliseconds of the wall clock.
+        logged_at: Time of the line, milliseconds of the wall clock.
         node: Entry that served it.
         ending: How it ended.
         reason: Why, where it was not answered with success; else an empty text.
@@ -43,11 +43,11 @@
         standing: What its account could claim when it was refused, or an empty text.
         prompt: Prompt tokens of its own.
         reread: Tokens of shared parts that it was expected to read once more.
-        millis: Time from its arrival to its end.
+        duration: Time from its arrival to its end.
     """
 
     request_id: str
-    at: Millis
+    logged_at: Millis
     node: str
     ending: Ending
     reason: str
@@ -57,7 +57,7 @@
     standing: str
     prompt: int
     reread: int
-    millis: Millis
+    duration: Millis
 
 
 def read_records(lines: Iterable[str]) -> Iterator[EndedRequest]:
@@ -75,14 +75,17 @@
             fields = json.loads(line[start:])
         except ValueError:
             continue
-        if isinstance(fields, dict) and fields.get("message") in (ENDED, REFUSED):
+        if isinstance(fields, dict) and fields.get("message") in (
+            ENDED_MESSAGE,
+            REFUSED_MESSAGE,
+        ):
             yield _record(fields)
 
 
 def _record(fields: dict[str, Any]) -> EndedRequest:
     return EndedRequest(
         request_id=fields.get("request", ""),
-        at=fields.get("time", 0),
+        logged_at=fields.get("time", 0),
         node=fields.get("node", ""),
         ending=_ending(fields),
         reason=_reason(fields),
@@ -92,14 +95,17 @@
         standing=fields.get("standing", ""),
         prompt=fields.get("prompt", 0),
         reread=fields.get("reread", 0),
-        millis=fields.get("ms", 0),
+        duration=fields.get("ms", 0),
     )
 
 
 def _ending(fields: dict[str, Any]) -> Ending:
-    if fields["message"] == REFUSED or fields.get("outcome") == "not_run":
+    if fields["message"] == REFUSED_MESSAGE or fields.get("outcome") == "not_run":
         return Ending.REFUSED
-    if fields.get("outcome") != "answered" or fields.get("status", 0) >= FIRST_FAILURE:
+    if (
+        fields.get("outcome") != "answered"
+        or fields.get("status", 0) >= MIN_ERROR_STATUS
+    ):
         return Ending.FAILED
     first = fields.get("first_ms", fields.get("ms", 0))
     late = first > fields.get("objective_ms", first)
@@ -110,4 +116,4 @@
     if "reason" in fields:
         return str(fields["reason"])
     status = fields.get("status", 0)
-    return f"status {status}" if status >= FIRST_FAILURE else ""
+    return f"status {status}" if status >= MIN_ERROR_STATUS else ""
--- a/src/leadseam/explain/tables.py
+++ b/src/leadseam/explain/tables.py
@@ -114,7 +114,7 @@
         case Key.SIZE:
             return _size_class(request.prompt)
         case Key.SECOND:
-            return str(request.at // MILLIS_PER_SECOND)
+            return str(request.logged_at // MILLIS_PER_SECOND)
 
 
 def _size_class(tokens: int) -> str:
