--- a/src/leadseam/cli/explain.py
+++ b/src/leadseam/cli/explain.py
@@ -32,7 +32,7 @@
 from leadseam.explain.accounts import read_accounts, render_accounts
 from leadseam.explain.plot import PlotError, draw
 from leadseam.explain.records import read_records
-from leadseam.explain.tables import Key, render, tally
+from leadseam.explain.tables import GroupKey, group_requests, render
 from leadseam.runtime.process import EXIT_FAILED, EXIT_USAGE
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
     """Entry point of `leadseam-explain`."""
     args = docopt(__doc__)
     try:
-        keys = [Key(name) for name in args["--by"].split(",")]
+        keys = [GroupKey(name) for name in args["--by"].split(",")]
         max_rows = int(args["--rows"])
     except ValueError as exc:
         print(f"leadseam-explain: {exc}", file=sys.stderr)
@@ -62,7 +62,7 @@
     if args["--request"]:
         requests = [one for one in requests if one.request_id == args["--request"]]
     for key in keys:
-        print(render(tally(requests, key), key, max_rows=max_rows), end="\n\n")
+        print(render(group_requests(requests, key), key, max_rows=max_rows), end="\n\n")
 
 
 def _draw_plot(requests: list[EndedRequest], path: Path) -> None:
--- a/src/leadseam/explain/tables.py
+++ b/src/leadseam/explain/tables.py
@@ -14,14 +14,14 @@
 
     from leadseam.explain.records import EndedRequest
 
-SIZE_STEP = 4
+SIZE_CLASS_RATIO = 4
 """Each class of prompt lengths is this many times the one before."""
-FIRST_SIZE = 1_000
+SMALLEST_CLASS_LIMIT = 1_000
 """Tokens of a prompt below which it is in the first class."""
 MILLIS_PER_SECOND = 1_000
 
 
-class Key(StrEnum):
+class GroupKey(StrEnum):
     """What requests are grouped by."""
 
     ROUTE = "route"
@@ -59,18 +59,18 @@
         return self.total - self.counts[Ending.IN_TIME]
 
 
-def tally(requests: Iterable[EndedRequest], key: Key) -> list[Row]:
+def group_requests(requests: Iterable[EndedRequest], key: GroupKey) -> list[Row]:
     """Group requests; the group that lost most comes first, seconds in their order."""
     groups: dict[str, list[EndedRequest]] = defaultdict(list)
     for request in requests:
-        groups[_name(request, key)].append(request)
+        groups[_group_name(request, key)].append(request)
     rows = [_row(name, group) for name, group in groups.items()]
-    if key is Key.SECOND:
+    if key is GroupKey.SECOND:
         return sorted(rows, key=lambda row: row.name)
     return sorted(rows, key=lambda row: (-row.lost, row.name))
 
 
-def render(rows: Sequence[Row], key: Key, *, max_rows: int) -> str:
+def render(rows: Sequence[Row], key: GroupKey, *, max_rows: int) -> str:
     """Return a table as text.
 
     Args:
@@ -78,18 +78,18 @@
         key: What they are grouped by.
         max_rows: Rows shown; the number of the others is told.
     """
-    head = [key.value, "all", *(ending.value for ending in Ending), "reread"]
-    cells = [head, *(_cells(row) for row in rows[:max_rows])]
-    lines = render_columns(cells)
+    headings = [key.value, "all", *(ending.value for ending in Ending), "reread"]
+    texts = [headings, *(_row_texts(row) for row in rows[:max_rows])]
+    lines = render_columns(texts)
     if len(rows) > max_rows:
         lines.append(f"and {len(rows) - max_rows} more")
     return "\n".join(lines)
 
 
-def render_columns(cells: Sequence[Sequence[str]]) -> list[str]:
+def render_columns(texts: Sequence[Sequence[str]]) -> list[str]:
     """Return the lines of a table; all columns but the first are right-aligned."""
-    widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
-    return [_line(line, widths) for line in cells]
+    widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
+    return [_format_line(line, widths) for line in texts]
 
 
 def _row(name: str, group: list[EndedRequest]) -> Row:
@@ -97,43 +97,43 @@
     return Row(name, counts, sum(request.reread for request in group))
 
 
-def _name(request: EndedRequest, key: Key) -> str:
+def _group_name(request: EndedRequest, key: GroupKey) -> str:
     match key:
-        case Key.ROUTE:
+        case GroupKey.ROUTE:
             return request.route or "-"
-        case Key.ACCOUNT:
+        case GroupKey.ACCOUNT:
             return request.account or "-"
-        case Key.NODE:
+        case GroupKey.NODE:
             return request.node
-        case Key.UPSTREAM:
+        case GroupKey.UPSTREAM:
             return request.instance or "-"
-        case Key.REASON:
+        case GroupKey.REASON:
             return request.reason or "-"
-        case Key.STANDING:
+        case GroupKey.STANDING:
             return request.standing or "-"
-        case Key.SIZE:
+        case GroupKey.SIZE:
             return _size_class(request.prompt)
-        case Key.SECOND:
+        case GroupKey.SECOND:
             return str(request.logged_at // MILLIS_PER_SECOND)
 
 
 def _size_class(tokens: int) -> str:
     if not tokens:
         return "no prompt"
-    limit = FIRST_SIZE
+    limit = SMALLEST_CLASS_LIMIT
     while tokens >= limit:
-        limit *= SIZE_STEP
+        limit *= SIZE_CLASS_RATIO
     return f"below {limit:,} tokens"
 
 
-def _cells(row: Row) -> list[str]:
+def _row_texts(row: Row) -> list[str]:
     counts = [str(row.counts[ending]) for ending in Ending]
     return [row.name, str(row.total), *counts, str(row.reread)]
 
 
-def _line(cells: Sequence[str], widths: Sequence[int]) -> str:
-    first = cells[0].ljust(widths[0])
-    rest = (
-        cell.rjust(width) for cell, width in zip(cells[1:], widths[1:], strict=True)
+def _format_line(texts: Sequence[str], widths: Sequence[int]) -> str:
+    first = texts[0].ljust(widths[0])
+    others = (
+        text.rjust(width) for text, width in zip(texts[1:], widths[1:], strict=True)
     )
-    return "  ".join([first, *rest])
+    return "  ".join([first, *others])
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from leadseam.explain.records import Ending, read_records
-from leadseam.explain.tables import Key, render, tally
+from leadseam.explain.tables import GroupKey, group_requests, render
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -61,7 +61,7 @@
 
 
 def test_groups_that_lost_most_come_first() -> None:
-    rows = tally(read_records(LINES), Key.REASON)
+    rows = group_requests(read_records(LINES), GroupKey.REASON)
     assert [(row.name, row.total, row.lost) for row in rows] == [
         ("-", 2, 1),
         ("busy", 1, 1),
@@ -73,8 +73,12 @@
 
 def test_seconds_and_sizes() -> None:
     records = list(read_records(LINES))
-    assert [row.name for row in tally(records, Key.SECOND)] == ["0", "5", "6"]
-    sizes = {row.name: row.total for row in tally(records, Key.SIZE)}
+    assert [row.name for row in group_requests(records, GroupKey.SECOND)] == [
+        "0",
+        "5",
+        "6",
+    ]
+    sizes = {row.name: row.total for row in group_requests(records, GroupKey.SIZE)}
     assert sizes == {
         "below 1,000 tokens": 4,
         "below 64,000 tokens": 1,
@@ -83,8 +87,8 @@
 
 
 def test_a_table() -> None:
-    rows = tally(read_records(LINES), Key.UPSTREAM)
-    assert render(rows, Key.UPSTREAM, max_rows=2) == (
+    rows = group_requests(read_records(LINES), GroupKey.UPSTREAM)
+    assert render(rows, GroupKey.UPSTREAM, max_rows=2) == (
         "upstream  all  in time  late  refused  failed  reread\n"
         "i-1         4        1     0        1       2       0\n"
         "-           1        0     0        1       0       0\n"
