--- a/src/leadseam/explain/plot.py
+++ b/src/leadseam/explain/plot.py
@@ -21,7 +21,7 @@
 
     from leadseam.explain.records import EndedRequest
 
-MOST_ACCOUNTS = 12
+MAX_ACCOUNTS = 12
 """Accounts shown: those that lost most."""
 WIDTH_INCHES = 10
 HEIGHT_INCHES = 7
@@ -42,7 +42,7 @@
     """Counts of ended requests by some key, in order.
 
     Args:
-        keys: The keys: seconds from the first one, or names of accounts.
+        keys: The keys: seconds from the first request, or labels of accounts.
         counts: For each way to end, the number for each key.
     """
 
@@ -53,25 +53,25 @@
 def by_second(requests: Sequence[EndedRequest]) -> Series:
     """Return counts for each second from the first to the last, none left out."""
     if not requests:
-        return _series((), Counter())
-    seconds = [one.logged_at // MILLIS_PER_SECOND for one in requests]
+        return _make_series((), Counter())
+    seconds = [request.logged_at // MILLIS_PER_SECOND for request in requests]
     first = min(seconds)
     ended = Counter(
-        (str(second - first), one.ending)
-        for second, one in zip(seconds, requests, strict=True)
+        (str(second - first), request.ending)
+        for second, request in zip(seconds, requests, strict=True)
     )
     keys = tuple(str(number) for number in range(max(seconds) - first + 1))
-    return _series(keys, ended)
+    return _make_series(keys, ended)
 
 
 def by_account(requests: Iterable[EndedRequest]) -> Series:
     """Return counts for the accounts that lost most, the worst first."""
-    ended = Counter((one.account or "none", one.ending) for one in requests)
+    ended = Counter((request.account or "none", request.ending) for request in requests)
     lost = Counter[str]()
     for (account, ending), count in ended.items():
         lost[account] += count if ending in (Ending.REFUSED, Ending.FAILED) else 0
     worst = sorted(lost, key=lambda account: (-lost[account], account))
-    return _series(tuple(worst[:MOST_ACCOUNTS]), ended)
+    return _make_series(tuple(worst[:MAX_ACCOUNTS]), ended)
 
 
 def draw(requests: Sequence[EndedRequest], path: Path) -> None:
@@ -88,29 +88,31 @@
     # Text stays text, so that a picture can be searched.
     with matplotlib.rc_context({"svg.fonttype": "none"}):
         figure = Figure(figsize=(WIDTH_INCHES, HEIGHT_INCHES), layout="constrained")
-        above, below = figure.subplots(2)
-        _stack(above, by_second(requests), "second")
-        _stack(below, by_account(requests), "client account, by requests lost")
-        handles, names = above.get_legend_handles_labels()
-        figure.legend(handles, names, loc="outside upper center", ncols=len(Ending))
+        upper_axes, lower_axes = figure.subplots(2)
+        _draw_stacked_bars(upper_axes, by_second(requests), "second")
+        _draw_stacked_bars(
+            lower_axes, by_account(requests), "client account, by requests lost"
+        )
+        handles, labels = upper_axes.get_legend_handles_labels()
+        figure.legend(handles, labels, loc="outside upper center", ncols=len(Ending))
         try:
             figure.savefig(path)
         except (OSError, ValueError) as exc:
             raise PlotError(f"{path}: {exc}") from exc
 
 
-def _stack(axes: Axes, series: Series, label: str) -> None:
-    places = range(len(series.keys))
+def _draw_stacked_bars(axes: Axes, series: Series, label: str) -> None:
+    positions = range(len(series.keys))
     bottom = [0] * len(series.keys)
     for ending, counts in series.counts.items():
-        axes.bar(places, counts, bottom=bottom, color=COLOURS[ending], label=ending)
-        bottom = [low + count for low, count in zip(bottom, counts, strict=True)]
-    step = max(len(series.keys) // MOST_ACCOUNTS, 1)
-    axes.set_xticks(places[::step], series.keys[::step])
+        axes.bar(positions, counts, bottom=bottom, color=COLOURS[ending], label=ending)
+        bottom = [height + count for height, count in zip(bottom, counts, strict=True)]
+    step = max(len(series.keys) // MAX_ACCOUNTS, 1)
+    axes.set_xticks(positions[::step], series.keys[::step])
     axes.set_xlabel(label)
     axes.set_ylabel("requests")
 
 
-def _series(keys: tuple[str, ...], ended: Counter[tuple[str, Ending]]) -> Series:
+def _make_series(keys: tuple[str, ...], ended: Counter[tuple[str, Ending]]) -> Series:
     counts = {ending: tuple(ended[key, ending] for key in keys) for ending in Ending}
     return Series(keys, counts)
--- a/tests/explain/test_plot.py
+++ b/tests/explain/test_plot.py
@@ -9,7 +9,7 @@
 import pytest
 
 from leadseam.cli import explain
-from leadseam.explain.plot import MOST_ACCOUNTS, by_account, by_second
+from leadseam.explain.plot import MAX_ACCOUNTS, by_account, by_second
 from leadseam.explain.records import Ending, read_records
 from leadseam.runtime.process import EXIT_FAILED
 
@@ -61,7 +61,7 @@
     lines += [line(0, "", "failed")]
     series = by_account(read_records(lines))
     assert series.keys == ("none", *(f"a-{number:02}" for number in range(11)))
-    assert len(series.keys) == MOST_ACCOUNTS
+    assert len(series.keys) == MAX_ACCOUNTS
 
 
 def test_no_request_is_an_empty_picture() -> None:
