--- a/src/leadseam/local/fleet.py
+++ b/src/leadseam/local/fleet.py
@@ -46,9 +46,9 @@
 ENGINES = 2
 SERVICES = 1
 READY_POLL: Millis = 50
-KEY = "demo-key"
+API_KEY = "demo-key"
 
-_TEXT = """
+_BANNER = """
 leadseam runs: {replicas} control replicas, {entries} entries, {engines} engines and
 {services} service, all stand-ins of one process. Copy a line to another terminal.
 
@@ -94,7 +94,7 @@
         self.entry_port = port or _free_port()
         self._seconds = seconds
         self._token = secrets.token_hex(8)
-        self._rows: list[ConfigRecord] = []
+        self._records: list[ConfigRecord] = []
         self._programs: list[Program] = []
         self._replicas: list[ControlProgram] = []
         self._operators: list[Endpoint] = []
@@ -135,19 +135,21 @@
         request = pb.ApplyRequest(
             change_id="demo",
             expect_version=0,
-            operations=[operation_to_message(Put(row)) for row in self._rows],
+            operations=[operation_to_message(Put(record)) for record in self._records],
         )
         await OperatorClient(self._operators, self._token).apply(request)
 
     def _describe(self) -> str:
-        control = ",".join(f"{end.ip}:{end.port}" for end in self._operators)
-        return _TEXT.format(
+        control = ",".join(
+            f"{endpoint.ip}:{endpoint.port}" for endpoint in self._operators
+        )
+        return _BANNER.format(
             replicas=REPLICAS,
             entries=ENTRIES,
             engines=ENGINES,
             services=SERVICES,
             port=self.entry_port,
-            key=KEY,
+            key=API_KEY,
             token=self._token,
             control=control,
         )
@@ -180,12 +182,12 @@
         services = Pool("slips", PoolKind.SERVICE)
         account = Account(
             "demo",
-            key_hashes=(_digest(KEY),),
+            key_hashes=(_digest(API_KEY),),
             models=(ModelGrant("rates"),),
             services=("slips",),
         )
         rule = NeverRepeat("slips-once", pool="slips")
-        self._rows += [engines, services, account, rule]
+        self._records += [engines, services, account, rule]
         for number in range(1, ENGINES + 1):
             self._add_upstream(f"engine-{number}", engines, control)
         for number in range(1, SERVICES + 1):
@@ -206,10 +208,10 @@
             control=control,
         )
         self._programs += [StandinProgram(standin), SidecarProgram(settings)]
-        row = Upstream(
+        record = Upstream(
             name, pool.name, server.ip, server.port, sidecar.ip, sidecar.port
         )
-        self._rows.append(row)
+        self._records.append(record)
 
     def _add_entries(self, control: tuple[Endpoint, ...]) -> None:
         for number in range(1, ENTRIES + 1):
