--- a/src/leadseam/settings/__init__.py
+++ b/src/leadseam/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files: their shapes and how they are read."""
+"""Settings files: their schema and loader."""
