--- a/src/leadseam/settings/load.py
+++ b/src/leadseam/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading of a settings file, with faults named by file and key path."""
+"""Loader for settings files that reports errors by file and key path."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 
 def load_settings(path: Path, type_: type[T]) -> T:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Args:
-        path: The YAML file.
+        path: Path of the YAML file.
         type_: Class of the settings.
 
     Returns:
-        The settings.
+        The validated settings.
 
     Raises:
-        SettingsError: With file, key path and what was expected.
+        SettingsError: If the file is invalid; the message names the file, the key path
+            and the expected value.
     """
     settings = parse_settings(_read(path), type_, str(path))
     if isinstance(settings, ControlSettings):
@@ -38,7 +39,16 @@
 
 
 def parse_settings(data: object, type_: type[T], name: str) -> T:
-    """Check plain data against a settings class; see `load_settings`."""
+    """Convert parsed YAML to a settings class and validate it.
+
+    Args:
+        data: Parsed content of the file.
+        type_: Class of the settings.
+        name: Name of the source, for error messages.
+
+    Raises:
+        SettingsError: If the data is invalid.
+    """
     try:
         settings = msgspec.convert(data, type_)
     except msgspec.ValidationError as exc:
@@ -51,7 +61,7 @@
     """Parse a YAML file.
 
     Raises:
-        SettingsError: If it cannot be read or is not YAML.
+        SettingsError: If the file cannot be read or is not valid YAML.
     """
     return _read(path)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files, and the binaries' `--check`."""
+"""Settings files and the `--check` option of the binaries."""
 
 from __future__ import annotations
 
