--- a/src/leadseam/settings/models.py
+++ b/src/leadseam/settings/models.py
@@ -1,4 +1,4 @@
-"""Shapes of the settings files, one class for each program."""
+"""Schema of the settings files, one class for each program."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class _Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all settings; unknown keys are refused."""
+    """Base of all settings; rejects unknown keys."""
 
 
 class Endpoint(_Settings, frozen=True):
-    """An address; `ip` must be an IP number."""
+    """Network address; `ip` must be an IP address, not a host name."""
 
     ip: str
     port: Port
 
 
 class Identity(_Settings, frozen=True):
-    """Who and where a process is.
+    """Name and location of a process.
 
     Args:
         node: Name of the process.
-        box: Box that it runs on.
+        box: Box that the process runs on.
         failure_domain: Failure domain of the box.
     """
 
@@ -41,11 +41,11 @@
     """Limits of an entry.
 
     Args:
-        body_bytes: Largest request body.
-        waiting_bytes: Memory that waiting bodies may take together.
-        default_deadline: Milliseconds a caller without a deadline may wait.
-        max_attempts: Attempts at one request, the first included.
-        window_bytes: Bytes of a response in flight towards a slow caller.
+        body_bytes: Maximum size of a request body.
+        waiting_bytes: Maximum total size of the bodies of waiting requests.
+        default_deadline: Deadline in milliseconds for callers that set none.
+        max_attempts: Maximum attempts at one request, including the first.
+        window_bytes: Maximum bytes of a response in flight to a slow caller.
     """
 
     body_bytes: Positive = 4 * 1024 * 1024
@@ -59,12 +59,12 @@
     """Settings of `leadseam-entry`.
 
     Args:
-        identity: Who and where.
-        listen: Address for callers and for admin requests.
-        control: Inner addresses of the control replicas.
-        limits: Limits.
-        drain_delay: Milliseconds for which a stopping entry still takes requests,
-            so that the balancer can see it is not ready.
+        identity: Name and location of the process.
+        listen: Address for callers and admin requests.
+        control: Internal addresses of the control replicas.
+        limits: Limits of request sizes, waiting and attempts.
+        drain_delay: Milliseconds for which an entry still accepts requests after a
+            shutdown signal, so that the load balancer can notice it is not ready.
         log_level: Lowest level to log.
     """
 
@@ -80,13 +80,13 @@
     """Settings of `leadseam-sidecar`.
 
     Args:
-        identity: Who and where.
-        upstream: Name of its upstream in the configuration.
-        listen: Inner address for entries.
+        identity: Name and location of the process.
+        upstream: Name of the sidecar's upstream in the configuration.
+        listen: Internal address for entries.
         admin: Address for admin requests.
-        control: Inner addresses of the control replicas.
-        platform_list: URL of the platform's list of boxes, or empty.
-        leave_delay: Milliseconds from leaving to exit at the least.
+        control: Internal addresses of the control replicas.
+        platform_list: URL of the platform's list of boxes, or an empty string.
+        leave_delay: Minimum milliseconds between leaving and exit.
         log_level: Lowest level to log.
     """
 
@@ -104,11 +104,11 @@
     """Settings of `leadseam-control`.
 
     Args:
-        identity: Who and where; `node` must be a key of `replicas`.
-        replicas: Inner addresses of all replicas, this one included.
-        operator: Address of the operators' RPC.
+        identity: Name and location of the process; `node` must be a key of `replicas`.
+        replicas: Internal addresses of all replicas, including this one.
+        operator: Address of the operators' RPC service.
         admin: Address for admin requests.
-        data_dir: Data folder; must exist.
+        data_dir: Data directory; it must exist.
         operators: SHA-256 of each operator's token, by name.
         log_level: Lowest level to log.
     """
@@ -126,9 +126,9 @@
     """Settings of `leadseam-standin`.
 
     Args:
-        kind: What it imitates: `engine`, `service` or `platform`.
-        listen: Its address.
-        slots: Requests that an engine runs at once.
+        kind: What the stand-in emulates: `engine`, `service` or `platform`.
+        listen: Address of the stand-in.
+        slots: Requests that an engine runs concurrently.
         token_interval: Milliseconds between an engine's tokens.
         service_time: Milliseconds that a service call takes.
     """
