--- a/src/leadseam/schema/convert.py
+++ b/src/leadseam/schema/convert.py
@@ -1,4 +1,4 @@
-"""Conversion between the schema's messages and the records of a configuration."""
+"""Conversion between protobuf messages and configuration records."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class OperationError(LeadseamError):
-    """An operation that is malformed."""
+    """A malformed operation or configuration."""
 
     code = "bad_operation"
 
 
 def operation_from_message(message: pb.Operation) -> Operation:
-    """Convert a received operation.
+    """Convert a received message to an operation.
 
     Raises:
-        OperationError: If it is empty or has a value of the wrong kind.
+        OperationError: If the message is empty or has a value of the wrong type.
     """
     kind = message.WhichOneof("operation")
     try:
@@ -60,7 +60,7 @@
 
 
 def operation_to_message(operation: Operation) -> pb.Operation:
-    """Convert an operation to send."""
+    """Convert an operation to a message."""
     match operation:
         case Put(record=record):
             return _put_to_message(record)
@@ -84,7 +84,7 @@
 
 
 def configuration_to_message(configuration: Configuration) -> pb.Configuration:
-    """Convert a configuration to send."""
+    """Convert a configuration to a message."""
     message = pb.Configuration(version=configuration.version)
     for account in configuration.accounts.values():
         message.accounts.append(_to_message(account, pb.Account()))
@@ -98,10 +98,10 @@
 
 
 def configuration_from_message(message: pb.Configuration) -> Configuration:
-    """Convert a received configuration.
+    """Convert a received message to a configuration.
 
     Raises:
-        OperationError: If a row is malformed.
+        OperationError: If a record is malformed.
     """
     try:
         return Configuration(
