--- a/src/leadseam/cli/__init__.py
+++ b/src/leadseam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The binaries."""
+"""Command-line entry points of the binaries."""
