--- a/src/leadseam/cli/_admin.py
+++ b/src/leadseam/cli/_admin.py
@@ -1,4 +1,4 @@
-"""Calls to the metrics address of a control box, for the operators' commands."""
+"""HTTP client of the operators' commands for the admin server of a control box."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     from leadseam.settings.models import Endpoint
 
 TIMEOUT_S = 5.0
-"""Seconds for an answer: a control box gives a write up after some four."""
+"""Timeout of a request in seconds: a control box gives up a write after some four."""
 
 
 class AdminClient:
-    """Calls one control box.
+    """HTTP client for one control box.
 
     Args:
-        control: Its metrics address.
+        control: Metrics address of the control box.
     """
 
     def __init__(self, control: Endpoint) -> None:
@@ -43,7 +43,16 @@
         *,
         as_json: bool,
     ) -> int:
-        """Print the rows of a list; return the exit code."""
+        """Fetch a list and print its rows.
+
+        Args:
+            path: Path of the list.
+            render: Formats the rows as a table.
+            as_json: Print JSON instead of the table.
+
+        Returns:
+            The exit code.
+        """
         async with _open_session() as http, http.get(self._url(path)) as resp:
             resp.raise_for_status()
             rows: list[dict[str, Any]] = await resp.json()
@@ -51,7 +60,7 @@
         return EXIT_OK
 
     async def send_command(self, path: str) -> int:
-        """Give an order and print the answer; return the exit code."""
+        """Send a command, print the response and return the exit code."""
         async with _open_session() as http, http.post(self._url(path)) as resp:
             print(await resp.text())
             return EXIT_OK if resp.ok else EXIT_FAILED
@@ -65,12 +74,12 @@
     control: str,
     command: Callable[[AdminClient], Coroutine[Any, Any, int]],
 ) -> int:
-    """Run an operators' command against a control box and return its exit code.
+    """Run an operator's command against a control box and return its exit code.
 
     Args:
-        program: Name of the program, for errors.
-        control: Address IP:PORT as the operator gave it.
-        command: What to do there.
+        program: Name of the program, for error messages.
+        control: Address IP:PORT from the command line.
+        command: Runs the command with a client for that control box.
     """
     try:
         address = read_address(control)
