--- a/src/leadseam/cli/_client.py
+++ b/src/leadseam/cli/_client.py
@@ -1,4 +1,4 @@
-"""The operators' client: one RPC at a time against any replica that answers."""
+"""Client of the operators' RPC: one call at a time, to any replica that answers."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 class UnavailableError(LeadseamError):
-    """No replica gave an answer."""
+    """No replica answered."""
 
     code = "unavailable"
 
 
 class DeniedError(LeadseamError):
-    """The operator's token is wrong, or the request malformed."""
+    """The operator's token is wrong or the request is malformed."""
 
     code = "denied"
 
 
 class OperatorClient:
-    """Calls the operators' RPC; a failed replica is followed by the next one.
+    """Calls the operators' RPC and fails over to the next replica.
 
-    Every call is safe to repeat: a change is known by its id.
+    Every call is safe to repeat, since a change is identified by its id.
 
     Args:
-        endpoints: Addresses of the operators' RPC.
+        endpoints: Addresses of the replicas' RPC service.
         token: The operator's token.
     """
 
@@ -59,21 +59,21 @@
         )
 
     async def get(self) -> pb.Configuration:
-        """Read the configuration in force."""
+        """Return the configuration in force."""
         request = pb.GetRequest()
         return await self._call_any(
             lambda stub: stub.Get(request, metadata=self._metadata)
         )
 
     async def history(self, limit: int) -> pb.HistoryReply:
-        """List accepted changes."""
+        """Return the accepted changes, at most `limit`."""
         request = pb.HistoryRequest(limit=limit)
         return await self._call_any(
             lambda stub: stub.History(request, metadata=self._metadata)
         )
 
     async def status(self) -> list[tuple[Endpoint, pb.StatusReply | None]]:
-        """Ask every replica; None for one that does not answer."""
+        """Return the status of every replica, or None for one that does not answer."""
         replies = await asyncio.gather(*map(self._status, self._endpoints))
         return list(zip(self._endpoints, replies, strict=True))
 
@@ -101,7 +101,7 @@
         raise UnavailableError("; ".join(failures))
 
     async def _sort_live_first(self) -> None:
-        """Spare the caller a long wait for a replica that is frozen or cut off."""
+        """Sort live replicas first, to avoid long waits for frozen or isolated ones."""
         statuses = await self.status()
         live = {reply.identity for _, reply in statuses if reply and reply.current}
         self._endpoints = [
