--- a/src/leadseam/cli/_common.py
+++ b/src/leadseam/cli/_common.py
@@ -1,4 +1,4 @@
-"""What the binaries share: reading settings, and `--check`."""
+"""Loading of settings and the `--check` option, shared by the binaries."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 
 
 def settings_or_exit(args: Mapping[str, str | bool | None], type_: type[T]) -> T:
-    """Read the settings that the command line names.
+    """Load the settings file given on the command line.
 
     Args:
-        args: Parsed arguments with `SETTINGS` and `--check`.
+        args: Parsed command line with `SETTINGS` and `--check`.
         type_: Class of the settings.
 
     Returns:
-        The settings; a fault, or `--check`, ends the process instead.
+        The settings. With invalid settings, or with `--check`, the process exits
+        instead.
     """
     path = Path(str(args["SETTINGS"]))
     try:
