--- a/src/leadseam/cli/control.py
+++ b/src/leadseam/cli/control.py
@@ -6,8 +6,8 @@
 
 Options:
   --check    Check the settings and exit.
-  --found    Found a new group: once, on all replicas, with empty data folders.
-             Never on a replica that lost its disk: that one joins without it.
+  --found    Bootstrap a new group: once, on all replicas, with empty data directories.
+             Never use it on a replica that lost its disk: that one joins without it.
 """
 
 from __future__ import annotations
