--- a/src/leadseam/cli/ctl.py
+++ b/src/leadseam/cli/ctl.py
@@ -11,13 +11,13 @@
   leadseamctl (-h | --help)
 
 Commands:
-  apply     Show the difference to FILE and have it accepted.
+  apply     Show the difference to FILE and apply it.
   get       Print the configuration in force, in the form of FILE.
   history   List accepted changes, the newest first.
-  status    Describe the replicas, and how many nodes have which version in force.
+  status    Show the replicas, and how many nodes have which version in force.
   wait      Wait until every node on the feed has VERSION in force.
-  drain     Give an upstream no new work; undrain takes it back.
-  hash-key  Read a key from standard input and print its hash for a FILE.
+  drain     Send no new work to an upstream; undrain reverts this.
+  hash-key  Read a key from standard input and print its hash, for use in a FILE.
 
 Options:
   --control ADDRESSES  Operators' RPC of the replicas, as IP:PORT,IP:PORT
@@ -25,10 +25,10 @@
   --token-file PATH    File with the operator's token; else LEADSEAM_TOKEN.
   --json               Print JSON.
   --dry-run            Only show the difference.
-  --change-id ID       Id of the change; a resend must carry the same.
-  --limit N            Rows of history [default: 20].
-  --nodes N            Wait for at least so many nodes [default: 1].
-  --timeout MS         Give up after so many milliseconds [default: 9000].
+  --change-id ID       Id of the change; a retry must use the same one.
+  --limit N            Maximum rows of history [default: 20].
+  --nodes N            Minimum number of nodes to wait for [default: 1].
+  --timeout MS         Milliseconds after which wait gives up [default: 9000].
 
 Exit codes: 0 done, 1 refused or timed out, 2 wrong usage or file, 3 conflict,
 4 no replica answered, 5 wrong token.
