--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -1,16 +1,16 @@
-"""Play a fleet's decisions against a model of engines, in virtual time.
+"""Simulate a fleet's decisions against a model of engines, in virtual time.
 
 Usage:
   leadseam-emulate [--check] [--crashes] EXPERIMENT
   leadseam-emulate (-h | --help)
 
-EXPERIMENT is a YAML file: a fleet, seeds, and variants of the fleet. Each variant is
-played with each seed by the entries' own code, and a table compares them; a difference
-within its interval says nothing. See examples/emulate.yaml.
+EXPERIMENT is a YAML file with a fleet, seeds, and variants of the fleet. Each variant
+is run with each seed by the entries' own code, and a table compares them; a difference
+within its interval is not significant. See examples/emulate.yaml.
 
 Options:
   --check    Only check the file: exit code 0 or 2.
-  --crashes  The file is of requests that crash upstreams; see examples/crashes.yaml.
+  --crashes  Simulate requests that crash upstreams; see examples/crashes.yaml.
 """
 
 from __future__ import annotations
