--- a/src/leadseam/cli/evacuations.py
+++ b/src/leadseam/cli/evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains whose upstreams get no requests.
+"""List, evacuate and restore failure domains; evacuated ones get no requests.
 
 Usage:
   leadseam-evacuations [--json] CONTROL
@@ -6,16 +6,17 @@
   leadseam-evacuations --restore DOMAIN CONTROL
   leadseam-evacuations (-h | --help)
 
-CONTROL is the metrics address IP:PORT of a control box. Requests under way in a failure
-domain end there; the list shows how many are left, where the control box knows that.
+CONTROL is the metrics address IP:PORT of a control box. Requests in flight in a failure
+domain finish there; the list shows how many are left, if the control box knows it.
 
 Options:
   --json             Print JSON instead of a table.
-  --evacuate DOMAIN  Send nothing more to a failure domain; to be run on that control
-                     box.
-  --restore DOMAIN   Use a failure domain again; to be run on that control box.
+  --evacuate DOMAIN  Send no more requests to a failure domain; must be run on that
+                     control box.
+  --restore DOMAIN   Use a failure domain again; must be run on that control box.
 
-The exit code is 0, 1 if the control box did not do it, or 2 for a wrong address.
+The exit code is 0 for success, 1 if the control box did not carry out the command, or
+2 for a wrong address.
 """
 
 from __future__ import annotations
@@ -58,8 +59,8 @@
     """Return a table of failure domains.
 
     Args:
-        rows: The failure domains.
-        now: Seconds since the Unix epoch. Defaults to the time of day.
+        rows: Failure domains as returned by the control box.
+        now: Seconds since the Unix epoch. Defaults to the current time.
     """
     now = time.time() if now is None else now
     lines = [f"{HEADINGS[0]:24}  {HEADINGS[1]:9}  {HEADINGS[2]:>8}  {HEADINGS[3]}"]
--- a/tests/test_evacuations_command.py
+++ b/tests/test_evacuations_command.py
@@ -1,4 +1,4 @@
-"""The operators' table of evacuated failure domains."""
+"""Table of failure domains printed by `leadseam-evacuations`."""
 
 from __future__ import annotations
 
