--- a/src/leadseam/cli/explain.py
+++ b/src/leadseam/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell from a fleet's log lines how requests ended, and where they were lost.
+"""Summarise from a fleet's log lines how requests ended, and where they were lost.
 
 Usage:
   leadseam-explain [--by KEYS] [--rows N] [--request ID] [LOG ...]
@@ -6,18 +6,19 @@
   leadseam-explain --plot FILE [LOG ...]
   leadseam-explain (-h | --help)
 
-Reads the named files, or standard input. Lines that tell of no ended request are passed
-over; entries write a bounded number of lines a second, so the counts of a busy entry
-are a sample and its metrics have them all.
+Reads the given files, or standard input. Lines that are not about an ended request are
+skipped. Entries write a limited number of lines per second, so the counts of a busy
+entry are a sample; its metrics are complete.
 
 Options:
-  --by KEYS      What to group by, with commas: route, account, node, upstream, reason,
-                 standing, size, second. [default: route,reason,account]
-  --accounts     What client accounts asked for and got, second by second, at the
-                 entries that refused somebody.
-  --plot FILE    Draw how requests ended, by second and by client account, as PNG or SVG
-                 by the file's suffix. Needs the extra `plots`.
-  --rows N       Rows of each table; with --accounts, of each second. [default: 20]
+  --by KEYS      Keys to group by, separated by commas: route, account, node, upstream,
+                 reason, standing, size, second. [default: route,reason,account]
+  --accounts     Show service requested and received by client accounts, by second, at
+                 the entries that refused requests.
+  --plot FILE    Plot how requests ended, by second and by client account, as PNG or SVG
+                 depending on the file's suffix. Needs the extra `plots`.
+  --rows N       Maximum rows of each table; with --accounts, of each second.
+                 [default: 20]
   --request ID   Only requests with this identifier.
 """
 
