--- a/src/leadseam/cli/local.py
+++ b/src/leadseam/cli/local.py
@@ -1,12 +1,12 @@
-"""Run a whole fleet with stand-ins in one process, to try it out.
+"""Run a complete fleet with stand-ins in one process, as a demo.
 
 Usage:
   leadseam-local [--port PORT] [--seconds N]
   leadseam-local (-h | --help)
 
 Options:
-  --port PORT   Port of the first entry; 0 lets the system choose [default: 8080].
-  --seconds N   Stop by itself after so many seconds; 0 runs on [default: 0].
+  --port PORT   Port of the first entry; 0 picks a free one [default: 8080].
+  --seconds N   Stop after N seconds; 0 runs until interrupted [default: 0].
 """
 
 from __future__ import annotations
