--- a/src/leadseam/cli/node.py
+++ b/src/leadseam/cli/node.py
@@ -4,7 +4,7 @@
   leadseam-node [--check] (entry | control)
   leadseam-node (-h | --help)
 
-The platform names the settings file in the environment.
+The platform passes the path of the settings file in the environment.
 
 Options:
   --check    Check the settings and exit.
@@ -31,7 +31,8 @@
 
 def main() -> None:
     """Entry point of `leadseam-node`."""
-    # Start-up makes nothing but objects that stay; `run_program` turns it on again.
+    # Objects from start-up are all kept, so collecting them is futile; `run_program`
+    # enables the collector again.
     gc.disable()
     args = docopt(__doc__)
     entry = bool(args["entry"])
@@ -60,7 +61,7 @@
 
 
 def _make(settings: NodeSettings, path: Path, *, entry: bool) -> Program:
-    # Imported here, so that neither role pays for the modules of the other.
+    # Imported on use, so that neither role pays for the other's modules.
     if entry:
         from leadseam.platform.entry_node import EntryNode
 
