--- a/src/leadseam/cli/verdicts.py
+++ b/src/leadseam/cli/verdicts.py
@@ -1,20 +1,21 @@
-"""Requests that are refused because upstreams have crashed under them.
+"""List and lift verdicts: requests refused because upstreams crashed under them.
 
 Usage:
   leadseam-verdicts [--json] CONTROL
   leadseam-verdicts --lift FINGERPRINT CONTROL
   leadseam-verdicts (-h | --help)
 
-CONTROL is the metrics address IP:PORT of a control box. Lines of entries tell more of
-a request by its fingerprint: `attempt failed`, `request crashes upstreams and is
-refused`.
+CONTROL is the metrics address IP:PORT of a control box. Entries log more about a
+request under its fingerprint: see `attempt failed` and `request crashes upstreams and
+is refused`.
 
 Options:
   --json              Print JSON instead of a table.
-  --lift FINGERPRINT  Serve a request again; to be run on that control box. It is
-                      refused anew once three more upstreams have crashed under it.
+  --lift FINGERPRINT  Serve a request again; must be run on that control box. It is
+                      refused again once three more upstreams have crashed under it.
 
-The exit code is 0, 1 if the control box did not do it, or 2 for a wrong address.
+The exit code is 0 for success, 1 if the control box did not carry out the command, or
+2 for a wrong address.
 """
 
 from __future__ import annotations
