--- a/tests/explain/test_accounts.py
+++ b/tests/explain/test_accounts.py
@@ -15,11 +15,11 @@
 
 def make_row(account: str, **fields: object) -> dict[str, object]:
     """Return an account of a line."""
-    usual: dict[str, object] = {"asked": 100, "placed": 20, "served_of_late": 80}
-    return {"account": account, "standing": "within", "refused": {}} | usual | fields
+    defaults: dict[str, object] = {"asked": 100, "placed": 20, "served_of_late": 80}
+    return {"account": account, "standing": "within", "refused": {}} | defaults | fields
 
 
-def test_what_entries_tell_of_a_second_is_added_up() -> None:
+def test_rows_of_several_entries_are_summed_by_second() -> None:
     lines = [
         make_line(1_200, make_row("menus", refused={"upstream_full": 2})),
         make_line(1_900, make_row("menus", standing="ahead", served_of_late=90)),
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -16,7 +16,7 @@
 
 def line(request_id: str, **fields: Any) -> str:
     """Return a line on an ended request, answered in time unless said otherwise."""
-    usual = {
+    defaults = {
         "time": 5_400,
         "node": "entry-1",
         "message": "request ended",
@@ -32,7 +32,7 @@
         "prompt": 628,
         "reread": 0,
     }
-    return json.dumps(usual | fields)
+    return json.dumps(defaults | fields)
 
 
 LINES = (
@@ -48,7 +48,7 @@
 )
 
 
-def test_lines_are_read_and_others_passed_over() -> None:
+def test_unrelated_lines_are_skipped() -> None:
     endings = {one.request_id: one.ending for one in read_records(LINES)}
     assert endings == {
         "in-time": Ending.IN_TIME,
--- a/tests/explain/test_plot.py
+++ b/tests/explain/test_plot.py
@@ -38,7 +38,7 @@
     return list(read_records(LINES))
 
 
-def test_seconds_without_a_request_are_there() -> None:
+def test_seconds_without_a_request_are_included() -> None:
     series = by_second(requests())
     assert series.keys == ("0", "1", "2")
     assert series.counts == {
@@ -56,7 +56,7 @@
     assert series.counts[Ending.FAILED] == (1, 0)
 
 
-def test_accounts_are_bounded_and_those_without_are_told() -> None:
+def test_accounts_are_bounded_and_may_be_none() -> None:
     lines = [line(0, f"a-{number:02}") for number in range(30)]
     lines += [line(0, "", "failed")]
     series = by_account(read_records(lines))
@@ -64,7 +64,7 @@
     assert len(series.keys) == MAX_ACCOUNTS
 
 
-def test_no_request_is_an_empty_picture() -> None:
+def test_no_requests_give_an_empty_series() -> None:
     assert by_second([]).keys == ()
 
 
@@ -74,14 +74,14 @@
 
 
 @pytest.mark.parametrize("lines", [LINES, []])
-def test_a_picture_is_drawn(
+def test_a_plot_is_written(
     lines: list[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     log = tmp_path / "entry.log"
     log.write_text("\n".join(lines))
-    drawn = tmp_path / "day.svg"
-    run(monkeypatch, "--plot", str(drawn), str(log))
-    text = drawn.read_text()
+    plot = tmp_path / "day.svg"
+    run(monkeypatch, "--plot", str(plot), str(log))
+    text = plot.read_text()
     assert "requests lost" in text
     assert ("menus" in text) is bool(lines)
     run(monkeypatch, "--plot", str(tmp_path / "day.png"), str(log))
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("name", ["day.odd", "none/day.svg"])
-def test_what_cannot_be_written_is_said(
+def test_a_file_that_cannot_be_written_is_reported(
     name: str,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/test_evacuations_command.py
+++ b/tests/test_evacuations_command.py
@@ -9,7 +9,7 @@
 from leadseam.wire.feed import LoadReport, LoadRow
 
 
-def test_the_table_tells_state_age_and_requests_left() -> None:
+def test_the_table_shows_state_age_and_requests_left() -> None:
     rows = [
         to_json(EvacuationRow("north", True, 1, 1, at=1_000_000), 12),
         to_json(EvacuationRow("south", False, 2, 3, at=990_000), None),
