--- a/src/leadseam/explain/__init__.py
+++ b/src/leadseam/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the log lines of a fleet and tells how requests ended, and why."""
+"""Analysis of a fleet's log lines: how requests ended, and why."""
