--- a/src/leadseam/explain/accounts.py
+++ b/src/leadseam/explain/accounts.py
@@ -1,4 +1,4 @@
-"""What client accounts asked for and got, by second, over all entries. No I/O."""
+"""Service requested and received by client accounts, by second. No I/O."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 @dataclass(slots=True)
 class AccountSecond:
-    """One account in one second, at all entries that refused somebody in it.
+    """One account in one second, over all entries that refused requests in it.
 
     Args:
         second: Second of the wall clock.
-        account: Its name.
-        asked: Service asked for, in tokens; a request that came twice counts twice.
+        account: Name of the account.
+        asked: Requested service in tokens; a request that arrived twice counts twice.
         placed: Service of the requests that were sent to an upstream.
-        refused: Requests that did not run, by reason.
-        served: Most service of late that an entry knew of.
-        standings: Entries by the standing that they gave it.
-        sums_age: Age of the oldest sums that an entry went by, in milliseconds.
+        refused: Number of requests that did not run, by reason.
+        served: Highest recent service of the account that an entry had recorded.
+        standings: Number of entries by the standing that they assigned to the account.
+        sums_age: Age of the oldest sums that an entry used, in milliseconds.
     """
 
     second: int
@@ -51,7 +51,7 @@
     sums_age: int = 0
 
     def add(self, row: dict[str, Any], sums_age: int) -> None:
-        """Add what one entry wrote."""
+        """Add the row that one entry logged for this account."""
         self.asked += row.get("asked", 0)
         self.placed += row.get("placed", 0)
         self.refused.update(row.get("refused", {}))
@@ -64,7 +64,7 @@
     """Return the accounts by second, those refused most often first.
 
     Args:
-        lines: Lines of one or more entries; other lines are passed over.
+        lines: Log lines of one or more entries; unrelated lines are skipped.
     """
     seconds: dict[tuple[int, str], AccountSecond] = {}
     for fields in _read_messages(lines):
@@ -84,8 +84,8 @@
     """Return a table as text.
 
     Args:
-        rows: Its rows, in order.
-        max_rows: Rows shown for each second; the number of the others is told.
+        rows: Rows of the table, in order.
+        max_rows: Maximum rows for each second; the number of omitted rows is shown.
     """
     shown: Counter[int] = Counter()
     left_out: defaultdict[int, int] = defaultdict(int)
--- a/tests/explain/test_accounts.py
+++ b/tests/explain/test_accounts.py
@@ -1,4 +1,4 @@
-"""Tables of client accounts from the lines of several entries."""
+"""Tables of client accounts from log lines of several entries."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def make_line(at: int, *rows: dict[str, object], age: int = 40) -> str:
-    """Return a line as an entry writes it."""
+    """Return a log line of an entry."""
     fields = {"time": at, "message": "accounts refused", "sums_age_ms": age}
     return json.dumps(fields | {"accounts": list(rows)})
 
 
 def make_row(account: str, **fields: object) -> dict[str, object]:
-    """Return an account of a line."""
+    """Return one account's row of a log line."""
     defaults: dict[str, object] = {"asked": 100, "placed": 20, "served_of_late": 80}
     return {"account": account, "standing": "within", "refused": {}} | defaults | fields
 
