--- a/src/leadseam/explain/plot.py
+++ b/src/leadseam/explain/plot.py
@@ -1,6 +1,6 @@
-"""A picture of how requests ended: by second, and by client account.
+"""Plot of how requests ended, by second and by client account.
 
-Needs matplotlib, which is the package's extra `plots`.
+Needs matplotlib, which comes with the package's extra `plots`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from leadseam.explain.records import EndedRequest
 
 MAX_ACCOUNTS = 12
-"""Accounts shown: those that lost most."""
+"""Maximum number of accounts shown: those that lost the most requests."""
 WIDTH_INCHES = 10
 HEIGHT_INCHES = 7
 COLOURS = {
@@ -34,16 +34,16 @@
 
 
 class PlotError(LeadseamError):
-    """A picture cannot be drawn."""
+    """The plot cannot be drawn or written."""
 
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """Counts of ended requests by some key, in order.
+    """Counts of ended requests for an ordered list of keys.
 
     Args:
-        keys: The keys: seconds from the first request, or labels of accounts.
-        counts: For each way to end, the number for each key.
+        keys: Seconds since the first request, or names of accounts.
+        counts: Number of requests for each key, by ending.
     """
 
     keys: tuple[str, ...]
@@ -51,7 +51,7 @@
 
 
 def by_second(requests: Sequence[EndedRequest]) -> Series:
-    """Return counts for each second from the first to the last, none left out."""
+    """Return counts for each second from the first to the last, without gaps."""
     if not requests:
         return _make_series((), Counter())
     seconds = [request.logged_at // MILLIS_PER_SECOND for request in requests]
@@ -65,7 +65,7 @@
 
 
 def by_account(requests: Iterable[EndedRequest]) -> Series:
-    """Return counts for the accounts that lost most, the worst first."""
+    """Return counts for the accounts that lost the most requests, in this order."""
     ended = Counter((request.account or "none", request.ending) for request in requests)
     lost = Counter[str]()
     for (account, ending), count in ended.items():
@@ -75,7 +75,7 @@
 
 
 def draw(requests: Sequence[EndedRequest], path: Path) -> None:
-    """Draw requests into a file; its suffix says whether as PNG or as SVG.
+    """Plot requests into a file, as PNG or SVG depending on its suffix.
 
     Raises:
         PlotError: If matplotlib is missing or cannot write such a file.
@@ -85,7 +85,7 @@
         from matplotlib.figure import Figure
     except ImportError as exc:
         raise PlotError("needs matplotlib: install leadseam[plots]") from exc
-    # Text stays text, so that a picture can be searched.
+    # SVG text is written as text instead of paths, so that a plot can be searched.
     with matplotlib.rc_context({"svg.fonttype": "none"}):
         figure = Figure(figsize=(WIDTH_INCHES, HEIGHT_INCHES), layout="constrained")
         upper_axes, lower_axes = figure.subplots(2)
--- a/tests/explain/test_plot.py
+++ b/tests/explain/test_plot.py
@@ -1,4 +1,4 @@
-"""Pictures of how requests ended."""
+"""Plots of how requests ended."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def line(at: int, account: str, outcome: str = "answered", **fields: object) -> str:
-    """Return an entry's line on an ended request."""
+    """Return an entry's log line of an ended request."""
     ended = {"message": "request ended", "time": at, "account": account}
     return json.dumps(ended | {"outcome": outcome, "status": 200} | fields)
 
