--- a/src/leadseam/explain/records.py
+++ b/src/leadseam/explain/records.py
@@ -1,4 +1,4 @@
-"""Lines on ended requests, read back into values. No I/O."""
+"""Parser for log lines of ended requests. No I/O."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from leadseam.clock import Millis
 
 MIN_ERROR_STATUS = 400
-"""Lowest HTTP status that is no success for the caller."""
+"""Lowest HTTP status that counts as an error for the caller."""
 ENDED_MESSAGE = "request ended"
 REFUSED_MESSAGE = "request refused"
 
 
 class Ending(StrEnum):
-    """How a request ended, as its caller sees it."""
+    """Outcome of a request as seen by its caller."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -29,21 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRequest:
-    """One request, from its last line.
+    """One ended request, from its last log line.
 
     Args:
-        request_id: The caller's identifier.
-        logged_at: Time of the line, milliseconds of the wall clock.
-        node: Entry that served it.
-        ending: How it ended.
-        reason: Why, where it was not answered with success; else an empty text.
-        route: Its route, or an empty text if it was refused before it had one.
-        account: Client account, or an empty text.
-        instance: Upstream that was sent to last, or an empty text.
-        standing: What its account could claim when it was refused, or an empty text.
-        prompt: Prompt tokens of its own.
-        reread: Tokens of shared parts that it was expected to read once more.
-        duration: Time from its arrival to its end.
+        request_id: Identifier of the request, given by the caller.
+        logged_at: Time of the log line, in milliseconds of the wall clock.
+        node: Entry that served the request.
+        ending: Outcome as seen by the caller.
+        reason: Reason if it was not answered successfully, or an empty string.
+        route: Route, or an empty string if it was refused before it had one.
+        account: Client account, or an empty string.
+        instance: Upstream that it was last sent to, or an empty string.
+        standing: Standing of its account, that is what the account could claim, when
+            the request was refused, or an empty string.
+        prompt: Prompt tokens of its own, without shared prompt parts.
+        reread: Tokens of shared prompt parts that were expected to be read again.
+        duration: Milliseconds from arrival to end.
     """
 
     request_id: str
@@ -61,11 +62,11 @@
 
 
 def read_records(lines: Iterable[str]) -> Iterator[EndedRequest]:
-    """Return the ended requests among log lines; other lines are passed over.
+    """Yield the ended requests among log lines; unrelated lines are skipped.
 
     Args:
-        lines: Lines of one or more processes. What stands before the JSON object, as a
-            collector may put there, is ignored.
+        lines: Log lines of one or more processes. A prefix before the JSON object, as
+            log collectors may add it, is ignored.
     """
     for line in lines:
         start = line.find("{")
