--- a/src/leadseam/explain/tables.py
+++ b/src/leadseam/explain/tables.py
@@ -1,4 +1,4 @@
-"""Counts of ended requests by what they have in common. No I/O."""
+"""Tables of ended requests, grouped by a key. No I/O."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from leadseam.explain.records import EndedRequest
 
 SIZE_CLASS_RATIO = 4
-"""Each class of prompt lengths is this many times the one before."""
+"""Ratio between the upper limits of successive size classes of prompts."""
 SMALLEST_CLASS_LIMIT = 1_000
-"""Tokens of a prompt below which it is in the first class."""
+"""Upper limit of the first size class of prompts, in tokens."""
 MILLIS_PER_SECOND = 1_000
 
 
 class GroupKey(StrEnum):
-    """What requests are grouped by."""
+    """Key by which requests are grouped."""
 
     ROUTE = "route"
     ACCOUNT = "account"
@@ -39,9 +39,9 @@
     """How the requests of one group ended.
 
     Args:
-        name: What they have in common.
-        counts: Their number by ending.
-        reread: Tokens of shared parts that they were expected to read once more.
+        name: Value of the key that the requests share.
+        counts: Number of requests by ending.
+        reread: Tokens of shared prompt parts that were expected to be read again.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 def group_requests(requests: Iterable[EndedRequest], key: GroupKey) -> list[Row]:
-    """Group requests; the group that lost most comes first, seconds in their order."""
+    """Group requests, those that lost most first; seconds stay in their order."""
     groups: dict[str, list[EndedRequest]] = defaultdict(list)
     for request in requests:
         groups[_group_name(request, key)].append(request)
@@ -74,9 +74,9 @@
     """Return a table as text.
 
     Args:
-        rows: Its rows.
-        key: What they are grouped by.
-        max_rows: Rows shown; the number of the others is told.
+        rows: Rows of the table.
+        key: Key by which the requests are grouped.
+        max_rows: Maximum rows; the number of omitted rows is shown.
     """
     headings = [key.value, "all", *(ending.value for ending in Ending), "reread"]
     texts = [headings, *(_row_texts(row) for row in rows[:max_rows])]
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -1,4 +1,4 @@
-"""Log lines of entries, counted."""
+"""Tables of ended requests from log lines of entries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def line(request_id: str, **fields: Any) -> str:
-    """Return a line on an ended request, answered in time unless said otherwise."""
+    """Return a log line of an ended request, by default answered in time."""
     defaults = {
         "time": 5_400,
         "node": "entry-1",
