--- a/src/leadseam/local/__init__.py
+++ b/src/leadseam/local/__init__.py
@@ -1,1 +1,1 @@
-"""All roles and the stand-ins in one process and one loop."""
+"""All roles and the stand-ins in one process and one event loop."""
