--- a/src/leadseam/local/fleet.py
+++ b/src/leadseam/local/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in this process: what `make demo` runs."""
+"""A small fleet within one process, as run by `make demo`."""
 
 from __future__ import annotations
 
@@ -82,12 +82,12 @@
 
 
 class LocalFleet:
-    """Every role on loopback, in one loop.
+    """All roles on the loopback interface, in one event loop.
 
     Args:
-        folder: Where the replicas keep their data.
-        port: Port of the first entry, or 0.
-        seconds: Stop after so many seconds, or 0.
+        folder: Directory for the replicas' data.
+        port: Port of the first entry, or 0 for a free one.
+        seconds: Seconds after which the fleet stops, or 0 for no limit.
     """
 
     def __init__(self, folder: Path, *, port: int, seconds: int) -> None:
@@ -119,7 +119,7 @@
             await asyncio.gather(*self._tasks)
 
     async def drain(self) -> None:
-        """Nothing of a demo is worth waiting for."""
+        """Do nothing: a demo has no requests worth waiting for."""
 
     async def stop(self) -> None:
         """Stop all programs."""
@@ -154,7 +154,7 @@
             control=control,
         )
 
-    # Parts
+    # Construction of the programs
 
     def _add_control(self, folder: Path) -> tuple[Endpoint, ...]:
         names = [f"control-{number}" for number in range(1, REPLICAS + 1)]
