--- a/src/leadseam/explain/accounts.py
+++ b/src/leadseam/explain/accounts.py
@@ -33,7 +33,7 @@
     Args:
         second: Second of the wall clock.
         account: Name of the account.
-        asked: Requested service in tokens; a request that arrived twice counts twice.
+        requested: Requested service in tokens; repeated requests count each time.
         placed: Service of the requests that were sent to an upstream.
         refused: Number of requests that did not run, by reason.
         served: Highest recent service of the account that an entry had recorded.
@@ -43,7 +43,7 @@
 
     second: int
     account: str
-    asked: int = 0
+    requested: int = 0
     placed: int = 0
     refused: Counter[str] = field(default_factory=Counter)
     served: int = 0
@@ -52,7 +52,7 @@
 
     def add(self, row: dict[str, Any], sums_age: int) -> None:
         """Add the row that one entry logged for this account."""
-        self.asked += row.get("asked", 0)
+        self.requested += row.get("asked", 0)
         self.placed += row.get("placed", 0)
         self.refused.update(row.get("refused", {}))
         self.served = max(self.served, row.get("served_of_late", 0))
@@ -118,7 +118,7 @@
     return [
         str(row.second),
         row.account,
-        str(row.asked),
+        str(row.requested),
         str(row.placed),
         str(row.refused.total()),
         str(row.served),
--- a/tests/explain/test_accounts.py
+++ b/tests/explain/test_accounts.py
@@ -28,7 +28,7 @@
         "not JSON: accounts refused {",
     ]
     first, second = read_accounts(lines)
-    assert (first.second, first.asked, first.placed) == (1, 200, 40)
+    assert (first.second, first.requested, first.placed) == (1, 200, 40)
     assert (first.refused, first.served) == ({"upstream_full": 2}, 90)
     assert first.standings == {"within": 1, "ahead": 1}
     assert (second.second, second.sums_age) == (2, 700)
