--- a/src/leadseam/local/fleet.py
+++ b/src/leadseam/local/fleet.py
@@ -109,7 +109,7 @@
             await program.start()
             self._tasks.append(asyncio.create_task(program.run()))
         await self._apply()
-        print(self._describe(), flush=True)
+        print(self._format_banner(), flush=True)
 
     async def run(self) -> None:
         """Serve until cancelled, or for the given time."""
@@ -139,7 +139,7 @@
         )
         await OperatorClient(self._operators, self._token).apply(request)
 
-    def _describe(self) -> str:
+    def _format_banner(self) -> str:
         control = ",".join(
             f"{endpoint.ip}:{endpoint.port}" for endpoint in self._operators
         )
--- a/src/leadseam/runtime/logs.py
+++ b/src/leadseam/runtime/logs.py
@@ -94,7 +94,7 @@
         self.suppressed = 0
         self._clock = clock
         self._rate = rate
-        self._left = rate
+        self._remaining = rate
         self._second: Millis = -1
 
     def take(self) -> bool:
@@ -102,11 +102,11 @@
         second = self._clock.now() // 1_000
         if second != self._second:
             self._second = second
-            self._left = self._rate
-        if self._left <= 0:
+            self._remaining = self._rate
+        if self._remaining <= 0:
             self.suppressed += 1
             return False
-        self._left -= 1
+        self._remaining -= 1
         return True
 
 
--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -19,9 +19,9 @@
 
     Call = Callable[[int], Awaitable[object]]
 
-GIVE_UPS = 40
+CANCELLED_CALLS = 40
 """Calls that are cancelled, half of them one iteration of the loop apart each."""
-OTHERS = 8
+NEW_SOCKETS = 8
 """Sockets that reuse the descriptor numbers which were just released."""
 
 
@@ -36,22 +36,22 @@
     handed_over: list[tuple[socket.socket, int]] = []
     start_connection = aiohappyeyeballs.start_connection
 
-    async def give_up_once_connected(**kwargs: Any) -> socket.socket:
+    async def cancel_once_connected(**kwargs: Any) -> socket.socket:
         # If the library connects a socket itself, the call is cancelled right then.
         sock = await start_connection(**kwargs)
         handed_over.append((sock, os.fstat(sock.fileno()).st_ino))
         asyncio.get_running_loop().call_soon(calls[-1].cancel)
         return sock
 
-    monkeypatch.setattr(aiohappyeyeballs, "start_connection", give_up_once_connected)
-    server = await asyncio.start_server(_say_nothing, LOOPBACK, 0)
+    monkeypatch.setattr(aiohappyeyeballs, "start_connection", cancel_once_connected)
+    server = await asyncio.start_server(_never_answer, LOOPBACK, 0)
     port = server.sockets[0].getsockname()[1]
     try:
-        for turns in range(GIVE_UPS):
+        for iterations in range(CANCELLED_CALLS):
             calls.append(asyncio.ensure_future(call(port)))
-            for _ in range(turns % (GIVE_UPS // 2)):
+            for _ in range(iterations % (CANCELLED_CALLS // 2)):
                 await asyncio.sleep(0)
-            if turns >= GIVE_UPS // 2:
+            if iterations >= CANCELLED_CALLS // 2:
                 calls[-1].cancel()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.05):
@@ -59,25 +59,25 @@
             calls[-1].cancel()
             await asyncio.wait(calls)
             calls.clear()
-            others = [socket.socket() for _ in range(OTHERS)]
+            new_sockets = [socket.socket() for _ in range(NEW_SOCKETS)]
             await asyncio.sleep(0.001)
-            for other in others:
-                os.fstat(other.fileno())
-                other.close()
-        gone = [_is_gone(sock, inode) for sock, inode in handed_over]
-        assert not any(gone)
+            for new_socket in new_sockets:
+                os.fstat(new_socket.fileno())
+                new_socket.close()
+        reused = [_was_closed(sock, inode) for sock, inode in handed_over]
+        assert not any(reused)
     finally:
         server.close()
 
 
-async def _say_nothing(
+async def _never_answer(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     with contextlib.suppress(ConnectionError):
         await reader.read()
 
 
-def _is_gone(sock: socket.socket, inode: int) -> bool:
+def _was_closed(sock: socket.socket, inode: int) -> bool:
     """Return whether a socket's descriptor was closed behind its back.
 
     The socket would close the number again, which may belong to another socket by then.
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -31,7 +31,7 @@
 
 ROOT = Path(__file__).parents[2]
 FOLDERS = ("src", "tests", "tools")
-SESSION = re.compile(r"(?:TCPConnector|ClientSession)\((?:[^()]|\([^()]*\))*\)")
+CONNECTOR_CALL = re.compile(r"(?:TCPConnector|ClientSession)\((?:[^()]|\([^()]*\))*\)")
 """Matches calls that create a connector, or a session with or without one."""
 
 
@@ -114,7 +114,7 @@
         f"{path.relative_to(ROOT)}: {call}"
         for folder in FOLDERS
         for path in sorted((ROOT / folder).rglob("*.py"))
-        for call in SESSION.findall(path.read_text())
+        for call in CONNECTOR_CALL.findall(path.read_text())
         if "connector=" not in call
     ]
     assert found == []
@@ -124,4 +124,4 @@
 @pytest.mark.parametrize("name", ["ClientSession", "TCPConnector"])
 def test_the_library_s_connector_is_found(name: str, args: str) -> None:
     made = f"{name}({args})"
-    assert SESSION.findall(f"async with aiohttp.{made} as http:") == [made]
+    assert CONNECTOR_CALL.findall(f"async with aiohttp.{made} as http:") == [made]
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -22,7 +22,7 @@
     full: asyncio.Event = field(default_factory=asyncio.Event)
     up: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def make(self, after_failure: bool) -> OnDisk:
+    def make(self, after_failure: bool) -> DiskProgram:
         """Create a program on this disk, or fail as configured."""
         self.calls.append("renewed" if after_failure else "made")
         if self.failing_starts:
@@ -30,10 +30,10 @@
             raise StorageError("no space")
         if self.damaged:
             raise StorageDamagedError("broken record")
-        return OnDisk(self)
+        return DiskProgram(self)
 
 
-class OnDisk:
+class DiskProgram:
     """A program that fails once its disk is full."""
 
     def __init__(self, disk: Disk) -> None:
