--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -78,7 +78,7 @@
 
 
 def _was_closed(sock: socket.socket, inode: int) -> bool:
-    """Return whether a socket's descriptor was closed behind its back.
+    """Return whether a descriptor was closed although its socket is still open.
 
     The socket would close the number again, which may belong to another socket by then.
     """
