--- a/src/leadseam/runtime/metrics.py
+++ b/src/leadseam/runtime/metrics.py
@@ -17,7 +17,7 @@
 
     Args:
         registry: Registry of the metrics; there is one for each process role.
-        traffic: Bytes sent and received on inner links, rendered with the metrics.
+        traffic: Bytes sent and received on internal links, rendered with the metrics.
     """
 
     registry: Registry = field(default_factory=Registry)
