--- a/src/leadseam/cli/_client.py
+++ b/src/leadseam/cli/_client.py
@@ -66,7 +66,7 @@
         )
 
     async def history(self, limit: int) -> pb.HistoryReply:
-        """Return the accepted changes, at most `limit`."""
+        """Return the newest accepted changes, at most `limit`."""
         request = pb.HistoryRequest(limit=limit)
         return await self._call_any(
             lambda stub: stub.History(request, metadata=self._metadata)
