--- a/src/leadseam/explain/accounts.py
+++ b/src/leadseam/explain/accounts.py
@@ -1,4 +1,7 @@
-"""Service requested and received by client accounts, by second. No I/O."""
+"""Service requested and received by client accounts, by second, over all entries.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
