--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -59,9 +59,9 @@
             calls[-1].cancel()
             await asyncio.wait(calls)
             calls.clear()
-            new_sockets = [socket.socket() for _ in range(NEW_SOCKETS)]
+            others = [socket.socket() for _ in range(NEW_SOCKETS)]
             await asyncio.sleep(0.001)
-            for new_socket in new_sockets:
+            for new_socket in others:
                 os.fstat(new_socket.fileno())
                 new_socket.close()
         reused = [_was_closed(sock, inode) for sock, inode in handed_over]
