--- a/src/leadseam/cli/emulate.py
+++ b/src/leadseam/cli/emulate.py
@@ -1,16 +1,16 @@
-"""Play a fleet's decisions against a model of engines, in virtual time.
+"""Simulate a fleet's decisions against a model of engines, in virtual time.
 
 Usage:
   leadseam-emulate [--check] [--crashes] EXPERIMENT
   leadseam-emulate (-h | --help)
 
-EXPERIMENT is a YAML file: a fleet, seeds, and variants of the fleet. Each variant is
-played with each seed by the entries' own code, and a table compares them; a difference
-within its interval says nothing. See examples/emulate.yaml.
+EXPERIMENT is a YAML file with a fleet, seeds, and variants of the fleet. Each variant
+is run with each seed by the entries' own code, and a table compares them; a difference
+within its interval is not significant. See examples/emulate.yaml.
 
 Options:
   --check    Only check the file: exit code 0 or 2.
-  --crashes  The file is of requests that crash upstreams; see examples/crashes.yaml.
+  --crashes  Simulate requests that crash upstreams; see examples/crashes.yaml.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     path = Path(args["EXPERIMENT"])
     try:
         if args["--crashes"]:
-            _play_crashes(path, check=args["--check"])
+            _run_crashes(path, check=args["--check"])
             return
         experiment = load_settings(path, Experiment)
         if not args["--check"]:
@@ -46,7 +46,7 @@
         sys.exit(EXIT_USAGE)
 
 
-def _play_crashes(path: Path, *, check: bool) -> None:
+def _run_crashes(path: Path, *, check: bool) -> None:
     experiment = load_settings(path, CrashExperiment)
     fleets = expand_variants(experiment.crashes, experiment.variants, str(path))
     if check:
--- a/src/leadseam/cli/explain.py
+++ b/src/leadseam/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell from a fleet's log lines how requests ended, and where they were lost.
+"""Summarise from a fleet's log lines how requests ended, and where they were lost.
 
 Usage:
   leadseam-explain [--by KEYS] [--rows N] [--request ID] [LOG ...]
@@ -6,18 +6,19 @@
   leadseam-explain --plot FILE [LOG ...]
   leadseam-explain (-h | --help)
 
-Reads the named files, or standard input. Lines that tell of no ended request are passed
-over; entries write a bounded number of lines a second, so the counts of a busy entry
-are a sample and its metrics have them all.
+Reads the given files, or standard input. Lines that are not about an ended request are
+skipped. Entries write a limited number of lines per second, so the counts of a busy
+entry are a sample; its metrics are complete.
 
 Options:
-  --by KEYS      What to group by, with commas: route, account, node, upstream, reason,
-                 standing, size, second. [default: route,reason,account]
-  --accounts     What client accounts asked for and got, second by second, at the
-                 entries that refused somebody.
-  --plot FILE    Draw how requests ended, by second and by client account, as PNG or SVG
-                 by the file's suffix. Needs the extra `plots`.
-  --rows N       Rows of each table; with --accounts, of each second. [default: 20]
+  --by KEYS      Keys to group by, separated by commas: route, account, node, upstream,
+                 reason, standing, size, second. [default: route,reason,account]
+  --accounts     Show service requested and received by client accounts, by second, at
+                 the entries that refused requests.
+  --plot FILE    Plot how requests ended, by second and by client account, as PNG or SVG
+                 depending on the file's suffix. Needs the extra `plots`.
+  --rows N       Maximum rows of each table; with --accounts, of each second.
+                 [default: 20]
   --request ID   Only requests with this identifier.
 """
 
@@ -32,7 +33,7 @@
 from leadseam.explain.accounts import read_accounts, render_accounts
 from leadseam.explain.plot import PlotError, draw
 from leadseam.explain.records import read_records
-from leadseam.explain.tables import Key, render, tally
+from leadseam.explain.tables import GroupKey, group_requests, render
 from leadseam.runtime.process import EXIT_FAILED, EXIT_USAGE
 
 if TYPE_CHECKING:
@@ -45,25 +46,27 @@
     """Entry point of `leadseam-explain`."""
     args = docopt(__doc__)
     try:
-        keys = [Key(name) for name in args["--by"].split(",")]
-        most = int(args["--rows"])
+        keys = [GroupKey(name) for name in args["--by"].split(",")]
+        max_rows = int(args["--rows"])
     except ValueError as exc:
         print(f"leadseam-explain: {exc}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
     if args["--accounts"]:
-        print(render_accounts(read_accounts(_lines(args["LOG"])), most=most))
+        print(
+            render_accounts(read_accounts(_read_lines(args["LOG"])), max_rows=max_rows)
+        )
         return
-    requests = list(read_records(_lines(args["LOG"])))
+    requests = list(read_records(_read_lines(args["LOG"])))
     if args["--plot"]:
-        _plot(requests, Path(args["--plot"]))
+        _draw_plot(requests, Path(args["--plot"]))
         return
     if args["--request"]:
         requests = [one for one in requests if one.request_id == args["--request"]]
     for key in keys:
-        print(render(tally(requests, key), key, most=most), end="\n\n")
+        print(render(group_requests(requests, key), key, max_rows=max_rows), end="\n\n")
 
 
-def _plot(requests: list[EndedRequest], path: Path) -> None:
+def _draw_plot(requests: list[EndedRequest], path: Path) -> None:
     try:
         draw(requests, path)
     except PlotError as exc:
@@ -71,7 +74,7 @@
         sys.exit(EXIT_FAILED)
 
 
-def _lines(paths: list[str]) -> Iterator[str]:
+def _read_lines(paths: list[str]) -> Iterator[str]:
     if not paths:
         yield from sys.stdin
     for path in paths:
--- a/src/leadseam/explain/accounts.py
+++ b/src/leadseam/explain/accounts.py
@@ -1,4 +1,7 @@
-"""What client accounts asked for and got, by second, over all entries. No I/O."""
+"""Service requested and received by client accounts, by second, over all entries.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +10,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from leadseam.explain.tables import MILLIS_PER_SECOND, render_cells
+from leadseam.explain.tables import MILLIS_PER_SECOND, render_columns
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
 
-MESSAGE = "accounts refused"
-HEAD = (
+LOG_MESSAGE = "accounts refused"
+HEADINGS = (
     "second",
     "account",
     "asked",
@@ -28,22 +31,22 @@
 
 @dataclass(slots=True)
 class AccountSecond:
-    """One account in one second, at all entries that refused somebody in it.
+    """One account in one second, over all entries that refused requests in it.
 
     Args:
         second: Second of the wall clock.
-        account: Its name.
-        asked: Service asked for, in tokens; a request that came twice counts twice.
+        account: Name of the account.
+        requested: Requested service in tokens; repeated requests count each time.
         placed: Service of the requests that were sent to an upstream.
-        refused: Requests that did not run, by reason.
-        served: Most service of late that an entry knew of.
-        standings: Entries by the standing that they gave it.
-        sums_age: Age of the oldest sums that an entry went by, in milliseconds.
+        refused: Number of requests that did not run, by reason.
+        served: Highest recent service of the account that an entry had recorded.
+        standings: Number of entries by the standing that they assigned to the account.
+        sums_age: Age of the oldest sums that an entry used, in milliseconds.
     """
 
     second: int
     account: str
-    asked: int = 0
+    requested: int = 0
     placed: int = 0
     refused: Counter[str] = field(default_factory=Counter)
     served: int = 0
@@ -51,8 +54,8 @@
     sums_age: int = 0
 
     def add(self, row: dict[str, Any], sums_age: int) -> None:
-        """Add what one entry wrote."""
-        self.asked += row.get("asked", 0)
+        """Add the row that one entry logged for this account."""
+        self.requested += row.get("asked", 0)
         self.placed += row.get("placed", 0)
         self.refused.update(row.get("refused", {}))
         self.served = max(self.served, row.get("served_of_late", 0))
@@ -64,61 +67,61 @@
     """Return the accounts by second, those refused most often first.
 
     Args:
-        lines: Lines of one or more entries; other lines are passed over.
+        lines: Log lines of one or more entries; unrelated lines are skipped.
     """
     seconds: dict[tuple[int, str], AccountSecond] = {}
-    for fields in _read(lines):
+    for fields in _read_messages(lines):
         second = fields.get("time", 0) // MILLIS_PER_SECOND
         for row in fields.get("accounts", ()):
             account = row.get("account", "")
             key = (second, account)
-            one = seconds.setdefault(key, AccountSecond(second, account))
-            one.add(row, fields.get("sums_age_ms", 0))
+            summary = seconds.setdefault(key, AccountSecond(second, account))
+            summary.add(row, fields.get("sums_age_ms", 0))
     return sorted(
         seconds.values(),
-        key=lambda one: (one.second, -one.refused.total(), one.account),
+        key=lambda summary: (summary.second, -summary.refused.total(), summary.account),
     )
 
 
-def render_accounts(rows: Sequence[AccountSecond], *, most: int) -> str:
+def render_accounts(rows: Sequence[AccountSecond], *, max_rows: int) -> str:
     """Return a table as text.
 
     Args:
-        rows: Its rows, in order.
-        most: Rows shown for each second; the number of the others is told.
+        rows: Rows of the table, in order.
+        max_rows: Maximum rows for each second; the number of omitted rows is shown.
     """
     shown: Counter[int] = Counter()
     left_out: defaultdict[int, int] = defaultdict(int)
-    cells = [list(HEAD)]
+    texts = [list(HEADINGS)]
     for row in rows:
-        if shown[row.second] >= most:
+        if shown[row.second] >= max_rows:
             left_out[row.second] += 1
             continue
         shown[row.second] += 1
-        cells.append(_cells(row))
-    lines = render_cells(cells)
+        texts.append(_row_texts(row))
+    lines = render_columns(texts)
     lines += [f"and {count} more in {second}" for second, count in left_out.items()]
     return "\n".join(lines)
 
 
-def _read(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
+def _read_messages(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
     for line in lines:
         start = line.find("{")
-        if start < 0 or MESSAGE not in line:
+        if start < 0 or LOG_MESSAGE not in line:
             continue
         try:
             fields = json.loads(line[start:])
         except ValueError:
             continue
-        if isinstance(fields, dict) and fields.get("message") == MESSAGE:
+        if isinstance(fields, dict) and fields.get("message") == LOG_MESSAGE:
             yield fields
 
 
-def _cells(row: AccountSecond) -> list[str]:
+def _row_texts(row: AccountSecond) -> list[str]:
     return [
         str(row.second),
         row.account,
-        str(row.asked),
+        str(row.requested),
         str(row.placed),
         str(row.refused.total()),
         str(row.served),
--- a/src/leadseam/local/fleet.py
+++ b/src/leadseam/local/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in this process: what `make demo` runs."""
+"""A small fleet within one process, as run by `make demo`."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
 ENGINES = 2
 SERVICES = 1
 READY_POLL: Millis = 50
-KEY = "demo-key"
+API_KEY = "demo-key"
 
-_TEXT = """
+_BANNER = """
 leadseam runs: {replicas} control replicas, {entries} entries, {engines} engines and
 {services} service, all stand-ins of one process. Copy a line to another terminal.
 
@@ -82,19 +82,19 @@
 
 
 class LocalFleet:
-    """Every role on loopback, in one loop.
+    """All roles on the loopback interface, in one event loop.
 
     Args:
-        folder: Where the replicas keep their data.
-        port: Port of the first entry, or 0.
-        seconds: Stop after so many seconds, or 0.
+        folder: Directory for the replicas' data.
+        port: Port of the first entry, or 0 for a free one.
+        seconds: Seconds after which the fleet stops, or 0 for no limit.
     """
 
     def __init__(self, folder: Path, *, port: int, seconds: int) -> None:
         self.entry_port = port or _free_port()
         self._seconds = seconds
         self._token = secrets.token_hex(8)
-        self._rows: list[ConfigRecord] = []
+        self._records: list[ConfigRecord] = []
         self._programs: list[Program] = []
         self._replicas: list[ControlProgram] = []
         self._operators: list[Endpoint] = []
@@ -109,7 +109,7 @@
             await program.start()
             self._tasks.append(asyncio.create_task(program.run()))
         await self._apply()
-        print(self._describe(), flush=True)
+        print(self._format_banner(), flush=True)
 
     async def run(self) -> None:
         """Serve until cancelled, or for the given time."""
@@ -119,7 +119,7 @@
             await asyncio.gather(*self._tasks)
 
     async def drain(self) -> None:
-        """Nothing of a demo is worth waiting for."""
+        """Do nothing: a demo has no requests worth waiting for."""
 
     async def stop(self) -> None:
         """Stop all programs."""
@@ -135,24 +135,26 @@
         request = pb.ApplyRequest(
             change_id="demo",
             expect_version=0,
-            operations=[operation_to_message(Put(row)) for row in self._rows],
+            operations=[operation_to_message(Put(record)) for record in self._records],
         )
         await OperatorClient(self._operators, self._token).apply(request)
 
-    def _describe(self) -> str:
-        control = ",".join(f"{end.ip}:{end.port}" for end in self._operators)
-        return _TEXT.format(
+    def _format_banner(self) -> str:
+        control = ",".join(
+            f"{endpoint.ip}:{endpoint.port}" for endpoint in self._operators
+        )
+        return _BANNER.format(
             replicas=REPLICAS,
             entries=ENTRIES,
             engines=ENGINES,
             services=SERVICES,
             port=self.entry_port,
-            key=KEY,
+            key=API_KEY,
             token=self._token,
             control=control,
         )
 
-    # Parts
+    # Construction of the programs
 
     def _add_control(self, folder: Path) -> tuple[Endpoint, ...]:
         names = [f"control-{number}" for number in range(1, REPLICAS + 1)]
@@ -180,12 +182,12 @@
         services = Pool("slips", PoolKind.SERVICE)
         account = Account(
             "demo",
-            key_hashes=(_digest(KEY),),
+            key_hashes=(_digest(API_KEY),),
             models=(ModelGrant("rates"),),
             services=("slips",),
         )
         rule = NeverRepeat("slips-once", pool="slips")
-        self._rows += [engines, services, account, rule]
+        self._records += [engines, services, account, rule]
         for number in range(1, ENGINES + 1):
             self._add_upstream(f"engine-{number}", engines, control)
         for number in range(1, SERVICES + 1):
@@ -206,10 +208,10 @@
             control=control,
         )
         self._programs += [StandinProgram(standin), SidecarProgram(settings)]
-        row = Upstream(
+        record = Upstream(
             name, pool.name, server.ip, server.port, sidecar.ip, sidecar.port
         )
-        self._rows.append(row)
+        self._records.append(record)
 
     def _add_entries(self, control: tuple[Endpoint, ...]) -> None:
         for number in range(1, ENTRIES + 1):
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -10,7 +10,7 @@
 from leadseam.routing.attempt import FIRST_SERVER_ERROR, Broken, Streaming, Whole
 from leadseam.routing.balance import own_tokens
 from leadseam.routing.reply import NOT_SENT
-from leadseam.runtime.logs import LineBudget, lines_not_written
+from leadseam.runtime.logs import LogLineLimiter, count_dropped_lines
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,11 +57,11 @@
         self._account_log = account_log
         self._clock = clock
         self._metrics = metrics
-        self._lines = LineBudget(clock)
+        self._lines = LogLineLimiter(clock)
 
     def update_dropped_lines(self) -> None:
         """Update the metric of lines that were suppressed or could not be written."""
-        dropped = self._lines.suppressed + lines_not_written()
+        dropped = self._lines.suppressed + count_dropped_lines()
         self._metrics.logs_dropped.set({}, dropped)
 
     def refusal(
@@ -129,7 +129,7 @@
         self, upstream: Registration, admitted: AdmittedRequest, head: AnswerHead
     ) -> None:
         """Count and log that an upstream refuses a request and requests a pause."""
-        self._metrics.pauses_asked.inc("read" if head.pause else "not_read")
+        self._metrics.pauses_requested.inc("read" if head.pause else "not_read")
         if self._lines.take():
             extra = {
                 **self._context(admitted),
--- a/tests/explain/test_accounts.py
+++ b/tests/explain/test_accounts.py
@@ -1,4 +1,4 @@
-"""Tables of client accounts from the lines of several entries."""
+"""Tables of client accounts from log lines of several entries."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def make_line(at: int, *rows: dict[str, object], age: int = 40) -> str:
-    """Return a line as an entry writes it."""
+    """Return a log line of an entry."""
     fields = {"time": at, "message": "accounts refused", "sums_age_ms": age}
     return json.dumps(fields | {"accounts": list(rows)})
 
 
 def make_row(account: str, **fields: object) -> dict[str, object]:
-    """Return an account of a line."""
-    usual: dict[str, object] = {"asked": 100, "placed": 20, "served_of_late": 80}
-    return {"account": account, "standing": "within", "refused": {}} | usual | fields
+    """Return one account's row of a log line."""
+    defaults: dict[str, object] = {"asked": 100, "placed": 20, "served_of_late": 80}
+    return {"account": account, "standing": "within", "refused": {}} | defaults | fields
 
 
-def test_what_entries_tell_of_a_second_is_added_up() -> None:
+def test_rows_of_several_entries_are_summed_by_second() -> None:
     lines = [
         make_line(1_200, make_row("menus", refused={"upstream_full": 2})),
         make_line(1_900, make_row("menus", standing="ahead", served_of_late=90)),
@@ -28,7 +28,7 @@
         "not JSON: accounts refused {",
     ]
     first, second = read_accounts(lines)
-    assert (first.second, first.asked, first.placed) == (1, 200, 40)
+    assert (first.second, first.requested, first.placed) == (1, 200, 40)
     assert (first.refused, first.served) == ({"upstream_full": 2}, 90)
     assert first.standings == {"within": 1, "ahead": 1}
     assert (second.second, second.sums_age) == (2, 700)
@@ -44,7 +44,7 @@
             )
         ]
     )
-    head, row, more = render_accounts(rows, most=1).splitlines()
+    head, row, more = render_accounts(rows, max_rows=1).splitlines()
     assert head.split()[:3] == ["second", "account", "asked"]
     assert row.split()[:5] == ["1", "many", "100", "20", "7"]
     assert row.endswith("upstream_full:5 entry_busy:2")
--- a/tests/routing/test_client.py
+++ b/tests/routing/test_client.py
@@ -14,7 +14,7 @@
 import pytest
 
 from leadseam.routing.client import UpstreamClient
-from tests.descriptors import assert_closed_once
+from tests.descriptors import assert_no_double_close
 from tools.ports import LOOPBACK
 
 if TYPE_CHECKING:
@@ -195,7 +195,7 @@
 ) -> None:
     """The second close could hit a descriptor that another connection reuses."""
     async with client() as opened:
-        await assert_closed_once(functools.partial(send, opened), monkeypatch)
+        await assert_no_double_close(functools.partial(send, opened), monkeypatch)
 
 
 async def test_keepalive_probes_are_enabled_on_connections() -> None:
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -1,14 +1,14 @@
-"""Connections are opened by the event loop itself, wherever HTTP is spoken.
-
-What was seen: a run of all tests ended by SIGABRT in the middle of a test; two runs of
-the soak with servers that crash ended early without a word.
-The order of events: a server of the tests crashes and gives its heartbeat up while it
-connects; the library and the loop both close the socket's descriptor; by then it is
-that of another connection; the loop polls a descriptor that is gone, and aborts.
-The cause: this was known of the entries' calls and mended there alone. The sidecar's
-calls, its list of boxes, and the tools still had the library's own connector.
-The evidence: `SIGABRT` in three of three processes that gave up 3,000 connects each
-beside four busy connections, none of three with the loop's own way to connect.
+"""All HTTP connections are opened by the event loop, never by the library's connector.
+
+Guards against a process abort (SIGABRT): if a call is cancelled while the library
+connects, the library and the loop both close the socket's descriptor. By the second
+close the number belongs to another connection, and the loop aborts when it polls a
+descriptor that is gone. It ended a run of all tests in the middle of a test, and two
+soak runs with crashing servers early without any message. Entries already used the
+loop's connector; the sidecar's calls, its list of boxes and the tools did not.
+
+Three of three processes that cancelled 3,000 connects each beside four busy connections
+ended with `SIGABRT`; with the loop's connector, none of three did.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.sidecar.platform import watch_platform
 from leadseam.sidecar.upstream import Upstream, UpstreamAddress
-from tests.descriptors import assert_closed_once
+from tests.descriptors import assert_no_double_close
 from tools.platform.operator import Operator, tell
 from tools.ports import LOOPBACK
 
 ROOT = Path(__file__).parents[2]
 FOLDERS = ("src", "tests", "tools")
-SESSION = re.compile(r"(?:TCPConnector|ClientSession)\((?:[^()]|\([^()]*\))*\)")
-"""A call that makes a connector, or that makes a session with one or without."""
+CONNECTOR_CALL = re.compile(r"(?:TCPConnector|ClientSession)\((?:[^()]|\([^()]*\))*\)")
+"""Matches calls that create a connector, or a session with or without one."""
 
 
 async def probe(port: int) -> None:
@@ -58,11 +58,11 @@
 
 
 @pytest.mark.parametrize("call", [probe, watch, report, operate])
-async def test_a_connect_that_is_given_up_closes_no_descriptor_twice(
+async def test_a_cancelled_connect_closes_no_descriptor_twice(
     call: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert callable(call)
-    await assert_closed_once(call, monkeypatch)
+    await assert_no_double_close(call, monkeypatch)
 
 
 async def test_the_next_address_of_a_name_is_tried() -> None:
@@ -88,7 +88,7 @@
 
 
 class TwoAddresses(aiohttp.abc.AbstractResolver):
-    """Knows two addresses for each name; nothing listens on the first."""
+    """Resolves each name to two addresses; nothing listens on the first."""
 
     async def resolve(
         self, host: str, port: int = 0, family: int = 0
@@ -109,12 +109,12 @@
         return
 
 
-def test_nothing_opens_connections_in_the_library_s_way() -> None:
+def test_nothing_uses_the_library_s_connector() -> None:
     found = [
         f"{path.relative_to(ROOT)}: {call}"
         for folder in FOLDERS
         for path in sorted((ROOT / folder).rglob("*.py"))
-        for call in SESSION.findall(path.read_text())
+        for call in CONNECTOR_CALL.findall(path.read_text())
         if "connector=" not in call
     ]
     assert found == []
@@ -122,6 +122,6 @@
 
 @pytest.mark.parametrize("args", ["", "timeout=Timeout(total=1)", "limit=0"])
 @pytest.mark.parametrize("name", ["ClientSession", "TCPConnector"])
-def test_the_library_s_way_is_found(name: str, args: str) -> None:
+def test_the_library_s_connector_is_found(name: str, args: str) -> None:
     made = f"{name}({args})"
-    assert SESSION.findall(f"async with aiohttp.{made} as http:") == [made]
+    assert CONNECTOR_CALL.findall(f"async with aiohttp.{made} as http:") == [made]
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -1,4 +1,4 @@
-"""A program that outlives faults of its disk."""
+"""Restarts of a program after failures of its disk."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Disk:
-    """A disk that fails some calls, and what programs on it did."""
+    """A disk with injected failures that records the calls of its programs."""
 
     failing_starts: int = 0
     damaged: bool = False
@@ -22,25 +22,25 @@
     full: asyncio.Event = field(default_factory=asyncio.Event)
     up: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def make(self, after_failure: bool) -> OnDisk:
-        """Build a program on this disk."""
+    def make(self, after_failure: bool) -> DiskProgram:
+        """Create a program on this disk, or fail as configured."""
         self.calls.append("renewed" if after_failure else "made")
         if self.failing_starts:
             self.failing_starts -= 1
             raise StorageError("no space")
         if self.damaged:
             raise StorageDamagedError("broken record")
-        return OnDisk(self)
+        return DiskProgram(self)
 
 
-class OnDisk:
-    """A program that ends when its disk is full."""
+class DiskProgram:
+    """A program that fails once its disk is full."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
 
     async def start(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("started")
 
     async def run(self) -> None:
@@ -50,11 +50,11 @@
             group.create_task(self._fail())
 
     async def drain(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("drained")
 
     async def stop(self) -> None:
-        """Say so."""
+        """Record the call."""
         self._disk.calls.append("stopped")
 
     async def _fail(self) -> None:
@@ -65,11 +65,11 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Look at the disk again at once."""
+    """Retry without a pause."""
     monkeypatch.setattr(restart, "RETRY_PAUSE", 0)
 
 
-async def test_a_full_disk_ends_no_process() -> None:
+async def test_a_full_disk_does_not_end_the_process() -> None:
     disk = Disk()
     program = RestartingProgram(disk.make)
     await program.start()
@@ -87,7 +87,7 @@
     assert disk.calls[-2:] == ["drained", "stopped"]
 
 
-async def test_a_disk_that_fails_at_the_start_is_waited_for() -> None:
+async def test_start_is_retried_until_the_disk_works() -> None:
     disk = Disk(failing_starts=2)
     program = RestartingProgram(disk.make)
     await program.start()
@@ -97,7 +97,7 @@
     running.cancel()
 
 
-async def test_a_damaged_disk_is_for_an_operator() -> None:
+async def test_a_damaged_disk_ends_the_program() -> None:
     with pytest.raises(StorageDamagedError):
         await RestartingProgram(Disk(damaged=True).make).start()
     disk = Disk()
@@ -109,7 +109,7 @@
         await program.run()
 
 
-async def test_a_stop_while_the_disk_fails_has_nothing_to_release() -> None:
+async def test_stop_while_the_disk_fails() -> None:
     program = RestartingProgram(Disk(failing_starts=1).make)
     await program.start()
     await program.drain()
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits hold although the loop's timers left suspended time out."""
+"""Timeouts count suspended time, which the loop's timers leave out."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from leadseam.runtime.timeouts import Timeouts
 
 LONG = 3_600_000
-"""Limit that no timer of a test reaches."""
+"""Limit that no timer reaches during a test."""
 
 
-async def test_a_limit_that_passed_meanwhile_cuts_off_at_once() -> None:
+async def test_a_timeout_that_passed_while_suspended_expires_at_once() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     with pytest.raises(TimeoutError):
         async with timeouts.until(LONG):
             clock.suspend(LONG)
-            timeouts.look()
+            timeouts.rearm()
             await asyncio.Event().wait()
     assert repr(timeouts) == "Timeouts(0)"
 
 
-async def test_a_limit_that_has_not_passed_cuts_off_nothing() -> None:
+async def test_a_timeout_that_has_not_passed_does_not_expire() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     async with timeouts.until(LONG), timeouts.until(None):
         clock.suspend(LONG - 60_000)
-        timeouts.look()
+        timeouts.rearm()
         await asyncio.sleep(0.01)
     assert repr(timeouts) == "Timeouts(0)"
 
 
-async def test_a_limit_that_is_passing_is_left_alone() -> None:
+async def test_a_timeout_that_is_expiring_is_not_rescheduled() -> None:
     clock = ManualClock()
     timeouts = Timeouts(clock)
     with pytest.raises(TimeoutError):
@@ -42,4 +42,4 @@
             try:
                 await asyncio.Event().wait()
             finally:
-                timeouts.look()
+                timeouts.rearm()
