--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.rests import MOST_ARRIVALS, SLACK, arrivals_in_rests
+from tools.platform.pauses import MOST_ARRIVALS, SLACK, arrivals_in_rests
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer, Platform
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -16,7 +16,7 @@
 
 from leadseam.platform import names
 from tools.platform.operator import open_session, tell
-from tools.platform.rests import Arrival, Rest
+from tools.platform.pauses import Arrival, Rest
 from tools.waiting import until
 
 if TYPE_CHECKING:
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.rests import MOST_ARRIVALS, SLACK
+from tools.platform.pauses import MOST_ARRIVALS, SLACK
 
 if TYPE_CHECKING:
-    from tools.platform.rests import Rest
+    from tools.platform.pauses import Rest
     from tools.platform.standin import Server
     from tools.soak.callers import Call
     from tools.soak.promises import Promises
