--- a/tools/platform/pauses.py
+++ b/tools/platform/pauses.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class Pause:
     """A refusal with which a server asks for a rest.
 
     Args:
@@ -67,7 +67,7 @@
 
     entry: str
     count: int
-    rest: Rest | None
+    rest: Pause | None
 
 
 def arrivals_in_rests(server: Server, entry_of: Mapping[str, str]) -> Arrivals:
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -16,7 +16,7 @@
 
 from leadseam.platform import names
 from tools.platform.operator import open_session, tell
-from tools.platform.pauses import Arrival, Rest
+from tools.platform.pauses import Arrival, Pause
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
     zone: str = "a"
     cold: int = 0
     rest: float = 0.0
-    rests: list[Rest] = field(default_factory=list)
+    rests: list[Pause] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     says_leaving: bool = False
 
@@ -327,7 +327,7 @@
         headers[names.RETRY_AFTER] = f"{self.rest:g}"
         request_id = http.headers[names.REQUEST_ID]
         now = time.monotonic()
-        self.rests.append(Rest(now, self.rest, request_id, self.incarnation))
+        self.rests.append(Pause(now, self.rest, request_id, self.incarnation))
         return web.Response(status=503, headers=headers)
 
     def _echo(self, http: web.BaseRequest) -> dict[str, str]:
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -10,7 +10,7 @@
 from tools.platform.pauses import MOST_ARRIVALS, SLACK
 
 if TYPE_CHECKING:
-    from tools.platform.pauses import Rest
+    from tools.platform.pauses import Pause
     from tools.platform.standin import Server
     from tools.soak.callers import Call
     from tools.soak.promises import Promises
@@ -83,7 +83,7 @@
                 self._check_left(call)
 
     def _check_rest(
-        self, server: Server, rest: Rest, entry: str, entries: dict[str, str]
+        self, server: Server, rest: Pause, entry: str, entries: dict[str, str]
     ) -> None:
         if self._excused(entry, server, rest.at, rest.at + rest.length):
             return
