--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -185,7 +185,7 @@
                 await platform.add_server(ip, "plain")
             for server in platform.of("plain"):
                 server.behave["deadly"] = "crash"
-                server.pause = load.run_time
+                server.delay = load.run_time
             experiment = Experiment(platform, callers, load)
             await experiment.run()
             return experiment.row
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -73,7 +73,7 @@
         state: State that it states in heartbeats.
         acks: Heartbeats that were acknowledged.
         advertised: Address that it registers. Defaults to where it listens.
-        pause: Seconds between events, and before a plain answer.
+        delay: Seconds between events, and before a plain answer.
         usual: What it does with paths that `behave` does not name.
         born: When it started, in Unix milliseconds; None to leave it out.
         left_at: When its end was acknowledged, on the steady clock, or None.
@@ -100,7 +100,7 @@
     state: str = "ready"
     acks: int = 0
     advertised: str = ""
-    pause: float = 0.0
+    delay: float = 0.0
     usual: str = "answer"
     left_at: float | None = None
     born: int | None = None
@@ -275,10 +275,10 @@
             case _ if "stream" in http.path:
                 return await self._stream(http, action)
             case "lose":
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.delay)
                 return self._abort(http)
             case _:
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.delay)
                 return self._answer(http)
 
     def _answer(self, http: web.BaseRequest) -> web.Response:
@@ -312,8 +312,8 @@
                     await self.release.wait()
                 return self._abort(http)
             await response.write(event(number))
-            if self.pause:
-                await asyncio.sleep(self.pause)
+            if self.delay:
+                await asyncio.sleep(self.delay)
         await response.write_eof()
         return response
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -82,7 +82,7 @@
             await self.links.add_server(ip, self.server_port, self._proxied)
         await self.start_all()
         for server in self.servers:
-            server.pause = EVENT_PAUSE
+            server.delay = EVENT_PAUSE
         self._keeper = asyncio.create_task(self._keep_running())
 
     async def close(self) -> None:
@@ -139,7 +139,7 @@
         server = await self.add_server(
             old.ip, old.service, earlier=old.instance, zone=old.zone
         )
-        server.pause = EVENT_PAUSE
+        server.delay = EVENT_PAUSE
 
     def server_at(self, ip: str) -> Server | None:
         """Return the server that runs at an address, or None."""
