--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -70,7 +70,7 @@
 
 def rests_until(server: Server, number: int) -> float:
     """Return when the time is over that a refusal of a server stated."""
-    rest = server.rests[number]
+    rest = server.pauses[number]
     return rest.at + rest.length
 
 
@@ -80,7 +80,7 @@
     resting.rest = REST
     resting.usual = "rest"
     async with Callers(platform, path) as callers:
-        while len(resting.rests) < 2:
+        while len(resting.pauses) < 2:
             await asyncio.sleep(0.01)
         while time.monotonic() < rests_until(resting, 1) + SLACK:
             await asyncio.sleep(0.01)
--- a/tools/platform/pauses.py
+++ b/tools/platform/pauses.py
@@ -78,7 +78,7 @@
         entry_of: Entry that each request was sent to.
     """
     most = Arrivals("", 0, None)
-    for rest in server.rests:
+    for rest in server.pauses:
         entry = entry_of.get(rest.request_id, "")
         count = sum(
             rest.covers(arrival) and entry_of.get(arrival.request_id) == entry
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -83,7 +83,7 @@
         zone: Failure domain that it states.
         cold: Milliseconds for which it says that it is cold.
         rest: Seconds of rest for which it asks when it turns a request away.
-        rests: Refusals with which it has asked for a rest.
+        pauses: Refusals with which it has asked for a rest.
         arrivals: Requests that have reached it, run or not.
         says_leaving: Whether its answers say that it is about to end.
     """
@@ -109,7 +109,7 @@
     zone: str = "a"
     cold: int = 0
     rest: float = 0.0
-    rests: list[Pause] = field(default_factory=list)
+    pauses: list[Pause] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     says_leaving: bool = False
 
@@ -327,7 +327,7 @@
         headers[names.RETRY_AFTER] = f"{self.rest:g}"
         request_id = http.headers[names.REQUEST_ID]
         now = time.monotonic()
-        self.rests.append(Pause(now, self.rest, request_id, self.incarnation))
+        self.pauses.append(Pause(now, self.rest, request_id, self.incarnation))
         return web.Response(status=503, headers=headers)
 
     def _echo(self, http: web.BaseRequest) -> dict[str, str]:
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -75,7 +75,7 @@
             return
         entries = {call.request_id: call.entry for call in self._promises.calls}
         for server in self._world.ever:
-            for rest in server.rests:
+            for rest in server.pauses:
                 if entry := entries.get(rest.request_id):
                     self._check_rest(server, rest, entry, entries)
         for call in self._promises.calls:
