--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -77,7 +77,7 @@
 async def check_rests(platform: Platform, service: str, path: str) -> None:
     """Have a server of two ask for a rest, and look at what reaches it."""
     resting = platform.of(service)[0]
-    resting.rest = REST
+    resting.pause_length = REST
     resting.usual = "rest"
     async with Callers(platform, path) as callers:
         while len(resting.pauses) < 2:
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -82,7 +82,7 @@
         crashes: Requests that have crashed it.
         zone: Failure domain that it states.
         cold: Milliseconds for which it says that it is cold.
-        rest: Seconds of rest for which it asks when it turns a request away.
+        pause_length: Seconds of pause for which it asks when it turns a request away.
         pauses: Refusals with which it has asked for a rest.
         arrivals: Requests that have reached it, run or not.
         says_leaving: Whether its answers say that it is about to end.
@@ -108,7 +108,7 @@
     crashes: list[Run] = field(default_factory=list)
     zone: str = "a"
     cold: int = 0
-    rest: float = 0.0
+    pause_length: float = 0.0
     pauses: list[Pause] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     says_leaving: bool = False
@@ -324,10 +324,10 @@
 
     def _ask_for_rest(self, http: web.BaseRequest) -> web.Response:
         headers = {**self._echo(http), names.NOT_RUN: "1"}
-        headers[names.RETRY_AFTER] = f"{self.rest:g}"
+        headers[names.RETRY_AFTER] = f"{self.pause_length:g}"
         request_id = http.headers[names.REQUEST_ID]
         now = time.monotonic()
-        self.pauses.append(Pause(now, self.rest, request_id, self.incarnation))
+        self.pauses.append(Pause(now, self.pause_length, request_id, self.incarnation))
         return web.Response(status=503, headers=headers)
 
     def _echo(self, http: web.BaseRequest) -> dict[str, str]:
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -54,7 +54,7 @@
                 group.create_task(self._leave(server) if leaves else self._rest(server))
 
     async def _rest(self, server: Server) -> None:
-        server.rest = self._rng.uniform(LEAST_REST, MOST_REST)
+        server.pause_length = self._rng.uniform(LEAST_REST, MOST_REST)
         server.usual = "rest"
         try:
             await asyncio.sleep(self._rng.uniform(0, MOST_SPELL))
