--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -78,7 +78,7 @@
     """Have a server of two ask for a rest, and look at what reaches it."""
     resting = platform.of(service)[0]
     resting.pause_length = REST
-    resting.usual = "rest"
+    resting.default_action = "rest"
     async with Callers(platform, path) as callers:
         while len(resting.pauses) < 2:
             await asyncio.sleep(0.01)
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -74,7 +74,7 @@
         acks: Heartbeats that were acknowledged.
         advertised: Address that it registers. Defaults to where it listens.
         delay: Seconds between events, and before a plain answer.
-        usual: What it does with paths that `behave` does not name.
+        default_action: What it does with paths that `behave` does not name.
         born: When it started, in Unix milliseconds; None to leave it out.
         left_at: When its end was acknowledged, on the steady clock, or None.
         down: Seconds after a crash until it is back: as another incarnation, under a
@@ -101,7 +101,7 @@
     acks: int = 0
     advertised: str = ""
     delay: float = 0.0
-    usual: str = "answer"
+    default_action: str = "answer"
     left_at: float | None = None
     born: int | None = None
     down: float = 0.6
@@ -230,7 +230,7 @@
             return web.Response(status=421, headers=self._echo(http))
         request_id = http.headers[names.REQUEST_ID]
         self.arrivals.append(Arrival(request_id, self.incarnation))
-        action = self.behave.get(http.path.rsplit("/", 1)[-1], self.usual)
+        action = self.behave.get(http.path.rsplit("/", 1)[-1], self.default_action)
         if action == "full":
             headers = {**self._echo(http), names.NOT_RUN: "1"}
             return web.Response(status=503, headers=headers)
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -195,7 +195,7 @@
         if server is None:
             return
         span = self._ledger.begin(ip)
-        server.usual = "lose"
+        server.default_action = "lose"
         await asyncio.sleep(length)
-        server.usual = "answer"
+        server.default_action = "answer"
         self._ledger.end(span)
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -55,11 +55,11 @@
 
     async def _rest(self, server: Server) -> None:
         server.pause_length = self._rng.uniform(LEAST_REST, MOST_REST)
-        server.usual = "rest"
+        server.default_action = "rest"
         try:
             await asyncio.sleep(self._rng.uniform(0, MOST_SPELL))
         finally:
-            server.usual = "answer"
+            server.default_action = "answer"
 
     async def _leave(self, server: Server) -> None:
         server.says_leaving = True
