--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -45,7 +45,7 @@
         await platform.add_server(ip, "plain")
     servers = platform.of("plain")
     for server in servers:
-        server.behave["deadly"] = "crash"
+        server.actions["deadly"] = "crash"
         server.born = born
     await wait_up(platform, servers)
     return servers
@@ -116,7 +116,7 @@
     assert len(listed[0]["ended"]) == BORNE
     assert listed[0]["fingerprint"] in await verdicts(control)
     for server in servers:
-        server.behave.clear()
+        server.actions.clear()
     await verdicts("--lift", listed[0]["fingerprint"], control)
 
     async def served() -> bool:
@@ -165,7 +165,7 @@
     """Beside a deadly request, 8 of 24 callers of longer ones were refused too."""
     servers = await four_servers(platform)
     for server in servers:
-        server.behave["long"] = "hold"
+        server.actions["long"] = "hold"
     hits = 0
     while hits < BORNE:
         call = asyncio.create_task(call_again(platform, hits, "/once/long"))
@@ -177,7 +177,7 @@
         hits += 1
         await wait_up(platform, servers)
     for server in servers:
-        server.behave.clear()
+        server.actions.clear()
     for round_ in range(len(platform.entry_ips)):
         answer = await call_again(platform, round_, "/once/long")
         assert answer.status == 200
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -93,7 +93,7 @@
 ) -> None:
     await spread_over(platform, "a", "a")
     for server in platform.of("model"):
-        server.behave["long"] = "pause"
+        server.actions["long"] = "pause"
     entry = platform.entry_ips[0]
     call = asyncio.create_task(
         platform.call(entry, "/stream/long", request_id="running")
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -30,7 +30,7 @@
     # It went through the splitter of events, which held it back up to an empty line,
     # here until its end, and took a line of it for the identity of an event.
     for server in platform.of("plain"):
-        server.behave["large"] = "large"
+        server.actions["large"] = "large"
     received = asyncio.Event()
 
     def on_data(data: bytes) -> None:
@@ -147,12 +147,12 @@
 def break_after_two_events(platform: Platform) -> Callable[[bytes], None]:
     """Have model servers break off once the caller has two events."""
     for server in platform.of("model"):
-        server.behave["breaks"] = "break"
+        server.actions["breaks"] = "break"
 
     def release(received: bytes) -> None:
         if received == event(1) + event(2):
             for server in platform.of("model"):
-                server.behave.clear()
+                server.actions.clear()
                 server.release.set()
 
     return release
@@ -192,7 +192,7 @@
     platform: Platform, action: str
 ) -> None:
     for server in platform.of("plain"):
-        server.behave["x"] = action
+        server.actions["x"] = action
     answer = await platform.call(platform.entry_ips[0], "/once/x", request_id="o")
     assert answer.status == 502
     assert sum(server.count("o") for server in platform.of("plain")) == 1
@@ -203,7 +203,7 @@
     platform: Platform, action: str
 ) -> None:
     bad, good = platform.of("plain")
-    bad.behave["x"] = action
+    bad.actions["x"] = action
 
     async def bad_was_tried() -> bool:
         answer = await platform.call(platform.entry_ips[0], "/safe/x")
@@ -216,7 +216,7 @@
 
 async def test_a_refusal_is_true_and_says_when_to_come_back(platform: Platform) -> None:
     for server in platform.of("plain"):
-        server.behave["x"] = "full"
+        server.actions["x"] = "full"
     answer = await platform.call(platform.entry_ips[0], "/once/x", request_id="f")
     assert answer.status == 503
     assert 0 < float(answer.headers[names.RETRY_AFTER]) <= 5 / 3
@@ -225,7 +225,7 @@
 
 async def test_the_time_limit_gives_a_final_answer(platform: Platform) -> None:
     for server in platform.of("plain"):
-        server.behave["x"] = "hold"
+        server.actions["x"] = "hold"
     answer = await platform.call(
         platform.entry_ips[0], "/once/x", headers={names.DEADLINE: "300"}
     )
@@ -234,7 +234,7 @@
 
 async def test_a_caller_that_leaves_ends_the_work(platform: Platform) -> None:
     for server in platform.of("model"):
-        server.behave["slow"] = "pause"
+        server.actions["slow"] = "pause"
     call = asyncio.create_task(
         platform.call(platform.entry_ips[0], "/stream/slow", request_id="gone")
     )
@@ -255,7 +255,7 @@
 async def test_a_planned_stop_finishes_what_runs(platform: Platform) -> None:
     entry = platform.entry_ips[0]
     for server in platform.of("model"):
-        server.behave["slow"] = "pause"
+        server.actions["slow"] = "pause"
     call = asyncio.create_task(
         platform.call(entry, "/stream/slow", request_id="stopped")
     )
@@ -326,7 +326,7 @@
 async def test_new_seeds_cut_nothing(platform: Platform) -> None:
     entry = platform.entry_ips[0]
     for server in platform.of("model"):
-        server.behave["slow"] = "pause"
+        server.actions["slow"] = "pause"
     call = asyncio.create_task(platform.call(entry, "/stream/slow", request_id="hup"))
 
     async def runs() -> bool:
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -91,7 +91,7 @@
 ) -> None:
     first = await only_server(platform, platform.server_ips[4])
     await wait_answered_by(platform, first)
-    first.behave["held"] = "hold"
+    first.actions["held"] = "hold"
     entry = platform.entry_ips[0]
     held = [
         asyncio.create_task(platform.call(entry, f"/{route}/held", method="GET"))
--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -90,12 +90,12 @@
 ) -> None:
     entry = platform.entry_ips[0]
     for server in platform.of("plain"):
-        server.behave["held"] = "hold"
+        server.actions["held"] = "hold"
     call = asyncio.create_task(platform.call(entry, "/safe/held", method="GET"))
     holder = await held_by(platform, "/safe/held")
     suspended = asyncio.create_task(platform.suspend(entry, AWAY))
     (other,) = (one for one in platform.of("plain") if one is not holder)
-    other.behave.clear()
+    other.actions.clear()
     await asyncio.sleep(0)
     await holder.stop()
     platform.servers.remove(holder)
@@ -110,7 +110,7 @@
 ) -> None:
     entry = platform.entry_ips[0]
     for server in platform.of("plain"):
-        server.behave |= {"first": "hold", "second": "hold"}
+        server.actions |= {"first": "hold", "second": "hold"}
     ended: list[str] = []
 
     async def call(name: str, left: int) -> int:
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -184,7 +184,7 @@
             for ip in platform.server_ips[4:6]:
                 await platform.add_server(ip, "plain")
             for server in platform.of("plain"):
-                server.behave["deadly"] = "crash"
+                server.actions["deadly"] = "crash"
                 server.delay = load.run_time
             experiment = Experiment(platform, callers, load)
             await experiment.run()
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -67,14 +67,14 @@
         controls: Control boxes that heartbeats go to, in turn.
         slots: Requests that it takes at a time.
         instance: Name of its incarnation.
-        behave: What it does with a path, by the path's last part.
+        actions: What it does with a path, by the path's last part.
         runs: Requests that it ran.
-        release: Set when those that `behave` holds may go on.
+        release: Set when those that `actions` holds may go on.
         state: State that it states in heartbeats.
         acks: Heartbeats that were acknowledged.
         advertised: Address that it registers. Defaults to where it listens.
         delay: Seconds between events, and before a plain answer.
-        default_action: What it does with paths that `behave` does not name.
+        default_action: What it does with paths that `actions` does not name.
         born: When it started, in Unix milliseconds; None to leave it out.
         left_at: When its end was acknowledged, on the steady clock, or None.
         down: Seconds after a crash until it is back: as another incarnation, under a
@@ -94,7 +94,7 @@
     controls: Sequence[str]
     slots: int = 4
     instance: str = field(default_factory=lambda: f"i-{next(_instances)}")
-    behave: dict[str, str] = field(default_factory=dict)
+    actions: dict[str, str] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
     state: str = "ready"
@@ -230,7 +230,7 @@
             return web.Response(status=421, headers=self._echo(http))
         request_id = http.headers[names.REQUEST_ID]
         self.arrivals.append(Arrival(request_id, self.incarnation))
-        action = self.behave.get(http.path.rsplit("/", 1)[-1], self.default_action)
+        action = self.actions.get(http.path.rsplit("/", 1)[-1], self.default_action)
         if action == "full":
             headers = {**self._echo(http), names.NOT_RUN: "1"}
             return web.Response(status=503, headers=headers)
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -113,7 +113,7 @@
     async def _send(self, entry: str, path: str) -> Answer:
         for server in self._world.servers:
             # Servers come and go; each of them crashes under it.
-            server.behave["deadly"] = "crash"
+            server.actions["deadly"] = "crash"
             server.down = DOWN
         request_id = f"d{next(self._numbers)}"
         self._sent[request_id] = Sent(entry, path, time.monotonic())
