--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -77,8 +77,8 @@
         default_action: What it does with paths that `actions` does not name.
         born: When it started, in Unix milliseconds; None to leave it out.
         left_at: When its end was acknowledged, on the steady clock, or None.
-        down: Seconds after a crash until it is back: as another incarnation, under a
-            new id or, if it states its starts, under the one that it had.
+        restart_delay: Seconds from a crash to the next start: as another incarnation,
+            under a new id or, if it states its starts, under the one that it had.
         crashes: Requests that have crashed it.
         zone: Failure domain that it states.
         cold: Milliseconds for which it says that it is cold.
@@ -104,7 +104,7 @@
     default_action: str = "answer"
     left_at: float | None = None
     born: int | None = None
-    down: float = 0.6
+    restart_delay: float = 0.6
     crashes: list[Run] = field(default_factory=list)
     zone: str = "a"
     cold: int = 0
@@ -168,7 +168,7 @@
 
     async def _come_back(self) -> None:
         await self._end()
-        await asyncio.sleep(self.down)
+        await asyncio.sleep(self.restart_delay)
         if self.born is None:
             self.instance = f"i-{next(_instances)}"
         else:
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -114,7 +114,7 @@
         for server in self._world.servers:
             # Servers come and go; each of them crashes under it.
             server.actions["deadly"] = "crash"
-            server.down = DOWN
+            server.restart_delay = DOWN
         request_id = f"d{next(self._numbers)}"
         self._sent[request_id] = Sent(entry, path, time.monotonic())
         return await self._world.call(
