--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -100,7 +100,7 @@
     platform: Platform,
 ) -> None:
     leaving = platform.of("model")[0]
-    leaving.says_leaving = True
+    leaving.announces_leaving = True
     async with Callers(platform, "/stream/x") as callers:
         while not leaving.runs:
             await asyncio.sleep(0.01)
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -85,7 +85,7 @@
         pause_length: Seconds of pause for which it asks when it turns a request away.
         pauses: Refusals with which it has asked for a rest.
         arrivals: Requests that have reached it, run or not.
-        says_leaving: Whether its answers say that it is about to end.
+        announces_leaving: Whether its answers say that it is about to end.
     """
 
     ip: str
@@ -111,7 +111,7 @@
     pause_length: float = 0.0
     pauses: list[Pause] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    says_leaving: bool = False
+    announces_leaving: bool = False
 
     async def start(self) -> None:
         """Serve, and send heartbeats."""
@@ -175,7 +175,7 @@
             self.born = time.time_ns() // 1_000_000
         # Nothing that it announced before is true of this start.
         self.state = "ready"
-        self.says_leaving = False
+        self.announces_leaving = False
         self.left_at = None
         await self.start()
 
@@ -332,7 +332,7 @@
 
     def _echo(self, http: web.BaseRequest) -> dict[str, str]:
         headers = {names.REQUEST_ID: http.headers[names.REQUEST_ID]}
-        if self.says_leaving:
+        if self.announces_leaving:
             headers[names.LEAVING] = names.LEAVING_SET
         return headers
 
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -62,7 +62,7 @@
             server.default_action = "answer"
 
     async def _leave(self, server: Server) -> None:
-        server.says_leaving = True
+        server.announces_leaving = True
         try:
             await asyncio.sleep(LEAVES_FOR)
         finally:
