--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -68,15 +68,15 @@
         folder: Where logs, settings and disks are.
         processes: Processes by address.
         servers: Servers that run.
-        states_starts: Whether servers state their starts, and start again under the id
-            that they had.
+        reports_starts: Whether servers report when they started, and start again under
+            the id that they had.
         suspendable: Whether boxes can be suspended.
     """
 
     folder: Path
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     servers: list[Server] = field(default_factory=list)
-    states_starts: bool = False
+    reports_starts: bool = False
     suspendable: bool = False
 
     def __post_init__(self) -> None:
@@ -142,7 +142,7 @@
             zone: Failure domain that it states.
         """
         server = Server(ip, self.server_port, service, self.controls, zone=zone)
-        if self.states_starts:
+        if self.reports_starts:
             server.born = time.time_ns() // 1_000_000
             server.instance = earlier or server.instance
         server.advertised = self.advertised(ip)
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -250,7 +250,7 @@
     world = World(
         folder,
         entries=size.entries,
-        states_starts=size.same_ids,
+        reports_starts=size.same_ids,
         suspendable=size.suspended,
     )
     try:
