--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -68,9 +68,9 @@
         clock = clock or SystemClock()
         folder = Path(settings.data_dir)
         seeds = {endpoint.ip: endpoint for endpoint in settings.seeds}
-        founding = settings.founding and settings.ip in seeds
+        bootstrap = settings.bootstrap and settings.ip in seeds
         identity = prepare_folder(
-            folder, settings.ip, bootstrap_boxes=tuple(seeds) if founding else ()
+            folder, settings.ip, bootstrap_boxes=tuple(seeds) if bootstrap else ()
         )
         self._settings = settings
         self._metrics = Metrics()
--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -36,7 +36,7 @@
         inner_port: Port for links between our own processes.
         metrics_port: Port for metrics.
         seeds: Inner addresses of some control boxes.
-        founding: Whether the whole system starts for the first time.
+        bootstrap: Whether the whole system starts for the first time.
         data_dir: Data folder, or None on a box without a disk.
         loss_tolerance: Control boxes that may be lost at once.
         heartbeat_interval: Milliseconds between the heartbeats of an upstream.
@@ -55,7 +55,7 @@
     inner_port: int
     metrics_port: int
     seeds: tuple[Endpoint, ...]
-    founding: bool
+    bootstrap: bool
     data_dir: str | None
     loss_tolerance: int
     heartbeat_interval: Millis
@@ -87,7 +87,7 @@
             inner_port=inner_port,
             metrics_port=inner_port + METRICS_OFFSET,
             seeds=fields.seeds(inner_port),
-            founding=fields.text("bootstrap", "false") == "true",
+            bootstrap=fields.text("bootstrap", "false") == "true",
             data_dir=fields.text("dataDir", "") or None,
             loss_tolerance=fields.integer("tolerate.machines", 0),
             heartbeat_interval=fields.integer("heartbeatMs", 1_000),
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -72,7 +72,7 @@
     for ip in boxes:
         platform.kill(ip)
     for ip in boxes:
-        platform.start(ip, founding=False)
+        platform.start(ip, bootstrap=False)
     for ip in platform.entry_ips:
         await platform.wait_ready(ip)
         await platform.wait_served(ip)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -287,7 +287,7 @@
 ) -> None:
     entry = platform.entry_ips[0]
     platform.kill(entry)
-    platform.start(entry, founding=False)
+    platform.start(entry, bootstrap=False)
     await platform.wait_ready(entry)
     await wait_for(platform, entry, "/none/x", 404)
     await platform.wait_served(entry)
@@ -301,12 +301,12 @@
     newer = document(4)
     assert await platform.operator.replace(newer) == 200
     shutil.rmtree(platform.folder / f"data-{box}")
-    platform.start(box, founding=False)
+    platform.start(box, bootstrap=False)
 
     await wait_for_new_vote(platform, box)
     for other in platform.control_ips[1:]:
         platform.kill(other)
-        platform.start(other, founding=False)
+        platform.start(other, bootstrap=False)
     assert await platform.operator.read() == newer
 
 
@@ -319,7 +319,7 @@
     leader = max(others, key=lambda other: terms[other])
     follower = next(other for other in others if other != leader)
     platform.seeds = [f"{follower}:{platform.control_port}"]
-    platform.start(first, founding=False)
+    platform.start(first, bootstrap=False)
     await wait_for_new_vote(platform, first)
 
 
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -32,7 +32,7 @@
         platform.kill(ip)
     shutil.rmtree(platform.folder / f"data-{wiped}")
     for ip in platform.control_ips:
-        platform.start(ip, founding=False)
+        platform.start(ip, bootstrap=False)
 
     assert await asyncio.wait_for(platform.operator.read(), READ_LIMIT) == newest
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -46,7 +46,7 @@
             Endpoint(ip="10.1.0.35", port=7400),
             Endpoint(ip="10.2.0.20", port=7400),
         ),
-        founding=True,
+        bootstrap=True,
         data_dir="/data/my-core",
         loss_tolerance=2,
         heartbeat_interval=1_200,
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -35,7 +35,7 @@
         soak = Soak(world, 1, Size())
         assert await soak._is_whole()
         wiped = world.control_ips[1]
-        world.start(wiped, founding=False)
+        world.start(wiped, bootstrap=False)
         assert not await soak._is_whole()
         write_members(world, wiped)
         assert await soak._is_whole()
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -158,9 +158,9 @@
         """Return the servers of a service."""
         return [server for server in self.servers if server.service == service]
 
-    def start(self, ip: str, *, founding: bool = True) -> None:
+    def start(self, ip: str, *, bootstrap: bool = True) -> None:
         """Start the process of a box."""
-        self.write_settings(ip, founding=founding)
+        self.write_settings(ip, bootstrap=bootstrap)
         role = "control" if ip in self.control_ips else "entry"
         path = self.folder / f"{ip}.conf"
         with open(self.folder / f"{ip}.log", "ab") as log:
@@ -181,10 +181,10 @@
         self.seeds = [addresses.get(one, one) for one in self.seeds]
         # In place, for operators and servers hold the same list.
         self.controls[:] = [addresses.get(one, one) for one in self.controls]
-        self.start(newcomer, founding=False)
+        self.start(newcomer, bootstrap=False)
         return newcomer
 
-    def write_settings(self, ip: str, *, founding: bool = True) -> None:
+    def write_settings(self, ip: str, *, bootstrap: bool = True) -> None:
         """Write the settings file of a box."""
         data_dir = self.folder / f"data-{ip}"
         data_dir.mkdir(exist_ok=True)
@@ -197,7 +197,7 @@
             "zones.c": "north",
             "internalPorts": f"{self.inner_port_of(ip)},{self.inner_port_of(ip) + 9}",
             "seeds": ",".join(self.seeds),
-            "bootstrap": str(founding).lower(),
+            "bootstrap": str(bootstrap).lower(),
             "heartbeatMs": 100,
             "tolerate.machines": 1,
             "bounds.ackMs": 500,
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -91,7 +91,7 @@
         await asyncio.sleep(length)
         for box, span in zip(boxes, spans, strict=True):
             if box not in self._world.gone_boxes:
-                self._world.start(box, founding=False)
+                self._world.start(box, bootstrap=False)
                 self._world.down.discard(box)
             self._ledger.end(span)
 
@@ -139,7 +139,7 @@
         while process.poll() is None:
             await asyncio.sleep(RESTART_DELAY)
         await asyncio.sleep(length)
-        self._world.start(box, founding=False)
+        self._world.start(box, bootstrap=False)
         self._world.down.discard(box)
         self._ledger.end(span)
 
@@ -154,7 +154,7 @@
 
     def _reload(self, box: str, *, by_signal: bool) -> None:
         self._world.seeds = self._world.seeds[1:] + self._world.seeds[:1]
-        self._world.write_settings(box, founding=False)
+        self._world.write_settings(box, bootstrap=False)
         if by_signal and box not in self._world.down:
             self._world.signal(box, signal.SIGHUP)
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -98,7 +98,7 @@
             await asyncio.sleep(RESTART_DELAY)
             for ip, process in list(self.processes.items()):
                 if ip not in self.down and process.poll() is not None:
-                    self.start(ip, founding=False)
+                    self.start(ip, bootstrap=False)
 
     def now_at(self, box: str) -> str:
         """Return the box itself, or the one that has come in its place."""
