--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.pauses import MOST_ARRIVALS, SLACK, arrivals_in_rests
+from tools.platform.pauses import MAX_ARRIVALS, SLACK, arrivals_in_rests
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer, Platform
@@ -85,7 +85,7 @@
         while time.monotonic() < rests_until(resting, 1) + SLACK:
             await asyncio.sleep(0.01)
     most = arrivals_in_rests(resting, callers.entry_of)
-    assert most.count <= MOST_ARRIVALS, most
+    assert most.count <= MAX_ARRIVALS, most
     assert {answer.status for answer in callers.answers} == {200}
 
 
--- a/tools/platform/pauses.py
+++ b/tools/platform/pauses.py
@@ -13,7 +13,7 @@
 
 SLACK = 0.5
 """Seconds after a refusal in which requests may still be on their way."""
-MOST_ARRIVALS = 2
+MAX_ARRIVALS = 2
 """Requests that may reach a server while it rests: the users' bound."""
 
 
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.pauses import MOST_ARRIVALS, SLACK
+from tools.platform.pauses import MAX_ARRIVALS, SLACK
 
 if TYPE_CHECKING:
     from tools.platform.pauses import Pause
@@ -92,7 +92,7 @@
             for arrival in server.arrivals
         )
         detail = f"{count} from {entry} in {rest.length:.2f} s at {rest.incarnation}"
-        kept = count <= MOST_ARRIVALS
+        kept = count <= MAX_ARRIVALS
         self._promises.check("rest kept", kept, f"{rest.request_id}: {detail}")
 
     def _check_left(self, call: Call) -> None:
