--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -195,7 +195,9 @@
             "zones.a": "east",
             "zones.b": "west",
             "zones.c": "north",
-            "internalPorts": f"{self.inner_port_of(ip)},{self.inner_port_of(ip) + 9}",
+            "internalPorts": (
+                f"{self.internal_port_of(ip)},{self.internal_port_of(ip) + 9}"
+            ),
             "seeds": ",".join(self.seeds),
             "bootstrap": str(bootstrap).lower(),
             "heartbeatMs": 100,
@@ -217,9 +219,9 @@
 
     def metrics_address(self, ip: str) -> str:
         """Return where a box shows its metrics."""
-        return f"{ip}:{self.inner_port_of(ip) + METRICS_OFFSET}"
+        return f"{ip}:{self.internal_port_of(ip) + METRICS_OFFSET}"
 
-    def inner_port_of(self, ip: str) -> int:
+    def internal_port_of(self, ip: str) -> int:
         """Return the first of the ports that a box uses for links between nodes."""
         return self.inner_port
 
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -65,7 +65,7 @@
         servers = tuple(server.ip for server in self.servers)
         return Boxes(tuple(self.control_ips), tuple(self.entry_ips), servers)
 
-    def inner_port_of(self, ip: str) -> int:
+    def internal_port_of(self, ip: str) -> int:
         """Return the inner port of a box, which is its own."""
         return self._inner[ip]
 
@@ -77,7 +77,7 @@
         """Start everything."""
         controls = [*self.control_ips, *self.spare_ips]
         nodes = [*controls, *self.entry_ips]
-        await self.links.add_mesh(nodes, controls, self.inner_port_of)
+        await self.links.add_mesh(nodes, controls, self.internal_port_of)
         for ip in self.server_ips[:4]:
             await self.links.add_server(ip, self.server_port, self._proxied)
         await self.start_all()
