--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -121,7 +121,7 @@
         settings = self._settings
         assert settings.control is not None
         self._links = await listen(
-            settings.ip, settings.inner_port, self._feed.serve, self._metrics.traffic
+            settings.ip, settings.internal_port, self._feed.serve, self._metrics.traffic
         )
         app = self._api.application()
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.2)
--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -33,7 +33,7 @@
         front: Where callers connect, or None.
         ready: Where readiness is asked for, or None.
         control: Where upstreams and operators call, or None.
-        inner_port: Port for links between our own processes.
+        internal_port: Port for links between our own processes.
         metrics_port: Port for metrics.
         seeds: Inner addresses of some control boxes.
         bootstrap: Whether the whole system starts for the first time.
@@ -52,7 +52,7 @@
     front: Endpoint | None
     ready: Endpoint | None
     control: Endpoint | None
-    inner_port: int
+    internal_port: int
     metrics_port: int
     seeds: tuple[Endpoint, ...]
     bootstrap: bool
@@ -75,7 +75,7 @@
             SettingsError: With file, key and what was expected.
         """
         fields = _Fields(_split_lines(text, name), name)
-        inner_port = fields.integer_list("internalPorts")[0]
+        internal_port = fields.integer_list("internalPorts")[0]
         return cls(
             node=fields.text("node"),
             ip=fields.text("ip"),
@@ -84,9 +84,9 @@
             front=fields.address("listen.front"),
             ready=fields.address("listen.ready"),
             control=fields.address("listen.control"),
-            inner_port=inner_port,
-            metrics_port=inner_port + METRICS_OFFSET,
-            seeds=fields.seeds(inner_port),
+            internal_port=internal_port,
+            metrics_port=internal_port + METRICS_OFFSET,
+            seeds=fields.seeds(internal_port),
             bootstrap=fields.text("bootstrap", "false") == "true",
             data_dir=fields.text("dataDir", "") or None,
             loss_tolerance=fields.integer("tolerate.machines", 0),
@@ -98,7 +98,7 @@
 
     def inner(self, ip: str) -> Endpoint:
         """Return the address for our own links on a box."""
-        return Endpoint(ip=ip, port=self.inner_port)
+        return Endpoint(ip=ip, port=self.internal_port)
 
 
 class _Fields:
@@ -151,14 +151,14 @@
         except ValueError as exc:
             raise self._fault(key, "IP:PORT", value) from exc
 
-    def seeds(self, inner_port: int) -> tuple[Endpoint, ...]:
+    def seeds(self, internal_port: int) -> tuple[Endpoint, ...]:
         """Seeds name the operators' port; our own links use another one."""
         value = self._fields.get("seeds", "")
         try:
             given = [read_address(item) for item in value.split(",") if item]
         except ValueError as exc:
             raise self._fault("seeds", "IP:PORT", value) from exc
-        return tuple(Endpoint(ip=one.ip, port=inner_port) for one in given)
+        return tuple(Endpoint(ip=one.ip, port=internal_port) for one in given)
 
     def retry_limits(self) -> RetryLimits:
         default = RetryLimits()
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -40,7 +40,7 @@
         front=None,
         ready=None,
         control=Endpoint(ip="10.1.0.35", port=8785),
-        inner_port=7400,
+        internal_port=7400,
         metrics_port=7401,
         seeds=(
             Endpoint(ip="10.1.0.35", port=7400),
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -93,7 +93,7 @@
         self._log_begins: dict[str, int] = {}
         self._clocks: dict[str, SteadyClock] = {}
         self.control_port = free_port(every)
-        self.inner_port = free_port(every)
+        self.internal_port = free_port(every)
         self.front_port = free_port(every)
         self.ready_port = free_port(every)
         self.server_port = free_port(every)
@@ -223,7 +223,7 @@
 
     def internal_port_of(self, ip: str) -> int:
         """Return the first of the ports that a box uses for links between nodes."""
-        return self.inner_port
+        return self.internal_port
 
     def signal(self, ip: str, number: signal.Signals) -> None:
         """Send a signal to the process of a box."""
