--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -43,7 +43,7 @@
     """Have four plain servers that a request with the deadly path crashes."""
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
-    servers = platform.of("plain")
+    servers = platform.servers_of("plain")
     for server in servers:
         server.actions["deadly"] = "crash"
         server.born = born
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -25,7 +25,7 @@
 async def spread_over(platform: Platform, *zones: str) -> None:
     """Have the servers of each service state these failure domains."""
     for service in ("model", "plain"):
-        for server, zone in zip(platform.of(service), zones, strict=True):
+        for server, zone in zip(platform.servers_of(service), zones, strict=True):
             server.zone = zone
             acks = server.acks
             await until(partial(_more, server, acks), f"{zone} is registered")
@@ -92,7 +92,7 @@
     platform: Platform,
 ) -> None:
     await spread_over(platform, "a", "a")
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.actions["long"] = "pause"
     entry = platform.entry_ips[0]
     call = asyncio.create_task(
@@ -100,15 +100,15 @@
     )
 
     async def runs() -> bool:
-        return any(server.count("running") for server in platform.of("model"))
+        return any(server.count("running") for server in platform.servers_of("model"))
 
     await until(runs, "the request runs")
     assert await platform.operator.switch("a", evacuated=True) == 200
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.release.set()
     answer = await call
     assert (answer.status, answer.cut) == (200, False)
-    assert sum(server.count("running") for server in platform.of("model")) == 1
+    assert sum(server.count("running") for server in platform.servers_of("model")) == 1
     await wait_evacuated(platform, "a")
     # No domain is left: refused at once, with a time to come back.
     refused = await platform.call(entry, "/stream/x")
@@ -181,7 +181,7 @@
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
     zones = ("a", "b", "c", "c")
-    for server, zone in zip(platform.of("plain"), zones, strict=True):
+    for server, zone in zip(platform.servers_of("plain"), zones, strict=True):
         server.zone = zone
         acks = server.acks
         await until(partial(_more, server, acks), f"{zone} is registered")
@@ -200,7 +200,7 @@
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
         await until(in_force, "the bounds are in force")
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.runs.clear()
     for number in range(CALLS):
         entry = platform.entry_ips[number % 2]
@@ -212,7 +212,7 @@
             request_id = f"{path}{key}{number}".replace("/", "-")
             answer = await platform.call(entry, path, key=key, request_id=request_id)
             assert answer.status == 200
-            (server,) = [s for s in platform.of("plain") if s.count(request_id)]
+            (server,) = [s for s in platform.servers_of("plain") if s.count(request_id)]
             assert server.zone in allowed
 
 
@@ -223,7 +223,7 @@
     services[0]["coldPerS"] = 2
     newer = document(2, services=services)
     assert await platform.operator.replace(newer) == 200
-    cold, _ = platform.of("plain")
+    cold, _ = platform.servers_of("plain")
     cold.cold = 60_000
     for entry in platform.entry_ips:
 
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -29,7 +29,7 @@
 ) -> None:
     # It went through the splitter of events, which held it back up to an empty line,
     # here until its end, and took a line of it for the identity of an event.
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions["large"] = "large"
     received = asyncio.Event()
 
@@ -41,7 +41,7 @@
     call = asyncio.create_task(platform.call(entry, "/once/large", on_data=on_data))
     async with asyncio.timeout(CONDITION_TIMEOUT):
         await received.wait()
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.release.set()
     answer = await call
     assert (answer.status, answer.cut) == (200, False)
@@ -64,7 +64,7 @@
             "Connection": "X-Hop",
         },
     )
-    server = next(one for one in platform.of("plain") if one.count("once-1"))
+    server = next(one for one in platform.servers_of("plain") if one.count("once-1"))
     assert plain.status == 200
     assert plain.body == f"{server.instance} /once/a%2Fb/?q=%20x&y".encode()
     assert plain.headers[names.SIGNATURE] == f"signed-{server.instance}"
@@ -121,7 +121,7 @@
 
 
 async def test_a_leaving_server_gets_nothing_more(platform: Platform) -> None:
-    leaving, other = platform.of("plain")
+    leaving, other = platform.servers_of("plain")
     await leaving.drain()
     for entry in platform.entry_ips:
 
@@ -146,12 +146,12 @@
 
 def break_after_two_events(platform: Platform) -> Callable[[bytes], None]:
     """Have model servers break off once the caller has two events."""
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.actions["breaks"] = "break"
 
     def release(received: bytes) -> None:
         if received == event(1) + event(2):
-            for server in platform.of("model"):
+            for server in platform.servers_of("model"):
                 server.actions.clear()
                 server.release.set()
 
@@ -168,7 +168,7 @@
         on_data=break_after_two_events(platform),
     )
     assert (answer.status, answer.body) == (200, WHOLE_STREAM)
-    first, second = platform.of("model")
+    first, second = platform.servers_of("model")
     assert (first.count("resumed"), second.count("resumed")) == (1, 1)
     runs = [*first.runs, *second.runs]
     resumed = [run for run in runs if run.request_id == "resumed"]
@@ -184,25 +184,25 @@
     )
     assert answer.cut
     assert answer.body == event(1) + event(2)
-    assert sum(server.count("fixed") for server in platform.of("model")) == 1
+    assert sum(server.count("fixed") for server in platform.servers_of("model")) == 1
 
 
 @pytest.mark.parametrize("action", ["reset", "unsigned", "foreign"])
 async def test_what_must_not_repeat_runs_once_and_is_not_called_not_run(
     platform: Platform, action: str
 ) -> None:
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions["x"] = action
     answer = await platform.call(platform.entry_ips[0], "/once/x", request_id="o")
     assert answer.status == 502
-    assert sum(server.count("o") for server in platform.of("plain")) == 1
+    assert sum(server.count("o") for server in platform.servers_of("plain")) == 1
 
 
 @pytest.mark.parametrize("action", ["reset", "unsigned", "foreign", "error"])
 async def test_what_may_repeat_is_tried_elsewhere(
     platform: Platform, action: str
 ) -> None:
-    bad, good = platform.of("plain")
+    bad, good = platform.servers_of("plain")
     bad.actions["x"] = action
 
     async def bad_was_tried() -> bool:
@@ -215,16 +215,16 @@
 
 
 async def test_a_refusal_is_true_and_says_when_to_come_back(platform: Platform) -> None:
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions["x"] = "full"
     answer = await platform.call(platform.entry_ips[0], "/once/x", request_id="f")
     assert answer.status == 503
     assert 0 < float(answer.headers[names.RETRY_AFTER]) <= 5 / 3
-    assert sum(server.count("f") for server in platform.of("plain")) == 0
+    assert sum(server.count("f") for server in platform.servers_of("plain")) == 0
 
 
 async def test_the_time_limit_gives_a_final_answer(platform: Platform) -> None:
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions["x"] = "hold"
     answer = await platform.call(
         platform.entry_ips[0], "/once/x", headers={names.DEADLINE: "300"}
@@ -233,20 +233,20 @@
 
 
 async def test_a_caller_that_leaves_ends_the_work(platform: Platform) -> None:
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
     call = asyncio.create_task(
         platform.call(platform.entry_ips[0], "/stream/slow", request_id="gone")
     )
 
     async def runs() -> bool:
-        return any(server.count("gone") for server in platform.of("model"))
+        return any(server.count("gone") for server in platform.servers_of("model"))
 
     await until(runs, "the request runs")
     call.cancel()
 
     async def cancelled() -> bool:
-        runs = [run for server in platform.of("model") for run in server.runs]
+        runs = [run for server in platform.servers_of("model") for run in server.runs]
         return any(run.ended == "cancelled" for run in runs if run.request_id == "gone")
 
     await until(cancelled, "the work is cancelled")
@@ -254,14 +254,14 @@
 
 async def test_a_planned_stop_finishes_what_runs(platform: Platform) -> None:
     entry = platform.entry_ips[0]
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
     call = asyncio.create_task(
         platform.call(entry, "/stream/slow", request_id="stopped")
     )
 
     async def runs() -> bool:
-        return any(server.count("stopped") for server in platform.of("model"))
+        return any(server.count("stopped") for server in platform.servers_of("model"))
 
     await until(runs, "the request runs")
     platform.signal(entry, signal.SIGTERM)
@@ -273,7 +273,7 @@
     late = await platform.call(entry, "/once/late")
     assert late.status == 200
     assert late.headers["Connection"] == "close"
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.release.set()
     answer = await call
     assert (answer.status, answer.body) == (200, WHOLE_STREAM)
@@ -325,12 +325,12 @@
 
 async def test_new_seeds_cut_nothing(platform: Platform) -> None:
     entry = platform.entry_ips[0]
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
     call = asyncio.create_task(platform.call(entry, "/stream/slow", request_id="hup"))
 
     async def runs() -> bool:
-        return any(server.count("hup") for server in platform.of("model"))
+        return any(server.count("hup") for server in platform.servers_of("model"))
 
     await until(runs, "the request runs")
     platform.seeds = platform.controls[1:]
@@ -342,7 +342,7 @@
         return any(line["message"] == "settings reloaded" for line in lines)
 
     await until(reloaded, "the settings are reloaded")
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.release.set()
     assert (await call).body == WHOLE_STREAM
 
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -26,7 +26,7 @@
 
 async def only_server(platform: Platform, ip: str, **fields: object) -> Server:
     """Return the only plain server of a running platform."""
-    for other in platform.of("plain"):
+    for other in platform.servers_of("plain"):
         await other.stop()
         platform.servers.remove(other)
     return await one_more_server(platform, ip, **fields)
--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -89,12 +89,12 @@
     platform: Platform,
 ) -> None:
     entry = platform.entry_ips[0]
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions["held"] = "hold"
     call = asyncio.create_task(platform.call(entry, "/safe/held", method="GET"))
     holder = await held_by(platform, "/safe/held")
     suspended = asyncio.create_task(platform.suspend(entry, AWAY))
-    (other,) = (one for one in platform.of("plain") if one is not holder)
+    (other,) = (one for one in platform.servers_of("plain") if one is not holder)
     other.actions.clear()
     await asyncio.sleep(0)
     await holder.stop()
@@ -109,7 +109,7 @@
     platform: Platform,
 ) -> None:
     entry = platform.entry_ips[0]
-    for server in platform.of("plain"):
+    for server in platform.servers_of("plain"):
         server.actions |= {"first": "hold", "second": "hold"}
     ended: list[str] = []
 
--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstreams_words.py
@@ -76,7 +76,7 @@
 
 async def check_rests(platform: Platform, service: str, path: str) -> None:
     """Have a server of two ask for a rest, and look at what reaches it."""
-    resting = platform.of(service)[0]
+    resting = platform.servers_of(service)[0]
     resting.pause_length = REST
     resting.default_action = "rest"
     async with Callers(platform, path) as callers:
@@ -99,7 +99,7 @@
 async def test_a_server_that_says_only_in_answers_that_it_leaves_gets_nothing_new(
     platform: Platform,
 ) -> None:
-    leaving = platform.of("model")[0]
+    leaving = platform.servers_of("model")[0]
     leaving.announces_leaving = True
     async with Callers(platform, "/stream/x") as callers:
         while not leaving.runs:
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -128,7 +128,7 @@
             for number in range(self._load.good):
                 group.create_task(self._call_good(number))
             group.create_task(self._crash_by_themselves())
-        servers = self._platform.of("plain")
+        servers = self._platform.servers_of("plain")
         runs = [run for server in servers for run in server.crashes]
         self.row.crashes = sorted(runs, key=lambda run: run.at)
         self.row.verdicts = await self._count_verdicts()
@@ -160,7 +160,7 @@
     async def _crash_by_themselves(self) -> None:
         while time.monotonic() < self._end and self._load.mass:
             await asyncio.sleep(MASS_INTERVAL)
-            for server in self._platform.of("plain"):
+            for server in self._platform.servers_of("plain"):
                 if self._rng.random() < self._load.mass * MASS_INTERVAL:
                     self.row.by_themselves += server.crash()
 
@@ -183,7 +183,7 @@
             await platform.start_all()
             for ip in platform.server_ips[4:6]:
                 await platform.add_server(ip, "plain")
-            for server in platform.of("plain"):
+            for server in platform.servers_of("plain"):
                 server.actions["deadly"] = "crash"
                 server.delay = load.run_time
             experiment = Experiment(platform, callers, load)
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -154,7 +154,7 @@
         """Return the address that a server registers."""
         return f"{ip}:{self.server_port}"
 
-    def of(self, service: str) -> list[Server]:
+    def servers_of(self, service: str) -> list[Server]:
         """Return the servers of a service."""
         return [server for server in self.servers if server.service == service]
 
