--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -19,7 +19,7 @@
 
 from leadseam.platform import names
 from tools.platform.nodes import Platform
-from tools.platform.suspension import SteadyClock
+from tools.platform.suspension import SuspendableClock
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
 
 
 async def test_the_clock_counts_the_time_away(tmp_path: Path) -> None:
-    steady = SteadyClock(tmp_path / "left-out")
+    steady = SuspendableClock(tmp_path / "left-out")
     with subprocess.Popen(
         [sys.executable, "-c", SHOW_CLOCK, str(steady.file)],
         stdin=subprocess.PIPE,
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -20,7 +20,7 @@
 from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
 from tools.node import Node
 from tools.platform import suspension
-from tools.platform.suspension import SteadyClock
+from tools.platform.suspension import SuspendableClock
 from tools.ports import LOOPBACK, PortPool
 from tools.waiting import until
 
@@ -57,7 +57,7 @@
         self.platform_list = ""
         self._http: aiohttp.ClientSession | None = None
         self._closers: list[Callable[[], Awaitable[None]]] = []
-        self._clocks: dict[str, SteadyClock] = {}
+        self._clocks: dict[str, SuspendableClock] = {}
 
     @property
     def http(self) -> aiohttp.ClientSession:
@@ -209,7 +209,7 @@
 
     def make_suspendable(self, name: str) -> None:
         """Have a process started so that it can be suspended."""
-        self._clocks[name] = SteadyClock(self.folder / f"{name}.left-out")
+        self._clocks[name] = SuspendableClock(self.folder / f"{name}.left-out")
 
     async def suspend(self, name: str, length: float) -> None:
         """Suspend a process for some seconds."""
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -23,7 +23,7 @@
 from tools.platform import suspension
 from tools.platform.operator import Operator
 from tools.platform.standin import Server
-from tools.platform.suspension import SteadyClock
+from tools.platform.suspension import SuspendableClock
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
             *self.server_ips,
         ]
         self._log_begins: dict[str, int] = {}
-        self._clocks: dict[str, SteadyClock] = {}
+        self._clocks: dict[str, SuspendableClock] = {}
         self.control_port = free_port(every)
         self.internal_port = free_port(every)
         self.front_port = free_port(every)
@@ -238,7 +238,7 @@
             return ["leadseam.cli.node"]
         if ip not in self._clocks:
             # One for all processes of a box: the clock is the box's.
-            self._clocks[ip] = SteadyClock(self.folder / f"{ip}.left-out")
+            self._clocks[ip] = SuspendableClock(self.folder / f"{ip}.left-out")
         return [suspension.MODULE, str(self._clocks[ip].file), "node"]
 
     def kill(self, ip: str) -> None:
--- a/tools/platform/suspension.py
+++ b/tools/platform/suspension.py
@@ -20,7 +20,7 @@
 MODULE = "tools.platform.suspendable"
 
 
-class SteadyClock:
+class SuspendableClock:
     """The steady clock of one process, which can leave time out.
 
     Args:
