--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -12,7 +12,7 @@
 
 from leadseam.platform import names
 from tools.platform.nodes import document
-from tools.platform.operator import tell
+from tools.platform.operator import post_bytes
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
     # A follower that has not applied the restore answers 503 for another reason.
     await until(has_applied_both, "the box has applied both orders")
     # Within the time in which the first order may be sent again.
-    status = await tell(box, names.EVACUATE_PATH.format(domain="b"), b"")
+    status = await post_bytes(box, names.EVACUATE_PATH.format(domain="b"), b"")
     lines = [
         line["status"]
         for ip in platform.control_ips
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.operator import tell
+from tools.platform.operator import post_bytes
 from tools.platform.standin import Server
 from tools.waiting import until
 
@@ -143,7 +143,7 @@
         for number, body in enumerate(bodies):
             for instance in ("i-same", f"i-stranger-{number}"):
                 path = names.HEARTBEAT_PATH.format(instance=instance)
-                status = await tell(control, path, body)
+                status = await post_bytes(control, path, body)
                 assert (number, status) in ((0, 200), (number, 400))
 
     async def beaten() -> bool:
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -26,7 +26,7 @@
 from leadseam.sidecar.platform import watch_platform
 from leadseam.sidecar.upstream import Upstream, UpstreamAddress
 from tests.descriptors import assert_closed_once
-from tools.platform.operator import Operator, tell
+from tools.platform.operator import Operator, post_bytes
 from tools.ports import LOOPBACK
 
 ROOT = Path(__file__).parents[2]
@@ -50,7 +50,7 @@
 
 
 async def report(port: int) -> None:
-    await tell(f"{LOOPBACK}:{port}", "/v1/x", b"{}")
+    await post_bytes(f"{LOOPBACK}:{port}", "/v1/x", b"{}")
 
 
 async def operate(port: int) -> None:
--- a/tools/platform/operator.py
+++ b/tools/platform/operator.py
@@ -42,7 +42,7 @@
         path = names.EVACUATE_PATH if evacuated else names.RESTORE_PATH
         for control in itertools.cycle(self.controls):
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-                status = await tell(control, path.format(domain=domain), b"")
+                status = await post_bytes(control, path.format(domain=domain), b"")
                 if status < 500:
                     return status
             await asyncio.sleep(OPERATOR_PAUSE)
@@ -68,7 +68,7 @@
             return 0
 
 
-async def tell(control: str, path: str, body: bytes) -> int:
+async def post_bytes(control: str, path: str, body: bytes) -> int:
     """Send bytes to a control box, as any writer may, and return the status."""
     url = f"http://{control}{path}"
     return await _post(url, body)
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -15,7 +15,7 @@
 from multidict import CIMultiDict
 
 from leadseam.platform import names
-from tools.platform.operator import open_session, tell
+from tools.platform.operator import open_session, post_bytes
 from tools.platform.pauses import Arrival, Pause
 from tools.waiting import until
 
@@ -209,7 +209,7 @@
         born = self.born if born is None else born
         body = {} if born is None else {"born": born}
         path = names.LEAVE_PATH.format(instance=self.instance)
-        return await tell(self.controls[0], path, json.dumps(body).encode())
+        return await post_bytes(self.controls[0], path, json.dumps(body).encode())
 
     def heartbeat(self, sequence: int) -> dict[str, Any]:
         """Return what it says of itself."""
--- a/tools/soak/strangers.py
+++ b/tools/soak/strangers.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from leadseam.platform import names
-from tools.platform.operator import tell
+from tools.platform.operator import post_bytes
 
 if TYPE_CHECKING:
     from tools.soak.promises import Promises
@@ -53,7 +53,7 @@
             # Only what states a wrong start is refused there.
             document = b'{"born":"%d"}' % self._rng.randrange(10_000)
         try:
-            status = await tell(control, path.format(instance=instance), document)
+            status = await post_bytes(control, path.format(instance=instance), document)
         except (aiohttp.ClientError, OSError, TimeoutError):
             status = 0
         if status not in OUT_OF_REACH:
