--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -111,7 +111,7 @@
             event_stream=content_type.startswith(EVENT_STREAM),
             pause=pause,
             invalid_pause=invalid_pause,
-            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),
+            leaving=names.LEAVING_VALUE in headers.getall(names.LEAVING, []),
         )
 
     def retry_after(self, pause: Millis) -> Headers:
--- a/src/leadseam/platform/names.py
+++ b/src/leadseam/platform/names.py
@@ -30,7 +30,7 @@
 RETRY_AFTER = "Retry-After"
 LEAVING = "Server-Leaving"
 """Set to 1 in all answers of a server that is about to end."""
-LEAVING_SET = "1"
+LEAVING_VALUE = "1"
 AUTHORIZATION = "Authorization"
 BEARER = "Bearer "
 
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -169,7 +169,7 @@
         said = {names.REQUEST_ID: request_id}
         leaves = loop.time() >= upstream.leaves_at
         if leaves:
-            said[names.LEAVING] = names.LEAVING_SET
+            said[names.LEAVING] = names.LEAVING_VALUE
         spell = upstream.spell_at(loop.time())
         if spell is not None:
             await asyncio.sleep(HOP)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -429,7 +429,7 @@
     Variant(
         "the word of leaving in answers is not read",
         "platform/headers.py",
-        "            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),",
+        "            leaving=names.LEAVING_VALUE in headers.getall(names.LEAVING, []),",
         "",
         f"{WORDS}::test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice",
     ),
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -333,7 +333,7 @@
     def _echo(self, http: web.BaseRequest) -> dict[str, str]:
         headers = {names.REQUEST_ID: http.headers[names.REQUEST_ID]}
         if self.announces_leaving:
-            headers[names.LEAVING] = names.LEAVING_SET
+            headers[names.LEAVING] = names.LEAVING_VALUE
         return headers
 
     def _signed(self, http: web.BaseRequest) -> dict[str, str]:
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -79,7 +79,7 @@
                 if entry := entries.get(rest.request_id):
                     self._check_rest(server, rest, entry, entries)
         for call in self._promises.calls:
-            if call.headers.get(names.LEAVING) == names.LEAVING_SET and not call.cut:
+            if call.headers.get(names.LEAVING) == names.LEAVING_VALUE and not call.cut:
                 self._check_left(call)
 
     def _check_rest(
@@ -104,7 +104,7 @@
             if later.entry == call.entry
             and later.start > call.end + DRAIN
             and later.headers.get(names.SIGNATURE) == f"signed-{instance}"
-            and later.headers.get(names.LEAVING) == names.LEAVING_SET
+            and later.headers.get(names.LEAVING) == names.LEAVING_VALUE
             and not self._world.ledger.touched(call.entry, call.end, later.start)
         ]
         detail = f"{[one.request_id for one in late]} after {call.request_id}"
