--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:
     from leadseam.control.service import ControlService, Reply
 
-MAX_DOCUMENT = 16 * 1024 * 1024
+MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
 """Bytes of a request's body that are read at all."""
-CALLER_CHECK: Millis = 20
+CALLER_CHECK_DELAY: Millis = 20
 """Time after which an order without a version is carried out if its caller still waits:
 several round trips between boxes, in which a call that was held up on its way is seen
 to have been given up."""
-_DOMAIN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}", re.ASCII)
+_DOMAIN_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}", re.ASCII)
 """Names of failure domains that may stand in a log line as they are."""
 
 
@@ -47,7 +47,7 @@
 
     def application(self) -> web.Application:
         """Return the application with all calls."""
-        app = web.Application(client_max_size=MAX_DOCUMENT)
+        app = web.Application(client_max_size=MAX_DOCUMENT_BYTES)
         app.add_routes(
             [
                 web.post(names.REPLACE_PATH, self._replace),
@@ -65,13 +65,13 @@
             configuration = read_manifest(await http.read())
         except DocumentError as exc:
             self._service.log_unreadable_document(exc)
-            return _refusal(400, exc.message)
+            return _error_response(400, exc.message)
         return _response(await self._service.replace(configuration))
 
     async def _read(self, http: web.Request) -> web.Response:
         document = await self._service.read_document()
         if document is None:
-            return _refusal(503, "the newest configuration is not known here")
+            return _error_response(503, "the newest configuration is not known here")
         return web.Response(body=document, content_type="application/json")
 
     async def _heartbeat(self, http: web.Request) -> web.Response:
@@ -79,11 +79,13 @@
         try:
             registration = read_heartbeat(instance, await _read_small(http))
         except UnknownWriterError as exc:
-            return self._unknown_writer(instance, exc)
+            return self._reject_registration(instance, exc)
         reply = await self._service.heartbeat(registration)
         if isinstance(reply, Invalid):
-            unnamed = UnknownWriterError(Fault.UNKNOWN_POOL, "; ".join(reply.faults))
-            return self._unknown_writer(instance, unnamed)
+            unknown_pool = UnknownWriterError(
+                Fault.UNKNOWN_POOL, "; ".join(reply.faults)
+            )
+            return self._reject_registration(instance, unknown_pool)
         return _response(reply)
 
     async def _leave(self, http: web.Request) -> web.Response:
@@ -92,31 +94,35 @@
             read_instance(instance)
             start = read_leaving(await _read_small(http))
         except UnknownWriterError as exc:
-            return self._unknown_writer(instance, exc)
+            return self._reject_registration(instance, exc)
         if start is None:
             return _response(await self._service.leave_without_start(instance))
         return _response(await self._service.leave(Incarnation(instance, start)))
 
     async def _evacuate(self, http: web.Request) -> web.Response:
-        return await self._switch(http, evacuated=True)
+        return await self._set_evacuated(http, evacuated=True)
 
     async def _restore(self, http: web.Request) -> web.Response:
-        return await self._switch(http, evacuated=False)
+        return await self._set_evacuated(http, evacuated=False)
 
-    async def _switch(self, http: web.Request, *, evacuated: bool) -> web.Response:
+    async def _set_evacuated(
+        self, http: web.Request, *, evacuated: bool
+    ) -> web.Response:
         domain = http.match_info["domain"]
-        if not _DOMAIN.fullmatch(domain):
-            return _refusal(400, "not the name of a failure domain")
-        await sleep(CALLER_CHECK)
+        if not _DOMAIN_NAME.fullmatch(domain):
+            return _error_response(400, "not the name of a failure domain")
+        await sleep(CALLER_CHECK_DELAY)
         if http.transport is None or http.transport.is_closing():
-            return _refusal(503, "the caller is gone")
+            return _error_response(503, "the caller is gone")
         return _response(await self._service.evacuate(domain, evacuated=evacuated))
 
-    def _unknown_writer(self, instance: str, exc: UnknownWriterError) -> web.Response:
+    def _reject_registration(
+        self, instance: str, exc: UnknownWriterError
+    ) -> web.Response:
         self._service.record_refused_registration(
             instance, exc.fault.value, exc.message
         )
-        return _refusal(400, exc.message)
+        return _error_response(400, exc.message)
 
 
 async def _read_small(http: web.Request) -> bytes:
@@ -138,10 +144,10 @@
         case Accepted():
             return web.json_response({})
         case Invalid(faults=faults):
-            return _refusal(400, "; ".join(faults))
+            return _error_response(400, "; ".join(faults))
         case Unavailable(reason=reason):
-            return _refusal(503, reason)
+            return _error_response(503, reason)
 
 
-def _refusal(status: int, message: str) -> web.Response:
+def _error_response(status: int, message: str) -> web.Response:
     return web.json_response({"error": message}, status=status)
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -78,12 +78,12 @@
         self._storage = Storage(folder)
         recovered = self._storage.open()
         if renew:
-            self._renew(recovered)
+            self._rewrite_storage(recovered)
         self.replica = Replica(
             name=settings.ip,
             identity=identity,
             endpoints=seeds,
-            address_of=settings.inner,
+            address_of=settings.internal_endpoint,
             storage=self._storage,
             recovered=recovered,
             clock=clock,
@@ -151,7 +151,7 @@
             group.create_task(self.replica.run())
             group.create_task(self._feed.run())
             group.create_task(self._watch.run())
-            group.create_task(self._end_on_failure())
+            group.create_task(self._raise_on_failure())
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
@@ -168,14 +168,14 @@
         self.replica.close()
         self._storage.close()
 
-    def _renew(self, recovered: RecoveredState) -> None:
+    def _rewrite_storage(self, recovered: RecoveredState) -> None:
         try:
             self._storage.rewrite(recovered)
         except StorageError:
             self._storage.close()
             raise
 
-    async def _end_on_failure(self) -> None:
+    async def _raise_on_failure(self) -> None:
         while not self.replica.failure:
             await sleep(FAILURE_POLL)
         raise StorageError(self.replica.failure)
--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -76,7 +76,7 @@
             on_change=self._configure,
             width=REPLICAS_FOLLOWED,
             view=self._view,
-            address_of=settings.inner,
+            address_of=settings.internal_endpoint,
             on_sums=self._take_sums,
             on_restarts=self._end_attempts,
             on_crashes=self._take_crashes,
--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -96,7 +96,7 @@
             retry_limits=fields.retry_limits(),
         )
 
-    def inner(self, ip: str) -> Endpoint:
+    def internal_endpoint(self, ip: str) -> Endpoint:
         """Return the address for our own links on a box."""
         return Endpoint(ip=ip, port=self.internal_port)
 
