--- a/src/leadseam/platform/__init__.py
+++ b/src/leadseam/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter for the deployment platform: names, formats and calls, without decisions."""
--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -1,4 +1,4 @@
-"""The calls of operators and upstreams, mapped onto the control service."""
+"""HTTP calls of operators and upstreams, mapped onto the control service."""
 
 from __future__ import annotations
 
@@ -26,27 +26,28 @@
     from leadseam.control.service import ControlService, Reply
 
 MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
-"""Bytes of a request's body that are read at all."""
+"""Maximum size of a request body in bytes."""
 CALLER_CHECK_DELAY: Millis = 20
-"""Time after which an order without a version is carried out if its caller still waits:
-several round trips between boxes, in which a call that was held up on its way is seen
-to have been given up."""
+"""Delay before an order without a version is carried out, if its caller is still
+connected. It covers several round trips between boxes, so that a delayed call that its
+caller has given up shows as a closed connection."""
+
 _DOMAIN_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}", re.ASCII)
-"""Names of failure domains that may stand in a log line as they are."""
+"""Names of failure domains that can be logged without escaping."""
 
 
 class ControlApi:
-    """Handlers of the platform's control calls.
+    """HTTP handlers of the platform's control calls.
 
     Args:
-        service: What decides.
+        service: Makes the decisions.
     """
 
     def __init__(self, service: ControlService) -> None:
         self._service = service
 
     def application(self) -> web.Application:
-        """Return the application with all calls."""
+        """Return the web application with the routes of all calls."""
         app = web.Application(client_max_size=MAX_DOCUMENT_BYTES)
         app.add_routes(
             [
@@ -126,16 +127,16 @@
 
 
 async def _read_small(http: web.Request) -> bytes:
-    """Read a body that an upstream may send, and no more than that.
+    """Read a request body up to the size allowed for upstreams.
 
     Raises:
-        UnknownWriterError: If it is larger.
+        UnknownWriterError: If the body is larger.
     """
     try:
         return await http.clone(client_max_size=MAX_BYTES).read()
     except web.HTTPRequestEntityTooLarge as exc:
         raise UnknownWriterError(
-            Fault.TOO_LARGE, "more bytes than an upstream sends"
+            Fault.TOO_LARGE, "the document is too large for an upstream"
         ) from exc
 
 
--- a/src/leadseam/platform/control_node.py
+++ b/src/leadseam/platform/control_node.py
@@ -1,4 +1,4 @@
-"""A control replica on the platform: Raft, feed, control calls, metrics."""
+"""Process of a control replica: Raft, feed, control calls and metrics."""
 
 from __future__ import annotations
 
@@ -40,19 +40,20 @@
 
 
 class ControlNode:
-    """One control replica and everything it serves.
+    """One control replica with its sockets and storage.
 
-    A box is named by its IP number in the group, so its address needs no directory.
+    The group identifies a box by its IP address, so no directory lookup is needed to
+    reach it.
 
     Args:
-        settings: Its settings.
-        path: File that they came from.
-        renew: Whether a write has failed before, so that the disk has to take all that
-            it holds once more.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the process.
+        path: File from which the settings were read.
+        renew: Whether to write the recovered state to disk again, because a write has
+            failed in this process before.
+        clock: Source of time. Defaults to the system clock.
 
     Raises:
-        StorageError: If the disk cannot be read, or written where that is tried.
+        StorageError: If the data folder cannot be read, or if writing it again fails.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
             traffic=self._metrics.traffic,
             seed=secrets.randbits(64),
             tolerated_losses=settings.loss_tolerance,
-            # After a failed write it is the same process that answered leaders before.
+            # After a failed write this is still the process that answered leaders.
             silent_since=None if renew else process_start(),
         )
         self._feed = FeedServer(
@@ -110,14 +111,14 @@
         )
         self._api = ControlApi(self._service)
         self._watch = SettingsWatch(path, settings, self._on_settings)
-        # Nothing to do: leases and ages go by a clock that counts the time away.
+        # No callback: leases and ages use a clock that includes suspended time.
         self._suspension = SuspensionWatch(clock, self._metrics)
         self._links: LinkServer | None = None
         self._runner: AppRunner | None = None
         self._admin: AppRunner | None = None
 
     async def start(self) -> None:
-        """Bind all sockets."""
+        """Bind all sockets and start serving."""
         settings = self._settings
         assert settings.control is not None
         self._links = await listen(
@@ -141,11 +142,11 @@
         )
 
     async def run(self) -> None:
-        """Serve until cancelled.
+        """Run the background tasks until cancelled.
 
         Raises:
-            ExceptionGroup: With a `StorageError`, if the disk fails. Another node of
-                this class reads again what it holds.
+            ExceptionGroup: With a `StorageError`, if the disk fails. A new instance of
+                this class then recovers the state from disk.
         """
         async with asyncio.TaskGroup() as group:
             group.create_task(self.replica.run())
@@ -155,11 +156,15 @@
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
-        """Nothing is in flight for long; the group is told that this box stops."""
+        """Announce to the group that this box stops.
+
+        No call takes long enough to wait for it.
+        """
         await self.replica.leave()
 
     async def stop(self) -> None:
-        """Release all sockets and the disk."""
+        """Close all sockets and the storage."""
+
         if self._links is not None:
             self._links.close()
         for runner in (self._runner, self._admin):
