--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -77,13 +77,13 @@
             width=REPLICAS_FOLLOWED,
             view=self._view,
             address_of=settings.internal_endpoint,
-            on_sums=self._take_sums,
+            on_sums=self._apply_sums,
             on_restarts=self._end_attempts,
-            on_crashes=self._take_crashes,
-            greeting=self._greeting,
+            on_crashes=self._receive_crashes,
+            greeting=self._initial_report,
         )
         self._routing_metrics = RoutingMetrics(self._metrics)
-        self._lag = LoopLag(self._clock, self._show_lag)
+        self._lag = LoopLag(self._clock, self._record_lag)
         self._suspension = SuspensionWatch(
             self._clock, self._metrics, on_resume=self._on_resume
         )
@@ -142,10 +142,10 @@
         started = self._clock.now()
         self._stopping = True
         self._gateway.stopping = True
-        last = started + self._settings.grace - STOP_RESERVE
+        deadline = started + self._settings.grace - STOP_RESERVE
         await sleep(STOP_NOTICE)
         await self._front.close_idle()
-        while self._gateway.in_flight and self._clock.now() < last:
+        while self._gateway.in_flight and self._clock.now() < deadline:
             await sleep(DRAIN_POLL)
         extra = {
             "in_flight": self._gateway.in_flight,
@@ -193,27 +193,27 @@
         self._staleness.resumed()
         self._gateway.resumed()
 
-    def _show_lag(self, lag: Millis) -> None:
+    def _record_lag(self, lag: Millis) -> None:
         self._routing_metrics.lag.set({}, lag)
 
-    def _take_sums(self, included: int, sums: LoadSums) -> None:
+    def _apply_sums(self, included: int, sums: LoadSums) -> None:
         assert self._gateway is not None
         self._gateway.placer.apply_sums(included, sums)
 
-    def _end_attempts(self, over: Iterable[Incarnation]) -> None:
+    def _end_attempts(self, ended_incarnations: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
-        over = tuple(over)
-        ended = self._gateway.restarts.end_attempts(over)
-        for incarnation in over:
+        ended_incarnations = tuple(ended_incarnations)
+        ended = self._gateway.restarts.end_attempts(ended_incarnations)
+        for incarnation in ended_incarnations:
             self._gateway.crash_guard.ended(incarnation)
         if ended:
             log.info("attempts at earlier starts ended", extra={"attempts": ended})
 
-    def _take_crashes(self, message: Crashes) -> None:
+    def _receive_crashes(self, message: Crashes) -> None:
         assert self._gateway is not None
         self._gateway.crash_guard.receive(message)
 
-    def _greeting(self) -> Crashes | None:
+    def _initial_report(self) -> Crashes | None:
         assert self._gateway is not None
         return self._gateway.crash_guard.initial_report()
 
