--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -1,4 +1,4 @@
-"""An entry on the platform: feed, gateway, callers' socket, readiness, metrics."""
+"""Process of an entry: feed, gateway, callers' socket, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -37,25 +37,26 @@
 
 INCARNATION_BITS = 53
 REPLICAS_FOLLOWED = 9
-"""Control replicas followed at once: all of them, as upstreams register at any."""
+"""Control replicas followed at once: all, as upstreams register with any of them."""
 SWEEP_INTERVAL: Millis = 500
 STOP_NOTICE: Millis = 2_600
-"""Time from the request to stop until connections are closed: the platform asks once a
-second, takes a box out after two misses, and connections are under way meanwhile."""
+"""Time from the request to stop until idle connections are closed. The platform checks
+readiness once a second and removes a box after two failed checks; new connections keep
+arriving until then."""
 STOP_RESERVE: Millis = 700
-"""Time kept before the platform kills the process, to close in order."""
+"""Time reserved for an orderly shutdown before the platform kills the process."""
 DRAIN_POLL: Millis = 50
 
 log = logging.getLogger(__name__)
 
 
 class EntryNode:
-    """One entry and everything it serves.
+    """One entry with its sockets and background tasks.
 
     Args:
-        settings: Its settings.
-        path: File that they came from.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the process.
+        path: File from which the settings were read.
+        clock: Source of time. Defaults to the system clock.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self._stopping = False
 
     async def start(self) -> None:
-        """Bind all sockets."""
+        """Bind all sockets and start serving."""
         settings = self._settings
         assert settings.front is not None
         assert settings.ready is not None
@@ -124,7 +125,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run the background tasks until cancelled."""
         assert self._gateway is not None
         async with asyncio.TaskGroup() as group:
             group.create_task(self._feed.run())
@@ -136,7 +137,10 @@
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
-        """Fail the readiness question, go on serving, end after the last answer."""
+        """Report not ready, keep serving, and return after the last response.
+
+        Returns earlier if the grace period of the platform is about to end.
+        """
         assert self._gateway is not None
         assert self._front is not None
         started = self._clock.now()
@@ -154,7 +158,8 @@
         log.info("drained", extra=extra)
 
     async def stop(self) -> None:
-        """Release all sockets."""
+        """Close all sockets."""
+
         if self._front is not None:
             await self._front.stop()
         if self._client is not None:
