--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -29,7 +29,7 @@
 
     Refuse = Callable[[Sender], NotRun | None]
 
-HEAD_END = b"\r\n\r\n"
+HEAD_TERMINATOR = b"\r\n\r\n"
 _FIELD = re.compile(
     rb"\r\n(content-length|transfer-encoding|expect|%b):[ \t]*([^\r\n]*)"
     % b"|".join(
@@ -67,7 +67,7 @@
         None if these bytes do not hold one whole head of a request with a plain length:
         the library has to read it then.
     """
-    head, end, body = data.partition(HEAD_END)
+    head, end, body = data.partition(HEAD_TERMINATOR)
     if not end:
         return None
     fields: dict[bytes, str] = {}
@@ -110,7 +110,7 @@
     ]
     if refusal.retry_after is not None:
         lines.append(f"{names.RETRY_AFTER}: {refusal.retry_after / 1_000:.3f}")
-    return "\r\n".join(lines).encode() + HEAD_END + body
+    return "\r\n".join(lines).encode() + HEAD_TERMINATOR + body
 
 
 class FirstBytes(asyncio.Protocol):
@@ -128,15 +128,15 @@
         make_handler: Callable[[], RequestHandler],
         refuse: Refuse,
         waiting: set[FirstBytes],
-        idle_s: float,
+        idle_timeout_s: float,
     ) -> None:
         self._make_handler = make_handler
         self._refuse = refuse
         self._waiting = waiting
-        self._idle_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._answer = b""
+        self._response = b""
         self._body_left = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -144,48 +144,48 @@
         self._transport = cast("asyncio.Transport", transport)
         self._waiting.add(self)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._idle_s, self.close)
+        self._timer = loop.call_later(self._idle_timeout_s, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the connection."""
-        self._done()
+        self._stop_waiting()
 
     def data_received(self, data: bytes) -> None:
         """Refuse the request, read its body out, or hand all over."""
-        if self._answer:
+        if self._response:
             # The caller may not read an answer that comes before its body is read.
             self._body_left -= len(data)
-            self._end_if_read()
+            self._respond_if_read()
             return
         head = read_first_head(data)
         refusal = self._refuse(head.sender) if head is not None else None
         if head is None or refusal is None:
             self._hand_over(data)
             return
-        self._answer = encode_refusal(refusal)
+        self._response = encode_refusal(refusal)
         self._body_left = head.body_left
-        self._end_if_read()
+        self._respond_if_read()
 
     def close(self) -> None:
         """Close the connection."""
-        self._done()
+        self._stop_waiting()
         if self._transport is not None:
             self._transport.close()
 
-    def _end_if_read(self) -> None:
+    def _respond_if_read(self) -> None:
         if self._body_left <= 0 and self._transport is not None:
-            self._transport.write(self._answer)
+            self._transport.write(self._response)
             self.close()
 
     def _hand_over(self, data: bytes) -> None:
         assert self._transport is not None
-        self._done()
+        self._stop_waiting()
         handler = self._make_handler()
         self._transport.set_protocol(handler)
         handler.connection_made(self._transport)
         handler.data_received(data)
 
-    def _done(self) -> None:
+    def _stop_waiting(self) -> None:
         self._waiting.discard(self)
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/platform/test_first_bytes.py
+++ b/tests/platform/test_first_bytes.py
@@ -69,11 +69,11 @@
     assert head_of(b"Content-Length: 1", body=b"1POST") is None
 
 
-class Busy:
+class RefusingServer:
     """A front server that refuses the key `k1` while it is busy."""
 
     def __init__(self) -> None:
-        self.busy = True
+        self.is_busy = True
         self.seen: list[Sender] = []
         self.served: list[bytes] = []
         self.front = FrontServer(self._handle, refuse=self._refuse)
@@ -83,7 +83,7 @@
 
     def _refuse(self, sender: Sender) -> NotRun | None:
         self.seen.append(sender)
-        if self.busy and sender.key == "k1":
+        if self.is_busy and sender.key == "k1":
             return NotRun(Reason.ENTRY_BUSY, 120)
         return None
 
@@ -97,24 +97,26 @@
 
 
 @pytest.fixture
-async def busy() -> AsyncIterator[Busy]:
+async def server() -> AsyncIterator[RefusingServer]:
     """A running front server."""
-    busy = Busy()
-    await busy.front.start(Endpoint(ip=LOOPBACK, port=busy.port))
+    server = RefusingServer()
+    await server.front.start(Endpoint(ip=LOOPBACK, port=server.port))
     try:
-        yield busy
+        yield server
     finally:
-        await busy.front.stop()
+        await server.front.stop()
 
 
-async def test_a_refusal_is_whole_true_and_ends_the_connection(busy: Busy) -> None:
-    reader, writer = await busy.connect()
+async def test_a_refusal_is_whole_true_and_ends_the_connection(
+    server: RefusingServer,
+) -> None:
+    reader, writer = await server.connect()
     writer.write(HEAD + b"Content-Length: 6\r\n\r\nabc")
     await writer.drain()
-    while not busy.seen:
+    while not server.seen:
         await asyncio.sleep(0)
     # The rest of the body is read before the answer, or a reset could overtake it.
-    assert len(busy.front.connections) == 1
+    assert len(server.front.connections) == 1
     writer.write(b"def")
     answer = await reader.read()
     head, _, body = answer.partition(b"\r\n\r\n")
@@ -124,18 +126,20 @@
     assert json.loads(body)["error"]["code"] == "entry_busy"
     assert json.loads(body)["error"]["outcome"] == "not_run"
     assert f"Content-Length: {len(body)}".encode() in head
-    assert busy.served == []
-    assert busy.seen == [SENDER]
-    assert busy.front.connections == []
+    assert server.served == []
+    assert server.seen == [SENDER]
+    assert server.front.connections == []
     writer.close()
 
 
-async def test_what_is_not_refused_is_served_with_all_its_bytes(busy: Busy) -> None:
-    busy.busy = False
-    reader, writer = await busy.connect()
+async def test_what_is_not_refused_is_served_with_all_its_bytes(
+    server: RefusingServer,
+) -> None:
+    server.is_busy = False
+    reader, writer = await server.connect()
     writer.write(HEAD + b"Content-Length: 6\r\n\r\nabc")
     await writer.drain()
-    while not busy.seen:
+    while not server.seen:
         await asyncio.sleep(0)
     writer.write(b"def")
     await reader.readuntil(b"\r\n\r\n")
@@ -143,18 +147,20 @@
     # The connection is the library's from then on.
     writer.write(HEAD + b"\r\n")
     await reader.readuntil(b"\r\n\r\n")
-    assert busy.served == [b"abcdef", b""]
-    assert len(busy.seen) == 1
+    assert server.served == [b"abcdef", b""]
+    assert len(server.seen) == 1
     writer.close()
 
 
-async def test_a_head_in_pieces_is_served_by_the_library(busy: Busy) -> None:
-    reader, writer = await busy.connect()
+async def test_a_head_in_pieces_is_served_by_the_library(
+    server: RefusingServer,
+) -> None:
+    reader, writer = await server.connect()
     writer.write(HEAD)
     await writer.drain()
-    while not any(not hasattr(c, "_waiting") for c in busy.front.connections):
+    while not any(not hasattr(c, "_waiting") for c in server.front.connections):
         await asyncio.sleep(0)
     writer.write(b"\r\n")
     await reader.readuntil(b"\r\n\r\n")
-    assert busy.served == [b""]
+    assert server.served == [b""]
     writer.close()
