--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -1,10 +1,10 @@
-"""A caller's new connection until its first request has come in.
+"""Early refusal of the first request of a connection, from its raw bytes.
 
-A busy entry refuses many requests. To answer one through the HTTP library takes a task,
-a parser and a response, which costs twice as much as to look for a few fields. Where an
-entry gets hundreds of them a second little is left for those that it could serve. So
-the first request of a connection may be refused from its bytes. All others go on to the
-library untouched.
+A busy entry refuses many requests. Answering one through the HTTP library takes a task,
+a parser and a response object, which costs twice as much as searching the head for a
+few fields. At hundreds of refusals a second, little processor time would be left for
+the requests that the entry can serve. So the first request of a connection may be
+refused from its bytes; every other request goes to the library unchanged.
 """
 
 from __future__ import annotations
@@ -43,17 +43,17 @@
     ),
     re.IGNORECASE,
 )
-"""The fields of a head that decide."""
+"""The header fields that are read before the library parses a request."""
 REASONS = {429: "Too Many Requests", 503: "Service Unavailable"}
 
 
 @dataclass(frozen=True, slots=True)
 class FirstHead:
-    """The head of a first request, as far as a refusal needs it.
+    """The parts of a request head that an early refusal needs.
 
     Args:
-        sender: Who sends it, and how much work it is.
-        body_left: Bytes of its body that have not come in yet.
+        sender: Who sends the request, and how many tokens it asks for.
+        body_left: Bytes of the body that have not been received yet.
     """
 
     sender: Sender
@@ -61,11 +61,12 @@
 
 
 def read_first_head(data: bytes) -> FirstHead | None:
-    """Read a head from the first bytes of a connection.
+    """Parse a request head from the first bytes of a connection.
 
     Returns:
-        None if these bytes do not hold one whole head of a request with a plain length:
-        the library has to read it then.
+        The head, or None if the library has to parse the request: if the head is
+        incomplete, repeats a field, has no plain `Content-Length`, or if the bytes go
+        beyond the body.
     """
     head, end, body = data.partition(HEAD_TERMINATOR)
     if not end:
@@ -98,7 +99,7 @@
 
 
 def encode_refusal(refusal: NotRun) -> bytes:
-    """Return the whole HTTP response of a refusal, which ends the connection."""
+    """Encode a refusal as an HTTP response that closes the connection."""
     body = json.dumps(error_body(refusal)).encode()
     status = status_of(refusal)
     lines = [
@@ -140,20 +141,21 @@
         self._body_left = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the first bytes."""
+        """Start the idle timeout and wait for the first bytes."""
         self._transport = cast("asyncio.Transport", transport)
         self._waiting.add(self)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(self._idle_timeout_s, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from the waiting ones."""
         self._stop_waiting()
 
     def data_received(self, data: bytes) -> None:
-        """Refuse the request, read its body out, or hand all over."""
+        """Refuse the request, drain its body, or hand the connection over."""
         if self._response:
-            # The caller may not read an answer that comes before its body is read.
+            # A caller may not read a response that is sent before its body is drained.
+
             self._body_left -= len(data)
             self._respond_if_read()
             return
--- a/tests/platform/test_first_bytes.py
+++ b/tests/platform/test_first_bytes.py
@@ -1,10 +1,11 @@
-"""Requests that a busy entry refuses from their first bytes.
-
-Two of 22 entries got 26,000 requests in 57 s that they refused as busy, all but a few
-of one account each, whose callers use one entry; they had no processor time left for
-those that they could have served (0.1 M tokens a second placed of 1 M asked for). A
-refusal took 0.38 and 0.41 ms of processor time, now 0.20 and 0.21 (4,000 connections a
-run, on a workstation).
+"""Early refusal of requests at a busy entry.
+
+Guards against an overload in which refusals use up the processor time of an entry. Two
+of 22 entries refused 26,000 requests as busy in 57 s, nearly all of one account each,
+whose callers use a single entry. No time was left for requests that they could have
+served: 0.1 M tokens a second were placed of 1 M requested. A refusal through the HTTP
+library took 0.38 and 0.41 ms of processor time, an early one takes 0.20 and 0.21 ms
+(4,000 connections a run, on a workstation).
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def head_of(*lines: bytes, body: bytes = b"") -> FirstHead | None:
-    """Read a head with further lines."""
+    """Parse the common head with additional header lines."""
     return read_first_head(
         HEAD + b"".join(b"%b\r\n" % x for x in lines) + b"\r\n" + body
     )
@@ -65,7 +66,7 @@
 
 def test_bytes_that_are_no_whole_request_are_left_to_the_library() -> None:
     assert read_first_head(HEAD) is None
-    # A second request behind the first.
+    # Pipelined: a second request follows the first.
     assert head_of(b"Content-Length: 1", body=b"1POST") is None
 
 
@@ -115,7 +116,7 @@
     await writer.drain()
     while not server.seen:
         await asyncio.sleep(0)
-    # The rest of the body is read before the answer, or a reset could overtake it.
+    # The body is drained first: otherwise a reset could overtake the response.
     assert len(server.front.connections) == 1
     writer.write(b"def")
     answer = await reader.read()
@@ -144,7 +145,8 @@
     writer.write(b"def")
     await reader.readuntil(b"\r\n\r\n")
     assert await reader.readexactly(4) == b"done"
-    # The connection is the library's from then on.
+    # From here on the library handles the connection.
+
     writer.write(HEAD + b"\r\n")
     await reader.readuntil(b"\r\n\r\n")
     assert server.served == [b"abcdef", b""]
