--- a/tests/platform/test_first_bytes.py
+++ b/tests/platform/test_first_bytes.py
@@ -42,7 +42,7 @@
     )
 
 
-def test_a_head_tells_who_sends_how_much() -> None:
+def test_a_head_yields_sender_and_token_counts() -> None:
     assert head_of() == FirstHead(SENDER, 0)
     assert head_of(b"Content-Length: 12", body=b"12345") == FirstHead(SENDER, 7)
 
@@ -60,11 +60,11 @@
         (b"Expect: 100-continue",),
     ],
 )
-def test_what_is_not_plain_is_left_to_the_library(lines: tuple[bytes, ...]) -> None:
+def test_unusual_heads_are_left_to_the_library(lines: tuple[bytes, ...]) -> None:
     assert head_of(*lines) is None
 
 
-def test_bytes_that_are_no_whole_request_are_left_to_the_library() -> None:
+def test_incomplete_or_pipelined_requests_are_left_to_the_library() -> None:
     assert read_first_head(HEAD) is None
     # Pipelined: a second request follows the first.
     assert head_of(b"Content-Length: 1", body=b"1POST") is None
@@ -108,7 +108,7 @@
         await server.front.stop()
 
 
-async def test_a_refusal_is_whole_true_and_ends_the_connection(
+async def test_a_refusal_is_complete_and_closes_the_connection(
     server: RefusingServer,
 ) -> None:
     reader, writer = await server.connect()
@@ -133,7 +133,7 @@
     writer.close()
 
 
-async def test_what_is_not_refused_is_served_with_all_its_bytes(
+async def test_an_accepted_request_is_served_with_its_whole_body(
     server: RefusingServer,
 ) -> None:
     server.is_busy = False
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -388,7 +388,7 @@
         "        if self._body_left <= 0 and self._transport is not None:",
         "        if self._transport is not None:",
         "tests/platform/test_first_bytes.py"
-        "::test_a_refusal_is_whole_true_and_ends_the_connection",
+        "::test_a_refusal_is_complete_and_closes_the_connection",
     ),
     Variant(
         "a pause is not kept",
