--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -65,8 +65,8 @@
 
     Returns:
         The head, or None if the library has to parse the request: if the head is
-        incomplete, repeats a field, has no plain `Content-Length`, or if the bytes go
-        beyond the body.
+        incomplete, repeats a field, uses `Transfer-Encoding` or `Expect`, has an
+        invalid `Content-Length`, or if the bytes go beyond the body.
     """
     head, end, body = data.partition(HEAD_TERMINATOR)
     if not end:
@@ -115,13 +115,15 @@
 
 
 class FirstBytes(asyncio.Protocol):
-    """Refuses the first request of a connection, or hands the connection over.
+    """Refuses the first request of a connection, or hands it over to the HTTP library.
 
     Args:
-        make_handler: Makes the library's protocol of a connection.
-        refuse: Returns the refusal of a request, or None to have it served.
-        waiting: Where connections are noted that have sent nothing yet.
-        idle_s: Seconds after which such a connection is closed.
+        make_handler: Creates the library's protocol for a connection.
+        refuse: Returns the refusal of a request, or None if it is to be served.
+        waiting: Set that holds this connection until its first request is refused or
+            handed over.
+        idle_timeout_s: Seconds after which a connection in that set is closed.
+
     """
 
     def __init__(
