--- a/src/leadseam/platform/front.py
+++ b/src/leadseam/platform/front.py
@@ -28,7 +28,7 @@
 
 MAX_BODY = 16 * 1024 * 1024
 """Bytes of a body that are read at all; operators state a lower limit."""
-MAX_LINE = 65_536
+MAX_HEADER_LINE = 65_536
 """Bytes of one line of a head; operators state a lower limit for the whole."""
 IDLE_TIMEOUT_S = 60.0
 """Seconds that an idle connection is kept: above what operators state today (15)."""
@@ -40,11 +40,11 @@
 1,000 connections a second."""
 
 
-def _refuse_none(_: Sender) -> NotRun | None:
+def _never_refuse(_: Sender) -> NotRun | None:
     return None
 
 
-class _Server(web.Server):
+class _EarlyRefusalServer(web.Server):
     """Makes the library's protocol of a connection once its first bytes are in."""
 
     def __init__(
@@ -55,8 +55,8 @@
             request_factory=_make_request,
             handler_cancellation=True,
             keepalive_timeout=IDLE_TIMEOUT_S,
-            max_line_size=MAX_LINE,
-            max_field_size=MAX_LINE,
+            max_line_size=MAX_HEADER_LINE,
+            max_field_size=MAX_HEADER_LINE,
             auto_decompress=False,
             access_log=None,
             lingering_time=0.5,
@@ -77,12 +77,14 @@
             have it served. Defaults to none.
     """
 
-    def __init__(self, handler: Handler, *, refuse: Refuse = _refuse_none) -> None:
+    def __init__(self, handler: Handler, *, refuse: Refuse = _never_refuse) -> None:
         self._handler = handler
         self._waiting: set[FirstBytes] = set()
         self._busy: set[object] = set()
         self._closed: set[object] = set()
-        self._server = _Server(self._handle, refuse=refuse, waiting=self._waiting)
+        self._server = _EarlyRefusalServer(
+            self._handle, refuse=refuse, waiting=self._waiting
+        )
         self._runner = web.ServerRunner(self._server, shutdown_timeout=0.2)
         self._sites: list[web.SockSite] = []
 
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -19,7 +19,7 @@
 REQUEST = b"GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class Served:
+class ControlledServer:
     """A front server whose handler answers when it is told to."""
 
     def __init__(self) -> None:
@@ -42,14 +42,14 @@
 
 
 @pytest.fixture
-async def served() -> AsyncIterator[Served]:
+async def server() -> AsyncIterator[ControlledServer]:
     """A running front server."""
-    served = Served()
-    await served.front.start(Endpoint(ip=LOOPBACK, port=served.port))
+    server = ControlledServer()
+    await server.front.start(Endpoint(ip=LOOPBACK, port=server.port))
     try:
-        yield served
+        yield server
     finally:
-        await served.front.stop()
+        await server.front.stop()
 
 
 async def answer(reader: asyncio.StreamReader) -> bytes:
@@ -58,35 +58,39 @@
     return await reader.readexactly(4)
 
 
-async def test_idle_connections_are_closed_and_busy_ones_finish(served: Served) -> None:
-    idle_reader, idle_writer = await served.connect()
+async def test_idle_connections_are_closed_and_busy_ones_finish(
+    server: ControlledServer,
+) -> None:
+    idle_reader, idle_writer = await server.connect()
     idle_writer.write(REQUEST % b"quick")
     assert await answer(idle_reader) == b"done"
-    unused_reader, unused_writer = await served.connect()
-    busy_reader, busy_writer = await served.connect()
+    unused_reader, unused_writer = await server.connect()
+    busy_reader, busy_writer = await server.connect()
     busy_writer.write(REQUEST % b"slow")
-    while "/slow" not in served.paths:
+    while "/slow" not in server.paths:
         await asyncio.sleep(0)
-    await served.front.close_idle()
+    await server.front.close_idle()
     assert await idle_reader.read() == b""
     assert await unused_reader.read() == b""
     with pytest.raises(OSError):
-        await served.connect()
-    served.release.set()
+        await server.connect()
+    server.release.set()
     assert await answer(busy_reader) == b"done"
     assert await busy_reader.read() == b""
     for writer in (idle_writer, unused_writer, busy_writer):
         writer.close()
 
 
-async def test_a_request_that_crosses_the_close_is_not_handled(served: Served) -> None:
-    _, writer = await served.connect()
-    while not served.front.connections:
+async def test_a_request_that_crosses_the_close_is_not_handled(
+    server: ControlledServer,
+) -> None:
+    _, writer = await server.connect()
+    while not server.front.connections:
         await asyncio.sleep(0)
-    conn = served.front.connections[0]
-    await served.front.close_idle()
+    conn = server.front.connections[0]
+    await server.front.close_idle()
     # What was read in the same turn of the loop reaches the handler only now.
     late = SimpleNamespace(protocol=conn, raw_path="/late")
-    await served.front._handle(cast("web.BaseRequest", late))
-    assert served.paths == []
+    await server.front._handle(cast("web.BaseRequest", late))
+    assert server.paths == []
     writer.close()
