--- a/src/leadseam/platform/front.py
+++ b/src/leadseam/platform/front.py
@@ -1,4 +1,4 @@
-"""The sockets of an entry on the platform: callers, and the readiness question."""
+"""HTTP servers of an entry: one for callers and one for readiness checks."""
 
 from __future__ import annotations
 
@@ -27,17 +27,19 @@
     Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 MAX_BODY = 16 * 1024 * 1024
-"""Bytes of a body that are read at all; operators state a lower limit."""
+"""Maximum size of a body in bytes; operators configure a lower limit."""
 MAX_HEADER_LINE = 65_536
-"""Bytes of one line of a head; operators state a lower limit for the whole."""
+"""Maximum size of a header line in bytes; operators configure a lower limit for the
+whole head."""
 IDLE_TIMEOUT_S = 60.0
-"""Seconds that an idle connection is kept: above what operators state today (15)."""
+"""Seconds for which an idle connection is kept: above what operators configure today
+(15)."""
 BACKLOG = 2_048
-"""Connections that may wait to be accepted; a full queue costs callers seconds."""
+"""Length of the accept queue; callers lose seconds if it is full."""
 ACCEPTORS = 32
-"""Handles on the listening socket. The event loop accepts one connection for each
-handle in a turn. A turn of a busy entry takes tens of milliseconds, and a flood brings
-1,000 connections a second."""
+"""Duplicates of the listening socket. The event loop accepts one connection per
+duplicate and iteration. An iteration of a busy entry takes tens of milliseconds, and a
+flood opens 1,000 connections a second."""
 
 
 def _never_refuse(_: Sender) -> NotRun | None:
@@ -45,7 +47,7 @@
 
 
 class _EarlyRefusalServer(web.Server):
-    """Makes the library's protocol of a connection once its first bytes are in."""
+    """HTTP server that can refuse the first request of a connection early."""
 
     def __init__(
         self, handler: Handler, *, refuse: Refuse, waiting: set[FirstBytes]
@@ -69,12 +71,12 @@
 
 
 class FrontServer:
-    """Hands every request of callers to one handler, whatever its path.
+    """Passes every request of callers to one handler, whatever its path.
 
     Args:
         handler: Serves a request.
-        refuse: Returns the refusal of the first request of a connection, or None to
-            have it served. Defaults to none.
+        refuse: Returns the refusal of the first request of a connection, or None if it
+            is to be served. By default nothing is refused.
     """
 
     def __init__(self, handler: Handler, *, refuse: Refuse = _never_refuse) -> None:
@@ -89,7 +91,7 @@
         self._sites: list[web.SockSite] = []
 
     async def start(self, listen: Endpoint) -> None:
-        """Bind the socket."""
+        """Bind the socket and start accepting connections."""
         await self._runner.setup()
         with socket.create_server((listen.ip, listen.port), backlog=BACKLOG) as sock:
             self._sites = [
@@ -105,7 +107,7 @@
         return [*self._waiting, *self._server.connections]
 
     async def close_idle(self) -> None:
-        """Take no new connection, and end each open one after its current request."""
+        """Stop accepting, and close each connection after its current request."""
         for site in self._sites:
             await site.stop()
         for conn in self.connections:
@@ -115,7 +117,7 @@
             elif conn in self._busy:
                 conn.close()
             else:
-                # `close` would end the task of an idle connection, not the connection.
+                # `close` would end the task of an idle connection but leave it open.
                 self._closed.add(conn)
                 conn.force_close()
 
@@ -128,7 +130,7 @@
     async def _handle(self, http: web.BaseRequest) -> web.StreamResponse:
         conn = http.protocol
         if conn in self._closed:
-            # It arrived as its connection was closed: nobody would see the answer.
+            # It arrived while its connection was being closed: no response can be sent.
             return web.Response(status=503)
         self._busy.add(conn)
         try:
@@ -138,10 +140,11 @@
 
 
 class ReadyServer:
-    """Answers whether callers may be sent here.
+    """Answers readiness checks of the platform.
 
     Args:
-        readiness: Returns why the process is not ready, or an empty text.
+        readiness: Returns why the process is not ready, or an empty string if it is.
+
     """
 
     def __init__(self, readiness: Callable[[], str]) -> None:
--- a/tests/platform/test_front.py
+++ b/tests/platform/test_front.py
@@ -1,4 +1,4 @@
-"""The callers' socket: what happens to connections at a planned stop."""
+"""Connections of callers during a planned stop."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ControlledServer:
-    """A front server whose handler answers when it is told to."""
+    """A front server whose handler blocks on `/slow` until released."""
 
     def __init__(self) -> None:
         self.paths: list[str] = []
@@ -53,7 +53,7 @@
 
 
 async def answer(reader: asyncio.StreamReader) -> bytes:
-    """Read one answer."""
+    """Read one response and return its body."""
     await reader.readuntil(b"\r\n\r\n")
     return await reader.readexactly(4)
 
@@ -89,7 +89,8 @@
         await asyncio.sleep(0)
     conn = server.front.connections[0]
     await server.front.close_idle()
-    # What was read in the same turn of the loop reaches the handler only now.
+    # A request read in the same iteration of the event loop reaches the handler now.
+
     late = SimpleNamespace(protocol=conn, raw_path="/late")
     await server.front._handle(cast("web.BaseRequest", late))
     assert server.paths == []
