--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -28,13 +28,13 @@
 EVENT_STREAM = "text/event-stream"
 SERVICE_UNAVAILABLE = 503
 """The status with which an upstream may ask for a pause."""
-LONGEST_PAUSE: Millis = 3_600_000
+MAX_PAUSE: Millis = 3_600_000
 """Longest pause that an upstream gets, an hour: a longer one is an error of its own,
 and would outlast whoever could mend it."""
-MAX_SHOWN = 40
+MAX_LOGGED_CHARS = 40
 """Characters of a header in a log line."""
 
-_SET_BY_US = frozenset(
+_SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
         names.DEADLINE,
@@ -121,7 +121,7 @@
 
 def _end_to_end(http: web.BaseRequest) -> Headers:
     listed = http.headers.get("Connection", "").lower().split(",")
-    dropped = HOP_BY_HOP | _SET_BY_US | {name.strip() for name in listed}
+    dropped = HOP_BY_HOP | _SYSTEM_HEADERS | {name.strip() for name in listed}
     return tuple(
         (str(name), str(value))
         for name, value in http.headers.items()
@@ -139,17 +139,17 @@
     Returns:
         The longest pause stated, 0 if there is none, and a text that could not be read.
     """
-    pause, odd = 0, ""
+    pause, invalid = 0, ""
     for value in values:
         try:
-            stated = float(value)
+            seconds = float(value)
         except ValueError:
-            stated = nan
-        if not stated >= 0:
-            odd = value[:MAX_SHOWN] or "empty"
+            seconds = nan
+        if not seconds >= 0:
+            invalid = value[:MAX_LOGGED_CHARS] or "empty"
             continue
-        pause = max(pause, ceil(min(stated * MILLIS_PER_SECOND, LONGEST_PAUSE)))
-    return pause, odd
+        pause = max(pause, ceil(min(seconds * MILLIS_PER_SECOND, MAX_PAUSE)))
+    return pause, invalid
 
 
 def read_key(value: str | None) -> str | None:
@@ -178,7 +178,7 @@
     """Return the parts of a prompt in order."""
     parts = []
     for item in value.split(","):
-        identity, sign, tokens = item.strip().partition(":")
-        if sign:
+        identity, separator, tokens = item.strip().partition(":")
+        if separator:
             parts.append(PromptPart(identity, _read_number(tokens) or 0))
     return tuple(parts)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -9,7 +9,7 @@
 from leadseam.platform.headers import PlatformDialect
 from leadseam.routing.dialect import AnswerHead, AttemptHead
 
-OURS = (
+SYSTEM_HEADERS = (
     "Leadseam-Hold",
     "Leadseam-Pin-Ms",
     "Leadseam-Kv-Backup",
@@ -29,7 +29,7 @@
 )
 
 
-def sent_for(*pairs: tuple[str, str]) -> list[tuple[str, str]]:
+def sent_headers(*pairs: tuple[str, str]) -> list[tuple[str, str]]:
     """Return the headers sent to an upstream for a caller's headers."""
     headers = CIMultiDict([("Host", "h"), ("Leadseam-Request-Id", "r-1"), *pairs])
     dialect = PlatformDialect()
@@ -38,11 +38,11 @@
     return dialect.attempt_headers(req, HEAD)
 
 
-@pytest.mark.parametrize("name", OURS)
-@pytest.mark.parametrize("spelled", [str, str.upper, str.lower, str.swapcase])
-def test_a_forged_header_is_dropped(name: str, spelled: type[str]) -> None:
-    forged = spelled(name)
-    sent = sent_for((forged, "7"), ("X-Odd", "kept"), (name, "8"))
+@pytest.mark.parametrize("name", SYSTEM_HEADERS)
+@pytest.mark.parametrize("change_case", [str, str.upper, str.lower, str.swapcase])
+def test_a_forged_header_is_dropped(name: str, change_case: type[str]) -> None:
+    forged = change_case(name)
+    sent = sent_headers((forged, "7"), ("X-Odd", "kept"), (name, "8"))
     assert [value for key, value in sent if key.lower() == name.lower()] == [
         value
         for key, value in (
@@ -55,21 +55,21 @@
     assert ("X-Odd", "kept") in sent
 
 
-@pytest.mark.parametrize("name", OURS)
+@pytest.mark.parametrize("name", SYSTEM_HEADERS)
 def test_naming_a_forged_header_for_the_connection_changes_nothing(name: str) -> None:
-    sent = sent_for((name, "7"), ("Connection", f"close, {name}"))
+    sent = sent_headers((name, "7"), ("Connection", f"close, {name}"))
     values = {value for key, value in sent if key.lower() == name.lower()}
     assert values <= {"900", "i-1", "bank"}
 
 
-def test_headers_of_the_caller_stay_as_they_are() -> None:
+def test_other_headers_of_the_caller_are_kept() -> None:
     pairs = (
         ("Leadseam-Model", "m"),
         ("Leadseam-Token-Usage", "100,20"),
         ("Leadseam-Length-Hint", "12"),
         ("Leadseam-Expect-Version", "3"),
     )
-    sent = sent_for(*pairs)
+    sent = sent_headers(*pairs)
     assert [pair for pair in sent if pair in pairs] == list(pairs)
 
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("values", "pause", "odd"),
+    ("values", "pause", "invalid"),
     [
         ([], 0, ""),
         (["3"], 3_000, ""),
@@ -97,11 +97,11 @@
         (["x" * 400], 0, "x" * 40),
     ],
 )
-def test_a_pause_is_read_or_shown_as_it_came(
-    values: list[str], pause: int, odd: str
+def test_a_pause_is_parsed_or_reported_as_invalid(
+    values: list[str], pause: int, invalid: str
 ) -> None:
     head = answer_with(503, *(("Retry-After", value) for value in values))
-    assert (head.pause, head.invalid_pause) == (pause, odd)
+    assert (head.pause, head.invalid_pause) == (pause, invalid)
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 429, 503])
-def test_any_answer_may_say_that_its_upstream_leaves(status: int) -> None:
+def test_any_response_may_announce_that_its_upstream_leaves(status: int) -> None:
     assert answer_with(status, ("server-leaving", "1")).leaving
     assert not answer_with(status, ("Server-Leaving", "0")).leaving
     assert not answer_with(status).leaving
