--- a/src/leadseam/platform/headers.py
+++ b/src/leadseam/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers and upstreams, decoded and encoded."""
+"""Decoding and encoding of the HTTP headers of callers and upstreams."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 EVENT_STREAM = "text/event-stream"
 SERVICE_UNAVAILABLE = 503
-"""The status with which an upstream may ask for a pause."""
+"""Status of a response in which an upstream may ask for a pause."""
 MAX_PAUSE: Millis = 3_600_000
-"""Longest pause that an upstream gets, an hour: a longer one is an error of its own,
-and would outlast whoever could mend it."""
+"""Longest pause that an upstream is granted: an hour. A longer one is a mistake of the
+upstream, and would still be in force after the mistake has been corrected."""
 MAX_LOGGED_CHARS = 40
-"""Characters of a header in a log line."""
+"""Maximum number of characters of a header value in a log line."""
 
 _SYSTEM_HEADERS = frozenset(
     name.lower()
@@ -41,8 +41,8 @@
         names.EXPECT_INSTANCE,
         names.ACCOUNT,
         names.LAST_EVENT,
-        # Engines refuse most requests that carry a forged one: a third of all sends
-        # where callers add them (1,279 of 4,007 counted), each of them a retry.
+        # Engines refuse most requests with a forged control header. Where callers add
+        # them, that was a third of all sends (1,279 of 4,007), each of them a retry.
         *names.ENGINE_CONTROLS,
     )
 )
@@ -52,7 +52,7 @@
     """The platform's headers; see `leadseam.routing.dialect.Dialect`."""
 
     def read_request(self, http: web.BaseRequest) -> RoutedRequest | None:
-        """Read a caller's request; None without a request identifier."""
+        """Decode a caller's request, or return None if it has no request identifier."""
         headers = http.headers
         request_id = headers.get(names.REQUEST_ID)
         if not request_id:
@@ -73,7 +73,7 @@
         )
 
     def read_sender(self, http: web.BaseRequest) -> Sender:
-        """Read who sends a request, and nothing else of it."""
+        """Decode only the request identifier and the key of a request."""
         headers = http.headers
         key = read_key(headers.get(names.AUTHORIZATION))
         return Sender(headers.get(names.REQUEST_ID, ""), key)
@@ -81,7 +81,7 @@
     def attempt_headers(
         self, req: RoutedRequest, attempt: AttemptHead
     ) -> list[tuple[str, str]]:
-        """Return the caller's headers with ours in place of the caller's."""
+        """Return the caller's headers and those that the system sets for an attempt."""
         headers = [
             (name, value)
             for name, value in req.headers
@@ -99,7 +99,7 @@
         return headers
 
     def read_answer(self, status: int, headers: MultiMapping[str]) -> AnswerHead:
-        """Read the head of an upstream's answer."""
+        """Decode the head of an upstream's response."""
         content_type = headers.get("Content-Type", "")
         pause, invalid_pause = 0, ""
         if status == SERVICE_UNAVAILABLE:
@@ -115,7 +115,7 @@
         )
 
     def retry_after(self, pause: Millis) -> Headers:
-        """Return the pause in seconds; callers here read fractions."""
+        """Return the pause in seconds; the platform's callers accept fractions."""
         return ((names.RETRY_AFTER, f"{pause / 1_000:.3f}"),)
 
 
@@ -130,14 +130,15 @@
 
 
 def read_pause(values: Sequence[str]) -> tuple[Millis, str]:
-    """Read the pause that an upstream asks for.
+    """Parse the pause that an upstream asks for.
 
     Args:
-        values: Values of all headers that state it, in seconds. A date is not read, as
-            clocks of boxes are not compared.
+        values: Values of all `Retry-After` headers, in seconds. Dates are invalid, as
+            the clocks of boxes are not compared.
 
     Returns:
-        The longest pause stated, 0 if there is none, and a text that could not be read.
+        The longest valid pause, or 0 if there is none, and the last invalid value, or
+        an empty string if all are valid.
     """
     pause, invalid = 0, ""
     for value in values:
@@ -153,7 +154,7 @@
 
 
 def read_key(value: str | None) -> str | None:
-    """Return the bearer key of an authorization, if there is one."""
+    """Return the key of an `Authorization` header, or None without the header."""
     if value is None:
         return None
     return value.removeprefix(names.BEARER).strip()
@@ -169,13 +170,14 @@
 
 
 def read_tokens(value: str) -> tuple[int, int]:
-    """Return the tokens of a prompt, and the most to be generated."""
+    """Return the number of prompt tokens and the most tokens to be generated."""
     first, _, second = value.partition(",")
     return _read_number(first or None) or 0, _read_number(second or None) or 0
 
 
 def read_parts(value: str) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt in order."""
+    """Parse the parts of a prompt, in order."""
+
     parts = []
     for item in value.split(","):
         identity, separator, tokens = item.strip().partition(":")
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,7 @@
-"""Headers of callers that only this system may set never reach an upstream."""
+"""Headers of requests and responses on the platform.
+
+Headers that only the system may set must not reach an upstream from a caller.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
 
 def sent_headers(*pairs: tuple[str, str]) -> list[tuple[str, str]]:
-    """Return the headers sent to an upstream for a caller's headers."""
+    """Return the headers that an upstream receives for a caller's headers."""
     headers = CIMultiDict([("Host", "h"), ("Leadseam-Request-Id", "r-1"), *pairs])
     dialect = PlatformDialect()
     req = dialect.read_request(make_mocked_request("POST", "/a/", headers=headers))
@@ -74,7 +77,8 @@
 
 
 def answer_with(status: int, *pairs: tuple[str, str]) -> AnswerHead:
-    """Read the head of an answer."""
+    """Decode the head of a response."""
+
     return PlatformDialect().read_answer(status, CIMultiDict(pairs))
 
 
