--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -13,7 +13,7 @@
 from leadseam.incarnation import Incarnation
 from leadseam.platform import names
 from leadseam.platform.heartbeat import (
-    MAX_BYTES,
+    MAX_HEARTBEAT_BYTES,
     Fault,
     UnknownWriterError,
     read_heartbeat,
@@ -133,7 +133,7 @@
         UnknownWriterError: If the body is larger.
     """
     try:
-        return await http.clone(client_max_size=MAX_BYTES).read()
+        return await http.clone(client_max_size=MAX_HEARTBEAT_BYTES).read()
     except web.HTTPRequestEntityTooLarge as exc:
         raise UnknownWriterError(
             Fault.TOO_LARGE, "the document is too large for an upstream"
--- a/src/leadseam/platform/heartbeat.py
+++ b/src/leadseam/platform/heartbeat.py
@@ -20,14 +20,14 @@
 if TYPE_CHECKING:
     from leadseam.settings.models import Endpoint
 
-MAX_BYTES = 65_536
+MAX_HEARTBEAT_BYTES = 65_536
 """Largest document that is read: those of upstreams have some 300 bytes."""
 MAX_INTEGER = 2**53
 """Integers up to here are the same in every JSON decoder."""
-LAST_START = 253_402_300_799_999
+MAX_START = 253_402_300_799_999
 """Last millisecond of the year 9999; a start beyond it is none."""
 MAX_SLOTS = 1_000_000
-MAX_COLD = 86_400_000
+MAX_COLD_TIME = 86_400_000
 """Longest cold time in milliseconds: a day."""
 MAX_TEXT = 256
 """Characters of a name or an address."""
@@ -35,8 +35,8 @@
 """Ids that may stand in a header and in a log line as they are."""
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_TEXT)]
-Start = Annotated[int, Meta(ge=1, le=LAST_START)]
-Whole = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
+StartTime = Annotated[int, Meta(ge=1, le=MAX_START)]
+SequenceNumber = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 T = TypeVar("T")
 
 
@@ -67,7 +67,7 @@
         self.fault = fault
 
 
-class _Beat(msgspec.Struct, frozen=True, rename="camel"):
+class _HeartbeatBody(msgspec.Struct, frozen=True, rename="camel"):
     """A heartbeat; `address` is the server's own, `sequence` grows with each."""
 
     service: Name
@@ -76,18 +76,18 @@
     version: Annotated[str, Meta(max_length=MAX_TEXT)]
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
     state: str
-    cold_remaining_ms: Annotated[float, Meta(ge=0, le=MAX_COLD)]
-    sequence: Whole
+    cold_remaining_ms: Annotated[float, Meta(ge=0, le=MAX_COLD_TIME)]
+    sequence: SequenceNumber
     stage: Annotated[str, Meta(max_length=MAX_TEXT)] = ""
     models: list[dict[str, Any]] = []
     # Absent where every start of a server has an id of its own.
-    born: Start | msgspec.UnsetType = msgspec.UNSET
+    born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Leaving(msgspec.Struct, frozen=True, rename="camel"):
+class _LeaveBody(msgspec.Struct, frozen=True, rename="camel"):
     """A word of leaving; it may be empty."""
 
-    born: Start | msgspec.UnsetType = msgspec.UNSET
+    born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 def read_instance(instance: str) -> str:
@@ -107,20 +107,20 @@
     Raises:
         UnknownWriterError: If it names no upstream.
     """
-    beat = _read(document, _Beat)
-    if beat.state not in (READY, DRAINING):
+    heartbeat = _decode(document, _HeartbeatBody)
+    if heartbeat.state not in (READY, DRAINING):
         raise UnknownWriterError(Fault.WRONG_STATE, "no state of an upstream")
-    address = _read_address(beat.address)
+    address = _read_address(heartbeat.address)
     return Registration(
-        incarnation=Incarnation(read_instance(instance), _start(beat.born)),
-        pool=beat.service,
+        incarnation=Incarnation(read_instance(instance), _start_time(heartbeat.born)),
+        pool=heartbeat.service,
         ip=address.ip,
         port=address.port,
-        failure_domain=beat.zone,
-        slots=beat.slots,
-        ready=beat.state == READY,
-        sequence=beat.sequence,
-        cold_remaining=round(beat.cold_remaining_ms),
+        failure_domain=heartbeat.zone,
+        slots=heartbeat.slots,
+        ready=heartbeat.state == READY,
+        sequence=heartbeat.sequence,
+        cold_remaining=round(heartbeat.cold_remaining_ms),
     )
 
 
@@ -132,19 +132,21 @@
     """
     if not document.strip():
         return None
-    return _start(_read(document, _Leaving).born) or None
+    return _start_time(_decode(document, _LeaveBody).born) or None
 
 
-def _start(born: int | msgspec.UnsetType) -> int:
+def _start_time(born: int | msgspec.UnsetType) -> int:
     return NO_START if isinstance(born, msgspec.UnsetType) else born
 
 
-def _read(document: bytes, type_: type[T]) -> T:
-    if len(document) > MAX_BYTES:
+def _decode(document: bytes, type_: type[T]) -> T:
+    if len(document) > MAX_HEARTBEAT_BYTES:
         raise UnknownWriterError(Fault.TOO_LARGE, "more bytes than an upstream sends")
     try:
         fields = json.loads(
-            document.decode(), object_pairs_hook=_unique, parse_constant=_refuse
+            document.decode(),
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as exc:
         raise UnknownWriterError(Fault.UNREADABLE, "not a JSON document") from exc
@@ -154,14 +156,14 @@
         raise UnknownWriterError(Fault.WRONG_FIELD, str(exc)) from exc
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     fields = dict(pairs)
     if len(fields) != len(pairs):
         raise ValueError("a key stands twice")
     return fields
 
 
-def _refuse(constant: str) -> NoReturn:
+def _reject_constant(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is no number")
 
 
--- a/tests/platform/test_heartbeat.py
+++ b/tests/platform/test_heartbeat.py
@@ -11,8 +11,8 @@
 
 from leadseam.incarnation import Incarnation
 from leadseam.platform.heartbeat import (
-    LAST_START,
-    MAX_BYTES,
+    MAX_HEARTBEAT_BYTES,
+    MAX_START,
     Fault,
     UnknownWriterError,
     read_heartbeat,
@@ -21,7 +21,7 @@
 )
 from leadseam.wire.feed import Registration
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "plain",
     "address": "10.0.0.1:8080",
     "zone": "a",
@@ -45,13 +45,13 @@
     return None
 
 
-def changed(**fields: object) -> bytes:
+def encode_heartbeat(**fields: object) -> bytes:
     """Return a good heartbeat with other fields."""
-    return json.dumps(GOOD | fields).encode()
+    return json.dumps(VALID | fields).encode()
 
 
 def test_a_heartbeat_is_read() -> None:
-    assert read_heartbeat("i-1", changed()) == Registration(
+    assert read_heartbeat("i-1", encode_heartbeat()) == Registration(
         incarnation=Incarnation("i-1", 1_764_720_000_000),
         pool="plain",
         ip="10.0.0.1",
@@ -62,30 +62,30 @@
         sequence=7,
         cold_remaining=0,
     )
-    assert not read_heartbeat("i-1", changed(state="draining")).ready
+    assert not read_heartbeat("i-1", encode_heartbeat(state="draining")).ready
     # Fields that are not known here are passed over.
-    assert fault_of(changed(colour="red")) is None
+    assert fault_of(encode_heartbeat(colour="red")) is None
 
 
-def test_a_start_need_not_be_stated() -> None:
-    fields = {key: value for key, value in GOOD.items() if key != "born"}
+def test_the_start_time_is_optional() -> None:
+    fields = {key: value for key, value in VALID.items() if key != "born"}
     row = read_heartbeat("i-1", json.dumps(fields).encode())
     assert row.incarnation == Incarnation("i-1")
 
 
 @pytest.mark.parametrize(
-    "field", [key for key in GOOD if key not in ("born", "stage", "models")]
+    "field", [key for key in VALID if key not in ("born", "stage", "models")]
 )
-def test_a_heartbeat_lacks_no_field(field: str) -> None:
-    fields = {key: value for key, value in GOOD.items() if key != field}
+def test_every_other_field_is_required(field: str) -> None:
+    fields = {key: value for key, value in VALID.items() if key != field}
     assert fault_of(json.dumps(fields).encode()) is Fault.WRONG_FIELD
 
 
 @pytest.mark.parametrize(
-    "born", [None, "1764720000000", 1.5, 1e12, True, -1, 0, 10**30, LAST_START + 1, []]
+    "born", [None, "1764720000000", 1.5, 1e12, True, -1, 0, 10**30, MAX_START + 1, []]
 )
-def test_a_start_is_a_whole_number_of_milliseconds(born: object) -> None:
-    assert fault_of(changed(born=born)) is Fault.WRONG_FIELD
+def test_a_start_time_is_a_positive_integer(born: object) -> None:
+    assert fault_of(encode_heartbeat(born=born)) is Fault.WRONG_FIELD
     leaving = json.dumps({"born": born}).encode()
     with pytest.raises(UnknownWriterError):
         read_leaving(leaving)
@@ -96,41 +96,43 @@
     [
         (b"", Fault.UNREADABLE),
         (b"\xff\xfe{}", Fault.UNREADABLE),
-        (json.dumps(GOOD).encode("utf-16"), Fault.UNREADABLE),
-        (b'{"born":1,' + json.dumps(GOOD).encode()[1:], Fault.UNREADABLE),
-        (b"[" * MAX_BYTES, Fault.UNREADABLE),
+        (json.dumps(VALID).encode("utf-16"), Fault.UNREADABLE),
+        (b'{"born":1,' + json.dumps(VALID).encode()[1:], Fault.UNREADABLE),
+        (b"[" * MAX_HEARTBEAT_BYTES, Fault.UNREADABLE),
         (b'{"slots":NaN}', Fault.UNREADABLE),
         (b"[]", Fault.WRONG_FIELD),
         (b"null", Fault.WRONG_FIELD),
-        (b" " * (MAX_BYTES + 1), Fault.TOO_LARGE),
-        (changed(state="resting"), Fault.WRONG_STATE),
-        (changed(slots=0), Fault.WRONG_FIELD),
-        (changed(slots="4"), Fault.WRONG_FIELD),
-        (changed(sequence=-1), Fault.WRONG_FIELD),
-        (changed(service=""), Fault.WRONG_FIELD),
-        (changed(service=7), Fault.WRONG_FIELD),
-        (changed(models="m"), Fault.WRONG_FIELD),
-        (changed(address="10.0.0.1"), Fault.WRONG_ADDRESS),
-        (changed(address="server.example:80"), Fault.WRONG_ADDRESS),
-        (changed(address="0.0.0.0:80"), Fault.WRONG_ADDRESS),
-        (changed(address="224.0.0.1:80"), Fault.WRONG_ADDRESS),
-        (changed(address="10.0.0.1:0"), Fault.WRONG_ADDRESS),
-        (changed(address="10.0.0.1:70000"), Fault.WRONG_ADDRESS),
-        (changed(address="10.0.0.1:8 0"), Fault.WRONG_ADDRESS),
+        (b" " * (MAX_HEARTBEAT_BYTES + 1), Fault.TOO_LARGE),
+        (encode_heartbeat(state="resting"), Fault.WRONG_STATE),
+        (encode_heartbeat(slots=0), Fault.WRONG_FIELD),
+        (encode_heartbeat(slots="4"), Fault.WRONG_FIELD),
+        (encode_heartbeat(sequence=-1), Fault.WRONG_FIELD),
+        (encode_heartbeat(service=""), Fault.WRONG_FIELD),
+        (encode_heartbeat(service=7), Fault.WRONG_FIELD),
+        (encode_heartbeat(models="m"), Fault.WRONG_FIELD),
+        (encode_heartbeat(address="10.0.0.1"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="server.example:80"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="0.0.0.0:80"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="224.0.0.1:80"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="10.0.0.1:0"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="10.0.0.1:70000"), Fault.WRONG_ADDRESS),
+        (encode_heartbeat(address="10.0.0.1:8 0"), Fault.WRONG_ADDRESS),
     ],
 )
-def test_what_names_no_upstream_is_told_apart(document: bytes, fault: Fault) -> None:
+def test_invalid_heartbeats_are_classified_by_fault(
+    document: bytes, fault: Fault
+) -> None:
     assert fault_of(document) is fault
 
 
 @pytest.mark.parametrize("instance", ["", " ", "a b", "a\r\nb", "ü", "-a", "a" * 129])
-def test_an_id_may_stand_in_a_header_and_a_line(instance: str) -> None:
+def test_an_id_is_safe_in_headers_and_log_lines(instance: str) -> None:
     with pytest.raises(UnknownWriterError):
         read_instance(instance)
-    assert fault_of(changed(), instance) is Fault.WRONG_ID
+    assert fault_of(encode_heartbeat(), instance) is Fault.WRONG_ID
 
 
-def test_a_word_of_leaving_may_state_its_start() -> None:
+def test_a_leave_call_may_name_the_start_that_leaves() -> None:
     assert read_leaving(b"") is None
     assert read_leaving(b"{}") is None
     assert read_leaving(b'{"born":5}') == 5
@@ -141,9 +143,9 @@
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
-    lambda inner: (
-        st.lists(inner, max_size=4)
-        | st.dictionaries(st.text(max_size=8), inner, max_size=4)
+    lambda children: (
+        st.lists(children, max_size=4)
+        | st.dictionaries(st.text(max_size=8), children, max_size=4)
     ),
     max_leaves=8,
 )
@@ -151,15 +153,15 @@
 
 @settings(derandomize=True, database=None, max_examples=1_000, deadline=None)
 @given(
-    fields=st.dictionaries(st.sampled_from(sorted(GOOD)), JSON, max_size=4),
-    dropped=st.sets(st.sampled_from(sorted(GOOD)), max_size=2),
+    fields=st.dictionaries(st.sampled_from(sorted(VALID)), JSON, max_size=4),
+    dropped=st.sets(st.sampled_from(sorted(VALID)), max_size=2),
     cut=st.integers(0, 400),
     noise=st.binary(max_size=8),
 )
 def test_no_document_ends_a_process(
     fields: dict[str, Any], dropped: set[str], cut: int, noise: bytes
 ) -> None:
-    kept = {key: value for key, value in (GOOD | fields).items() if key not in dropped}
+    kept = {key: value for key, value in (VALID | fields).items() if key not in dropped}
     whole = json.dumps(kept).encode()
     for document in (whole, whole[:cut] + noise + whole[cut:], whole[:cut]):
         fault = fault_of(document)
