--- a/src/leadseam/platform/heartbeat.py
+++ b/src/leadseam/platform/heartbeat.py
@@ -1,4 +1,8 @@
-"""What upstreams say of themselves, decoded; anybody may write what looks like it."""
+"""Decoding and validation of upstreams' heartbeats and leave calls.
+
+The sender is not authenticated: any process that reaches a control box may send a
+document that looks like a heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -21,18 +25,18 @@
     from leadseam.settings.models import Endpoint
 
 MAX_HEARTBEAT_BYTES = 65_536
-"""Largest document that is read: those of upstreams have some 300 bytes."""
+"""Maximum size of a document in bytes; those of upstreams have some 300 bytes."""
 MAX_INTEGER = 2**53
-"""Integers up to here are the same in every JSON decoder."""
+"""Largest integer that every JSON decoder represents exactly."""
 MAX_START = 253_402_300_799_999
-"""Last millisecond of the year 9999; a start beyond it is none."""
+"""Last millisecond of the year 9999; a later start time is invalid."""
 MAX_SLOTS = 1_000_000
 MAX_COLD_TIME = 86_400_000
 """Longest cold time in milliseconds: a day."""
 MAX_TEXT = 256
-"""Characters of a name or an address."""
+"""Maximum number of characters of a name or an address."""
 _INSTANCE = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}", re.ASCII)
-"""Ids that may stand in a header and in a log line as they are."""
+"""Ids that can be sent in a header and logged without escaping."""
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_TEXT)]
 StartTime = Annotated[int, Meta(ge=1, le=MAX_START)]
@@ -41,7 +45,7 @@
 
 
 class Fault(StrEnum):
-    """Why a document names no upstream; labels of a counter."""
+    """Why a document was rejected; the values are labels of a counter."""
 
     TOO_LARGE = "too_large"
     UNREADABLE = "unreadable"
@@ -53,11 +57,11 @@
 
 
 class UnknownWriterError(DocumentError):
-    """A document that no upstream has written, or none that can be used.
+    """A document is not a valid message of an upstream.
 
     Args:
-        fault: Why.
-        message: One line for a person.
+        fault: Why it was rejected.
+        message: Description in one line.
     """
 
     code = "unknown_writer"
@@ -68,7 +72,10 @@
 
 
 class _HeartbeatBody(msgspec.Struct, frozen=True, rename="camel"):
-    """A heartbeat; `address` is the server's own, `sequence` grows with each."""
+    """Body of a heartbeat.
+
+    `address` is where the server listens; `sequence` grows with each heartbeat.
+    """
 
     service: Name
     address: Name
@@ -80,36 +87,36 @@
     sequence: SequenceNumber
     stage: Annotated[str, Meta(max_length=MAX_TEXT)] = ""
     models: list[dict[str, Any]] = []
-    # Absent where every start of a server has an id of its own.
+    # Start time; absent if a server gets a new id at each start.
     born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 class _LeaveBody(msgspec.Struct, frozen=True, rename="camel"):
-    """A word of leaving; it may be empty."""
+    """Body of a leave call; all fields are optional."""
 
     born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 def read_instance(instance: str) -> str:
-    """Return an id if it has the shape of one.
+    """Return an instance id after checking its syntax.
 
     Raises:
-        UnknownWriterError: If it has not.
+        UnknownWriterError: If it is not a valid id.
     """
     if not _INSTANCE.fullmatch(instance):
-        raise UnknownWriterError(Fault.WRONG_ID, "not the id of an upstream")
+        raise UnknownWriterError(Fault.WRONG_ID, "not a valid upstream id")
     return instance
 
 
 def read_heartbeat(instance: str, document: bytes) -> Registration:
-    """Decode a heartbeat.
+    """Decode a heartbeat into a registration.
 
     Raises:
-        UnknownWriterError: If it names no upstream.
+        UnknownWriterError: If the id or the document is invalid.
     """
     heartbeat = _decode(document, _HeartbeatBody)
     if heartbeat.state not in (READY, DRAINING):
-        raise UnknownWriterError(Fault.WRONG_STATE, "no state of an upstream")
+        raise UnknownWriterError(Fault.WRONG_STATE, "not a valid upstream state")
     address = _read_address(heartbeat.address)
     return Registration(
         incarnation=Incarnation(read_instance(instance), _start_time(heartbeat.born)),
@@ -125,10 +132,10 @@
 
 
 def read_leaving(document: bytes) -> int | None:
-    """Return the start that a word of leaving is of, or None if it states none.
+    """Return the start time in the body of a leave call, or None if there is none.
 
     Raises:
-        UnknownWriterError: If it cannot be read.
+        UnknownWriterError: If the body is invalid.
     """
     if not document.strip():
         return None
@@ -141,7 +148,9 @@
 
 def _decode(document: bytes, type_: type[T]) -> T:
     if len(document) > MAX_HEARTBEAT_BYTES:
-        raise UnknownWriterError(Fault.TOO_LARGE, "more bytes than an upstream sends")
+        raise UnknownWriterError(
+            Fault.TOO_LARGE, "the document is too large for an upstream"
+        )
     try:
         fields = json.loads(
             document.decode(),
@@ -159,12 +168,12 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     fields = dict(pairs)
     if len(fields) != len(pairs):
-        raise ValueError("a key stands twice")
+        raise ValueError("duplicate key")
     return fields
 
 
 def _reject_constant(constant: str) -> NoReturn:
-    raise ValueError(f"{constant} is no number")
+    raise ValueError(f"{constant} is not a valid JSON number")
 
 
 def _read_address(text: str) -> Endpoint:
@@ -174,5 +183,8 @@
     except ValueError as exc:
         raise UnknownWriterError(Fault.WRONG_ADDRESS, "not IP:PORT") from exc
     if ip.is_unspecified or ip.is_multicast or not 0 < address.port < 65_536:
-        raise UnknownWriterError(Fault.WRONG_ADDRESS, "no address of one server")
+        raise UnknownWriterError(
+            Fault.WRONG_ADDRESS, "not the address of a single server"
+        )
+
     return address
--- a/tests/platform/test_heartbeat.py
+++ b/tests/platform/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, and what only looks like it."""
+"""Heartbeats and leave calls of upstreams, valid and invalid."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def fault_of(document: bytes, instance: str = "i-1") -> Fault | None:
-    """Return what is wrong with a heartbeat, or None."""
+    """Return why a heartbeat is rejected, or None if it is valid."""
     try:
         read_heartbeat(instance, document)
     except UnknownWriterError as exc:
@@ -46,7 +46,7 @@
 
 
 def encode_heartbeat(**fields: object) -> bytes:
-    """Return a good heartbeat with other fields."""
+    """Return a valid heartbeat with some fields replaced."""
     return json.dumps(VALID | fields).encode()
 
 
@@ -63,7 +63,8 @@
         cold_remaining=0,
     )
     assert not read_heartbeat("i-1", encode_heartbeat(state="draining")).ready
-    # Fields that are not known here are passed over.
+    # Unknown fields are ignored.
+
     assert fault_of(encode_heartbeat(colour="red")) is None
 
 
