--- a/src/leadseam/platform/manifest.py
+++ b/src/leadseam/platform/manifest.py
@@ -97,83 +97,83 @@
         raise DocumentError(f"cannot read the document: {exc}") from exc
     return Configuration(
         version=manifest.version,
-        accounts={one.name: _account(one) for one in manifest.tenants or ()},
-        pools={one.name: _pool(one) for one in manifest.services},
-        routes=_named(tuple(_route(one) for one in manifest.routes)),
+        accounts={entry.name: _account(entry) for entry in manifest.tenants or ()},
+        pools={entry.name: _pool(entry) for entry in manifest.services},
+        routes=_key_by_name(tuple(_route(entry) for entry in manifest.routes)),
         limits=_limits(manifest.limits),
         document=document,
     )
 
 
-def _named(routes: tuple[Route, ...]) -> dict[str, Route]:
+def _key_by_name(routes: tuple[Route, ...]) -> dict[str, Route]:
     """Key routes by name; names are labels here, and may occur twice."""
-    table: dict[str, Route] = {}
+    routes_by_name: dict[str, Route] = {}
     for route in routes:
         name = route.name
-        while name in table:
+        while name in routes_by_name:
             name += "+"
-        table[name] = msgspec.structs.replace(route, name=name)
-    return table
+        routes_by_name[name] = msgspec.structs.replace(route, name=name)
+    return routes_by_name
 
 
-def _route(wire: _Route) -> Route:
-    split = wire.traffic_split or (_Split(wire.service),)
+def _route(source: _Route) -> Route:
+    split = source.traffic_split or (_Split(source.service),)
     return Route(
-        name=wire.name,
-        host=wire.host,
-        prefix=wire.path_prefix,
-        pools=tuple(PoolShare(one.service, round(one.weight)) for one in split),
-        repeat=Repeat.SAFE if wire.kind == SAFE else Repeat.ONCE,
-        reply=ReplyForm.EVENTS if wire.kind == STREAMING else ReplyForm.WHOLE,
-        resumable=wire.resumable,
-        max_attempts=max(wire.max_attempts, 1),
-        time_limit=math.ceil(wire.timeout_ms),
-        latency_objective=round(wire.target_latency_ms),
-        max_pause=round(wire.gap_target_ms),
-        priority=wire.priority,
-        anonymous=wire.allow_anonymous,
-        regions=wire.allowed_regions,
+        name=source.name,
+        host=source.host,
+        prefix=source.path_prefix,
+        pools=tuple(PoolShare(entry.service, round(entry.weight)) for entry in split),
+        repeat=Repeat.SAFE if source.kind == SAFE else Repeat.ONCE,
+        reply=ReplyForm.EVENTS if source.kind == STREAMING else ReplyForm.WHOLE,
+        resumable=source.resumable,
+        max_attempts=max(source.max_attempts, 1),
+        time_limit=math.ceil(source.timeout_ms),
+        latency_objective=round(source.target_latency_ms),
+        max_pause=round(source.gap_target_ms),
+        priority=source.priority,
+        anonymous=source.allow_anonymous,
+        regions=source.allowed_regions,
     )
 
 
-def _pool(wire: _Service) -> Pool:
-    engine = wire.engine
+def _pool(source: _Service) -> Pool:
+    engine = source.engine
     if engine is None:
         return Pool(
-            wire.name,
+            source.name,
             PoolKind.SERVICE,
-            max_connections=wire.max_connections,
-            cold_rate=max(wire.cold_per_s, 0),
+            max_connections=source.max_connections,
+            cold_rate=max(source.cold_per_s, 0),
         )
     return Pool(
-        wire.name,
+        source.name,
         PoolKind.ENGINE,
         model=engine.models[0].name if engine.models else DEFAULT_MODEL,
-        max_connections=wire.max_connections,
+        max_connections=source.max_connections,
         engine=EngineProfile(
             slots=engine.slots,
             memory_tokens=engine.kv_capacity,
             tokens_per_event=max(round(engine.stride), 1),
         ),
-        cold_rate=max(wire.cold_per_s, 0),
+        cold_rate=max(source.cold_per_s, 0),
     )
 
 
-def _limits(wire: _Limits) -> CallerLimits:
+def _limits(source: _Limits) -> CallerLimits:
     return CallerLimits(
-        header_bytes=wire.max_header_bytes,
-        body_bytes=wire.max_body_bytes,
-        header_timeout=round(wire.header_timeout_ms),
-        idle_timeout=round(wire.idle_timeout_ms),
-        tokens_per_s=round(wire.tokens_per_s),
+        header_bytes=source.max_header_bytes,
+        body_bytes=source.max_body_bytes,
+        header_timeout=round(source.header_timeout_ms),
+        idle_timeout=round(source.idle_timeout_ms),
+        tokens_per_s=round(source.tokens_per_s),
     )
 
 
-def _account(wire: _Tenant) -> Account:
-    hashes = (hashlib.sha256(key.encode()).hexdigest() for key in wire.api_keys)
+def _account(source: _Tenant) -> Account:
+    hashes = (hashlib.sha256(key.encode()).hexdigest() for key in source.api_keys)
     return Account(
-        wire.name,
+        source.name,
         key_hashes=tuple(hashes),
-        priority=wire.priority,
-        regions=wire.allowed_regions,
+        priority=source.priority,
+        regions=source.allowed_regions,
     )
--- a/tests/platform/test_manifest.py
+++ b/tests/platform/test_manifest.py
@@ -67,7 +67,7 @@
     return json.dumps(DOCUMENT | changes).encode()
 
 
-def test_a_document_is_read_into_our_words() -> None:
+def test_a_document_becomes_a_configuration() -> None:
     document = encode()
     configuration = read_manifest(document)
     assert configuration.version == 7
@@ -101,7 +101,7 @@
     assert configuration.limits.body_bytes == 100
 
 
-def test_a_document_that_is_not_whole_is_no_configuration() -> None:
+def test_a_truncated_or_mistyped_document_is_rejected() -> None:
     with pytest.raises(DocumentError):
         read_manifest(encode()[:-20])
     with pytest.raises(DocumentError):
@@ -141,5 +141,5 @@
         ),
     ],
 )
-def test_faults_are_named(changes: dict[str, Any], fault: str) -> None:
+def test_faults_are_described(changes: dict[str, Any], fault: str) -> None:
     assert read_manifest(encode(**changes)).faults() == (fault,)
