--- a/src/leadseam/platform/manifest.py
+++ b/src/leadseam/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operators' JSON document, decoded into a configuration."""
+"""Decoding of the operators' JSON document into a configuration."""
 
 from __future__ import annotations
 
@@ -86,10 +86,12 @@
 
 
 def read_manifest(document: bytes) -> Configuration:
-    """Decode an operator's document; the result still has to be checked for faults.
+    """Decode an operator's document.
+
+    The caller still has to validate the result with `Configuration.faults`.
 
     Raises:
-        DocumentError: If it is not whole or not of the expected form.
+        DocumentError: If the document is not valid JSON or does not match the schema.
     """
     try:
         manifest = msgspec.json.decode(document, type=_Manifest)
@@ -106,7 +108,12 @@
 
 
 def _key_by_name(routes: tuple[Route, ...]) -> dict[str, Route]:
-    """Key routes by name; names are labels here, and may occur twice."""
+    """Key routes by name.
+
+    The platform uses names as labels, so they may be repeated: a repeated name gets a
+    `+` appended.
+    """
+
     routes_by_name: dict[str, Route] = {}
     for route in routes:
         name = route.name
--- a/tests/platform/test_manifest.py
+++ b/tests/platform/test_manifest.py
@@ -1,4 +1,4 @@
-"""The operators' document."""
+"""Decoding of the operators' document."""
 
 from __future__ import annotations
 
