--- a/src/leadseam/platform/names.py
+++ b/src/leadseam/platform/names.py
@@ -1,4 +1,7 @@
-"""Names on the platform's wire, each decoded in one place of this package."""
+"""Headers, paths and values of the platform's protocol.
+
+Each is decoded in one place of this package.
+"""
 
 from __future__ import annotations
 
@@ -6,30 +9,32 @@
 
 REQUEST_ID = "Leadseam-Request-Id"
 DEADLINE = "Leadseam-Deadline-Ms"
-"""Milliseconds that the sender still waits: a duration, in spite of its name."""
+"""Milliseconds for which the sender still waits: a duration, in spite of its name."""
 EXPECT_INSTANCE = "Leadseam-Expect-Instance"
 ACCOUNT = "Leadseam-Tenant-Id"
 SIGNATURE = "Leadseam-Response-Signature"
 NOT_RUN = "Leadseam-Not-Executed"
 PROMPT_PARTS = "Leadseam-Prompt-Prefix"
-"""All parts of the prompt in order, the request's own part included."""
+"""All parts of the prompt in order, including the request's own part."""
 TOKENS = "Leadseam-Token-Usage"
-"""Tokens of the prompt, and the most to be generated: a bound, nothing was used yet."""
+"""Number of prompt tokens and the most tokens to be generated: a bound, in spite of its
+name, as nothing has been used yet."""
 LAST_EVENT = "Last-Event-Id"
 HOLD = "Leadseam-Hold"
-"""Identity of a reservation of a slot and memory; nothing is held by it."""
+"""Identifier of a reservation of a slot and memory; it reserves nothing by itself."""
 PIN = "Leadseam-Pin-Ms"
 BACKUP_TO = "Leadseam-Kv-Backup"
-"""Address of another server to which a run's memory is copied while it grows."""
+"""Address of another server to which the memory of a run is copied while it grows."""
 RESUME_FROM = "Kv-From"
-"""Address and name of a copy of a run's memory."""
+"""Address and name of a copy of the memory of a run."""
 FETCH_FROM = "Kv-Fetch"
-"""Address of a server from which cached parts are taken."""
+"""Address of a server from which cached parts of a prompt are fetched."""
 ENGINE_CONTROLS = (HOLD, PIN, BACKUP_TO, RESUME_FROM, FETCH_FROM)
-"""Orders to an engine that only the system may give, never a caller."""
+"""Headers that control an engine; only the system may set them, never a caller."""
 RETRY_AFTER = "Retry-After"
 LEAVING = "Server-Leaving"
-"""Set to 1 in all answers of a server that is about to end."""
+"""Set to 1 in all responses of a server that is about to stop."""
+
 LEAVING_VALUE = "1"
 AUTHORIZATION = "Authorization"
 BEARER = "Bearer "
