--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -74,7 +74,7 @@
         Raises:
             SettingsError: With file, key and what was expected.
         """
-        fields = _Fields(_split_lines(text, name), name)
+        fields = _FieldReader(_parse_lines(text, name), name)
         internal_port = fields.integer_list("internalPorts")[0]
         return cls(
             node=fields.text("node"),
@@ -101,7 +101,7 @@
         return Endpoint(ip=ip, port=self.internal_port)
 
 
-class _Fields:
+class _FieldReader:
     """Typed access to the fields of a file."""
 
     def __init__(self, fields: dict[str, str], name: str) -> None:
@@ -121,7 +121,7 @@
         try:
             return float(value)
         except ValueError as exc:
-            raise self._fault(key, "a number", value) from exc
+            raise self._invalid_value(key, "a number", value) from exc
 
     def integer(self, key: str, default: int) -> int:
         return round(self.number(key, default))
@@ -140,7 +140,7 @@
         try:
             return [int(item) for item in value.split(",")]
         except ValueError as exc:
-            raise self._fault(key, "whole numbers", value) from exc
+            raise self._invalid_value(key, "whole numbers", value) from exc
 
     def address(self, key: str) -> Endpoint | None:
         value = self._fields.get(key)
@@ -149,16 +149,18 @@
         try:
             return read_address(value)
         except ValueError as exc:
-            raise self._fault(key, "IP:PORT", value) from exc
+            raise self._invalid_value(key, "IP:PORT", value) from exc
 
     def seeds(self, internal_port: int) -> tuple[Endpoint, ...]:
         """Seeds name the operators' port; our own links use another one."""
         value = self._fields.get("seeds", "")
         try:
-            given = [read_address(item) for item in value.split(",") if item]
+            addresses = [read_address(item) for item in value.split(",") if item]
         except ValueError as exc:
-            raise self._fault("seeds", "IP:PORT", value) from exc
-        return tuple(Endpoint(ip=one.ip, port=internal_port) for one in given)
+            raise self._invalid_value("seeds", "IP:PORT", value) from exc
+        return tuple(
+            Endpoint(ip=endpoint.ip, port=internal_port) for endpoint in addresses
+        )
 
     def retry_limits(self) -> RetryLimits:
         default = RetryLimits()
@@ -169,7 +171,7 @@
             window=round(window * MILLIS_PER_SECOND),
         )
 
-    def _fault(self, key: str, expected: str, value: str) -> SettingsError:
+    def _invalid_value(self, key: str, expected: str, value: str) -> SettingsError:
         return SettingsError(f"{self._name}: {key}: expected {expected}, got {value!r}")
 
 
@@ -210,13 +212,13 @@
     return NodeSettings.parse(text, str(path))
 
 
-def _split_lines(text: str, name: str) -> dict[str, str]:
+def _parse_lines(text: str, name: str) -> dict[str, str]:
     fields: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip():
             continue
-        key, sign, value = line.partition("=")
-        if not sign:
+        key, separator, value = line.partition("=")
+        if not separator:
             raise SettingsError(f"{name}: line {number}: expected KEY=VALUE")
         fields[key.strip()] = value.strip()
     return fields
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -31,7 +31,7 @@
 """
 
 
-def test_a_file_is_read_into_our_words() -> None:
+def test_a_file_becomes_settings() -> None:
     assert NodeSettings.parse(TEXT, "f") == NodeSettings(
         node="core-a-1",
         ip="10.1.0.35",
@@ -67,7 +67,7 @@
         ("listen.front=:a", "f: listen.front: expected IP:PORT, got ':a'"),
     ],
 )
-def test_a_fault_is_named_by_file_and_key(line: str, message: str | None) -> None:
+def test_an_error_names_file_and_key(line: str, message: str | None) -> None:
     if message is None:
         assert NodeSettings.parse(TEXT + line, "f").ip == ""
         return
