--- a/src/leadseam/platform/settings.py
+++ b/src/leadseam/platform/settings.py
@@ -1,4 +1,7 @@
-"""The platform's settings file: `a.b=value` lines, lists joined by commas."""
+"""Parsing of the platform's settings file.
+
+Each line has the form `a.b=value`; lists are separated by commas.
+"""
 
 from __future__ import annotations
 
@@ -18,31 +21,31 @@
 
 MILLIS_PER_SECOND = 1_000
 METRICS_OFFSET = 1
-"""Place of the metrics port among the ports that the platform leaves to us."""
+"""Offset of the metrics port in the range of internal ports that the platform gives."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What one process is told.
+    """Settings of one process.
 
     Args:
-        node: Name of the process' box.
-        ip: IP number of that box.
+        node: Name of the box that the process runs on.
+        ip: IP address of that box.
         failure_domain: Failure domain of that box.
         regions: Region of each failure domain.
-        front: Where callers connect, or None.
-        ready: Where readiness is asked for, or None.
-        control: Where upstreams and operators call, or None.
-        internal_port: Port for links between our own processes.
+        front: Address for callers, or None.
+        ready: Address for readiness checks, or None.
+        control: Address for upstreams and operators, or None.
+        internal_port: Port for links between the system's own processes.
         metrics_port: Port for metrics.
-        seeds: Inner addresses of some control boxes.
+        seeds: Internal addresses of some control boxes.
         bootstrap: Whether the whole system starts for the first time.
         data_dir: Data folder, or None on a box without a disk.
-        loss_tolerance: Control boxes that may be lost at once.
+        loss_tolerance: Number of control boxes that may be lost at once.
         heartbeat_interval: Milliseconds between the heartbeats of an upstream.
-        resend_limit: Milliseconds for which operators may send an order again.
+        resend_limit: Milliseconds during which operators may send an order again.
         grace: Milliseconds from the request to stop until the process is killed.
-        retry_limits: Fleet-wide bounds on repeated sends.
+        retry_limits: Fleet-wide limits on retries.
     """
 
     node: str
@@ -65,14 +68,15 @@
 
     @classmethod
     def parse(cls, text: str, name: str) -> NodeSettings:
-        """Read the content of a settings file.
+        """Parse the content of a settings file.
 
         Args:
-            text: The content.
-            name: Name of the file, for errors.
+            text: Content of the file.
+            name: Name of the file for error messages.
 
         Raises:
-            SettingsError: With file, key and what was expected.
+            SettingsError: If a line or value is invalid; names file, key and expected
+                form.
         """
         fields = _FieldReader(_parse_lines(text, name), name)
         internal_port = fields.integer_list("internalPorts")[0]
@@ -97,12 +101,12 @@
         )
 
     def internal_endpoint(self, ip: str) -> Endpoint:
-        """Return the address for our own links on a box."""
+        """Return the address of a box for links between the system's own processes."""
         return Endpoint(ip=ip, port=self.internal_port)
 
 
 class _FieldReader:
-    """Typed access to the fields of a file."""
+    """Typed access to the fields of a settings file."""
 
     def __init__(self, fields: dict[str, str], name: str) -> None:
         self._fields = fields
@@ -127,7 +131,7 @@
         return round(self.number(key, default))
 
     def table(self, key: str) -> dict[str, str]:
-        """Return the fields below a key, by the rest of their names."""
+        """Return the fields whose names start with a key, without that prefix."""
         prefix = f"{key}."
         return {
             name.removeprefix(prefix): value
@@ -152,7 +156,10 @@
             raise self._invalid_value(key, "IP:PORT", value) from exc
 
     def seeds(self, internal_port: int) -> tuple[Endpoint, ...]:
-        """Seeds name the operators' port; our own links use another one."""
+        """Return the seeds with the internal port.
+
+        The file lists them with the operators' port.
+        """
         value = self._fields.get("seeds", "")
         try:
             addresses = [read_address(item) for item in value.split(",") if item]
@@ -176,10 +183,10 @@
 
 
 def read_address(text: str) -> Endpoint:
-    """Read `IP:PORT`.
+    """Parse an address of the form `IP:PORT`.
 
     Raises:
-        ValueError: If the text is none.
+        ValueError: If the text does not have this form.
     """
     ip, _, port = text.rpartition(":")
     if not ip:
@@ -188,22 +195,23 @@
 
 
 def settings_path() -> Path:
-    """Return the path of this process' settings file.
+    """Return the path of the settings file of this process.
 
     Raises:
-        SettingsError: If the environment does not name one.
+        SettingsError: If the environment variable for it is not set.
     """
     value = os.environ.get(SETTINGS_VARIABLE)
     if not value:
-        raise SettingsError(f"the variable {SETTINGS_VARIABLE} names no file")
+        raise SettingsError(f"environment variable {SETTINGS_VARIABLE} is not set")
     return Path(value)
 
 
 def load_node_settings(path: Path) -> NodeSettings:
-    """Read and check a settings file.
+    """Read and parse a settings file.
 
     Raises:
-        SettingsError: If it cannot be used.
+        SettingsError: If it cannot be read or is invalid.
+
     """
     try:
         text = path.read_text()
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Parsing of the platform's settings file."""
 
 from __future__ import annotations
 
