--- a/src/leadseam/platform/watch.py
+++ b/src/leadseam/platform/watch.py
@@ -41,21 +41,23 @@
         self._path = path
         self._settings = settings
         self._on_change = on_change
-        self._hup = asyncio.Event()
+        self._reload_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._hup.set)
+        asyncio.get_running_loop().add_signal_handler(
+            signal.SIGHUP, self._reload_requested.set
+        )
         while True:
             try:
                 async with asyncio.timeout(seconds(POLL_INTERVAL)):
-                    await self._hup.wait()
-                    self._hup.clear()
+                    await self._reload_requested.wait()
+                    self._reload_requested.clear()
             except TimeoutError:
                 pass
-            self._reread()
+            self._reload()
 
-    def _reread(self) -> None:
+    def _reload(self) -> None:
         try:
             settings = load_node_settings(self._path)
         except SettingsError as exc:
