--- a/src/leadseam/platform/watch.py
+++ b/src/leadseam/platform/watch.py
@@ -1,4 +1,4 @@
-"""Rereads the settings file on SIGHUP and when it changes by itself."""
+"""Reloading of the settings file, on SIGHUP and when its content changes."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
     from leadseam.platform.settings import NodeSettings
 
 POLL_INTERVAL: Millis = 1_000
-"""Interval at which the file is compared; seeds change a few times a day."""
+"""Interval at which the file is checked for changes; seeds change a few times a day."""
 
 log = logging.getLogger(__name__)
 
 
 class SettingsWatch:
-    """Tells the program of changed settings; a bad file changes nothing.
+    """Notifies the process of changed settings.
+
+    A file that cannot be read is logged and ignored.
 
     Args:
-        path: The file.
-        settings: What it held at the start.
-        on_change: Called with new settings.
+        path: Settings file.
+        settings: Settings that the process has started with.
+        on_change: Called with the new settings.
     """
 
     def __init__(
@@ -44,7 +46,8 @@
         self._reload_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Watch the file until cancelled."""
+
         asyncio.get_running_loop().add_signal_handler(
             signal.SIGHUP, self._reload_requested.set
         )
