--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -15,7 +15,7 @@
 from leadseam.routing.gateway import MAX_KEPT_ALIVE
 from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
 from tools.platform.nodes import HOST, KEY, document
-from tools.platform.standin import LARGE_BEGIN, LARGE_BODY, WHOLE_STREAM, event
+from tools.platform.standin import LARGE_BODY, LARGE_BODY_START, WHOLE_STREAM, event
 from tools.waiting import CONDITION_TIMEOUT, until
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     received = asyncio.Event()
 
     def on_data(data: bytes) -> None:
-        if len(data) > LARGE_BEGIN // 2:
+        if len(data) > LARGE_BODY_START // 2:
             received.set()
 
     entry = platform.entry_ips[0]
--- a/tests/platform/test_upstreams_words.py
+++ b/tests/platform/test_upstream_announcements.py
@@ -7,21 +7,21 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.pauses import MAX_ARRIVALS, SLACK, arrivals_in_rests
+from tools.platform.pauses import MAX_ARRIVALS, SLACK, max_arrivals_in_pause
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer, Platform
     from tools.platform.standin import Server
 
-REST = 1.5
+PAUSE_LENGTH = 1.5
 """Seconds for which a server wants nothing more from an entry."""
-CALLERS = 3
+CALLERS_PER_ENTRY = 3
 """Callers of each entry, fewer than one server alone takes at a time."""
-DRAIN = 2.0
+DRAIN_LIMIT = 2.0
 """Seconds after which a leaving server gets nothing new: the users' shortest bound."""
 
 
-class Callers:
+class CallLoop:
     """Call a path through both entries until told to stop.
 
     Args:
@@ -37,11 +37,11 @@
         self.sent_at: dict[str, float] = {}
         self.answers: list[Answer] = []
 
-    async def __aenter__(self) -> Callers:
+    async def __aenter__(self) -> CallLoop:
         self._tasks = [
             asyncio.create_task(self._run(entry, f"{entry}-{number}"))
             for entry in self._platform.entry_ips
-            for number in range(CALLERS)
+            for number in range(CALLERS_PER_ENTRY)
         ]
         return self
 
@@ -61,55 +61,55 @@
             await asyncio.sleep(0.005)
 
 
-async def passes(seconds: float) -> None:
+async def wait(seconds: float) -> None:
     """Wait until some time has passed."""
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    end = time.monotonic() + seconds
+    while time.monotonic() < end:
         await asyncio.sleep(0.05)
 
 
-def rests_until(server: Server, number: int) -> float:
+def pause_end(server: Server, number: int) -> float:
     """Return when the time is over that a refusal of a server stated."""
-    rest = server.pauses[number]
-    return rest.at + rest.length
+    pause = server.pauses[number]
+    return pause.at + pause.length
 
 
-async def check_rests(platform: Platform, service: str, path: str) -> None:
+async def check_pause(platform: Platform, service: str, path: str) -> None:
     """Have a server of two ask for a rest, and look at what reaches it."""
-    resting = platform.servers_of(service)[0]
-    resting.pause_length = REST
-    resting.default_action = "rest"
-    async with Callers(platform, path) as callers:
-        while len(resting.pauses) < 2:
+    paused = platform.servers_of(service)[0]
+    paused.pause_length = PAUSE_LENGTH
+    paused.default_action = "rest"
+    async with CallLoop(platform, path) as callers:
+        while len(paused.pauses) < 2:
             await asyncio.sleep(0.01)
-        while time.monotonic() < rests_until(resting, 1) + SLACK:
+        while time.monotonic() < pause_end(paused, 1) + SLACK:
             await asyncio.sleep(0.01)
-    most = arrivals_in_rests(resting, callers.entry_of)
-    assert most.count <= MAX_ARRIVALS, most
+    worst = max_arrivals_in_pause(paused, callers.entry_of)
+    assert worst.count <= MAX_ARRIVALS, worst
     assert {answer.status for answer in callers.answers} == {200}
 
 
-async def test_a_server_that_asks_for_a_rest_gets_nothing_in_that_time(
+async def test_a_server_that_asks_for_a_pause_gets_nothing_during_it(
     platform: Platform,
 ) -> None:
-    await check_rests(platform, "model", "/stream/x")
-    await check_rests(platform, "plain", "/safe/x")
+    await check_pause(platform, "model", "/stream/x")
+    await check_pause(platform, "plain", "/safe/x")
 
 
-async def test_a_server_that_says_only_in_answers_that_it_leaves_gets_nothing_new(
+async def test_a_server_that_announces_leaving_only_in_responses_gets_nothing_new(
     platform: Platform,
 ) -> None:
     leaving = platform.servers_of("model")[0]
     leaving.announces_leaving = True
-    async with Callers(platform, "/stream/x") as callers:
+    async with CallLoop(platform, "/stream/x") as callers:
         while not leaving.runs:
             await asyncio.sleep(0.01)
         first = time.monotonic()
-        await passes(DRAIN + 1.0)
+        await wait(DRAIN_LIMIT + 1.0)
     late = [
         run.request_id
         for run in leaving.runs
-        if callers.sent_at.get(run.request_id, 0) > first + DRAIN
+        if callers.sent_at.get(run.request_id, 0) > first + DRAIN_LIMIT
     ]
     assert late == []
     assert leaving.state == "ready"
--- a/tools/platform/pauses.py
+++ b/tools/platform/pauses.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrivals:
+class PauseArrivals:
     """Requests that reached a server in one of its rests.
 
     Args:
@@ -67,23 +67,23 @@
 
     entry: str
     count: int
-    rest: Pause | None
+    pause: Pause | None
 
 
-def arrivals_in_rests(server: Server, entry_of: Mapping[str, str]) -> Arrivals:
+def max_arrivals_in_pause(server: Server, entry_of: Mapping[str, str]) -> PauseArrivals:
     """Return the most arrivals from one entry in one rest that the entry was asked for.
 
     Args:
         server: The server.
         entry_of: Entry that each request was sent to.
     """
-    most = Arrivals("", 0, None)
-    for rest in server.pauses:
-        entry = entry_of.get(rest.request_id, "")
+    worst = PauseArrivals("", 0, None)
+    for pause in server.pauses:
+        entry = entry_of.get(pause.request_id, "")
         count = sum(
-            rest.covers(arrival) and entry_of.get(arrival.request_id) == entry
+            pause.covers(arrival) and entry_of.get(arrival.request_id) == entry
             for arrival in server.arrivals
         )
-        if count > most.count:
-            most = Arrivals(entry, count, rest)
-    return most
+        if count > worst.count:
+            worst = PauseArrivals(entry, count, pause)
+    return worst
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -28,7 +28,7 @@
 """Events of each stream."""
 LARGE_BODY = b"\nid: 7\n" * 300_000
 """Body of a plain answer that is passed on before it is whole: 2.1 MB."""
-LARGE_BEGIN = 1_400_000
+LARGE_BODY_START = 1_400_000
 """Bytes of it that come at once."""
 _instances = itertools.count(1)
 
@@ -120,27 +120,27 @@
         await self._runner.setup()
         await web.TCPSite(self._runner, self.ip, self.port).start()
         self._session = open_session()
-        self._beats = asyncio.create_task(self._beat())
-        self._coming_back: asyncio.Task[None] | None = None
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
+        self._restarting: asyncio.Task[None] | None = None
         self._stopped = False
 
     async def stop(self) -> None:
         """Go away without a word."""
         self._stopped = True
-        if self._coming_back is not None and not self._coming_back.done():
-            self._coming_back.cancel()
-            await asyncio.wait([self._coming_back])
+        if self._restarting is not None and not self._restarting.done():
+            self._restarting.cancel()
+            await asyncio.wait([self._restarting])
         await self._end()
 
     async def _end(self) -> None:
-        self._beats.cancel()
+        self._heartbeats.cancel()
         await self._session.close()
         await self._runner.cleanup()
 
     @property
     def is_up(self) -> bool:
         """Whether it serves."""
-        return self._coming_back is None or self._coming_back.done()
+        return self._restarting is None or self._restarting.done()
 
     @property
     def incarnation(self) -> str:
@@ -163,10 +163,10 @@
         for conn in list(self._server.connections):
             if conn.transport is not None:
                 conn.transport.abort()
-        self._coming_back = asyncio.create_task(self._come_back())
+        self._restarting = asyncio.create_task(self._restart())
         return True
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await self._end()
         await asyncio.sleep(self.restart_delay)
         if self.born is None:
@@ -183,13 +183,15 @@
         """Announce a planned end, and wait for the acknowledgement."""
         self.state = "draining"
         acks = self.acks
-        await until(lambda: _true(self.acks > acks + 1), "leaving is acknowledged")
+        await until(
+            lambda: _as_awaitable(self.acks > acks + 1), "leaving is acknowledged"
+        )
 
     def count(self, request_id: str) -> int:
         """Return how often a request ran here."""
         return sum(run.request_id == request_id for run in self.runs)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for sequence in itertools.count(1):
             control = self.controls[sequence % len(self.controls)]
             url = f"http://{control}" + names.HEARTBEAT_PATH.format(
@@ -213,8 +215,8 @@
 
     def heartbeat(self, sequence: int) -> dict[str, Any]:
         """Return what it says of itself."""
-        stated = {} if self.born is None else {"born": self.born}
-        return stated | {
+        start_time = {} if self.born is None else {"born": self.born}
+        return start_time | {
             "service": self.service,
             "address": self.advertised or f"{self.ip}:{self.port}",
             "zone": self.zone,
@@ -227,15 +229,15 @@
 
     async def _handle(self, http: web.BaseRequest) -> web.StreamResponse:
         if http.headers.get(names.EXPECT_INSTANCE) != self.instance:
-            return web.Response(status=421, headers=self._echo(http))
+            return web.Response(status=421, headers=self._base_headers(http))
         request_id = http.headers[names.REQUEST_ID]
         self.arrivals.append(Arrival(request_id, self.incarnation))
         action = self.actions.get(http.path.rsplit("/", 1)[-1], self.default_action)
         if action == "full":
-            headers = {**self._echo(http), names.NOT_RUN: "1"}
+            headers = {**self._base_headers(http), names.NOT_RUN: "1"}
             return web.Response(status=503, headers=headers)
         if action == "rest":
-            return self._ask_for_rest(http)
+            return self._ask_for_pause(http)
         run = Run(
             request_id,
             http.method,
@@ -245,14 +247,16 @@
         )
         self.runs.append(run)
         try:
-            response = await self._act(http, action)
+            response = await self._run_action(http, action)
         except asyncio.CancelledError:
             run.ended = "cancelled"
             raise
         run.ended = "done"
         return response
 
-    async def _act(self, http: web.BaseRequest, action: str) -> web.StreamResponse:
+    async def _run_action(
+        self, http: web.BaseRequest, action: str
+    ) -> web.StreamResponse:
         match action:
             case "reset":
                 return self._abort(http)
@@ -264,12 +268,12 @@
                 await self.release.wait()
                 return self._answer(http)
             case "unsigned":
-                return web.Response(body=b"x", headers=self._echo(http))
+                return web.Response(body=b"x", headers=self._base_headers(http))
             case "foreign":
-                signed = self._signed(http) | {names.REQUEST_ID: "another"}
+                signed = self._signed_headers(http) | {names.REQUEST_ID: "another"}
                 return web.Response(body=b"x", headers=signed)
             case "error":
-                return web.Response(status=500, headers=self._signed(http))
+                return web.Response(status=500, headers=self._signed_headers(http))
             case "large":
                 return await self._large(http)
             case _ if "stream" in http.path:
@@ -283,22 +287,22 @@
 
     def _answer(self, http: web.BaseRequest) -> web.Response:
         body = f"{self.instance} {http.raw_path}".encode()
-        return web.Response(body=body, headers=self._signed(http))
+        return web.Response(body=body, headers=self._signed_headers(http))
 
     async def _large(self, http: web.BaseRequest) -> web.StreamResponse:
         """Answer with more than is held, the rest of it when that is released."""
-        headers = {**self._signed(http), "Content-Type": "application/json"}
+        headers = {**self._signed_headers(http), "Content-Type": "application/json"}
         response = web.StreamResponse(headers=headers)
         response.content_length = len(LARGE_BODY)
         await response.prepare(http)
-        await response.write(LARGE_BODY[:LARGE_BEGIN])
+        await response.write(LARGE_BODY[:LARGE_BODY_START])
         await self.release.wait()
-        await response.write(LARGE_BODY[LARGE_BEGIN:])
+        await response.write(LARGE_BODY[LARGE_BODY_START:])
         await response.write_eof()
         return response
 
     async def _stream(self, http: web.BaseRequest, action: str) -> web.StreamResponse:
-        headers = {**self._signed(http), "Content-Type": "text/event-stream"}
+        headers = {**self._signed_headers(http), "Content-Type": "text/event-stream"}
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         await response.prepare(http)
@@ -322,22 +326,22 @@
         http.transport.abort()
         return web.Response()
 
-    def _ask_for_rest(self, http: web.BaseRequest) -> web.Response:
-        headers = {**self._echo(http), names.NOT_RUN: "1"}
+    def _ask_for_pause(self, http: web.BaseRequest) -> web.Response:
+        headers = {**self._base_headers(http), names.NOT_RUN: "1"}
         headers[names.RETRY_AFTER] = f"{self.pause_length:g}"
         request_id = http.headers[names.REQUEST_ID]
         now = time.monotonic()
         self.pauses.append(Pause(now, self.pause_length, request_id, self.incarnation))
         return web.Response(status=503, headers=headers)
 
-    def _echo(self, http: web.BaseRequest) -> dict[str, str]:
+    def _base_headers(self, http: web.BaseRequest) -> dict[str, str]:
         headers = {names.REQUEST_ID: http.headers[names.REQUEST_ID]}
         if self.announces_leaving:
             headers[names.LEAVING] = names.LEAVING_VALUE
         return headers
 
-    def _signed(self, http: web.BaseRequest) -> dict[str, str]:
-        return self._echo(http) | {names.SIGNATURE: f"signed-{self.instance}"}
+    def _signed_headers(self, http: web.BaseRequest) -> dict[str, str]:
+        return self._base_headers(http) | {names.SIGNATURE: f"signed-{self.instance}"}
 
 
 def event(number: int) -> bytes:
@@ -349,5 +353,5 @@
 """Body of a stream that is complete."""
 
 
-async def _true(value: bool) -> bool:
+async def _as_awaitable(value: bool) -> bool:
     return value
