--- a/tests/platform/test_upstream_announcements.py
+++ b/tests/platform/test_upstream_announcements.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in their answers, with real processes."""
+"""Pauses and planned stops that servers announce in responses, with real processes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
     from tools.platform.standin import Server
 
 PAUSE_LENGTH = 1.5
-"""Seconds for which a server wants nothing more from an entry."""
+"""Length in seconds of the pause that a server asks for."""
 CALLERS_PER_ENTRY = 3
-"""Callers of each entry, fewer than one server alone takes at a time."""
+"""Concurrent callers per entry: fewer than the slots of a single server."""
 DRAIN_LIMIT = 2.0
-"""Seconds after which a leaving server gets nothing new: the users' shortest bound."""
+"""Seconds after which a leaving server gets nothing new: the shortest limit that users
+set."""
 
 
 class CallLoop:
-    """Call a path through both entries until told to stop.
+    """Calls a path through all entries in a loop, until the context ends.
 
     Args:
-        platform: Where to call.
-        path: What to call.
+        platform: Platform whose entries are called.
+        path: Path of the requests.
     """
 
     def __init__(self, platform: Platform, path: str) -> None:
@@ -62,20 +63,21 @@
 
 
 async def wait(seconds: float) -> None:
-    """Wait until some time has passed."""
+    """Wait for some seconds, in short steps."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         await asyncio.sleep(0.05)
 
 
 def pause_end(server: Server, number: int) -> float:
-    """Return when the time is over that a refusal of a server stated."""
+    """Return when a pause that a server asked for ends."""
     pause = server.pauses[number]
     return pause.at + pause.length
 
 
 async def check_pause(platform: Platform, service: str, path: str) -> None:
-    """Have a server of two ask for a rest, and look at what reaches it."""
+    """Have one of two servers ask for a pause, and check what reaches it meanwhile."""
+
     paused = platform.servers_of(service)[0]
     paused.pause_length = PAUSE_LENGTH
     paused.default_action = "rest"
--- a/tools/platform/operator.py
+++ b/tools/platform/operator.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's operators, and of others who write to a node."""
+"""Stand-in for the platform's operators and for other clients of control boxes."""
 
 from __future__ import annotations
 
@@ -17,19 +17,23 @@
     from collections.abc import Sequence
 
 OPERATOR_PAUSE = 0.05
-"""Seconds until an operator asks the next control box."""
+"""Seconds until an operator tries the next control box."""
 REQUEST_TIMEOUT = 2.0
-"""Seconds that a control box may take to answer."""
+"""Seconds within which a control box must answer."""
 
 
 @dataclass
 class Operator:
-    """Sends whole configurations, to any node that answers."""
+    """Sends configurations and orders to the first control box that answers.
+
+    Args:
+        controls: Addresses of the control boxes, tried in turn.
+    """
 
     controls: Sequence[str]
 
     async def replace(self, document: bytes) -> int:
-        """Send a configuration until it has a clear answer; return its status."""
+        """Send a configuration until a status below 500 comes back; return it."""
         for control in itertools.cycle(self.controls):
             status = await self._try(control, document)
             if status and status < 500:
@@ -38,7 +42,7 @@
         raise AssertionError
 
     async def switch(self, domain: str, *, evacuated: bool) -> int:
-        """Order an evacuation or its end until it has a clear answer."""
+        """Order an evacuation or its end until a status below 500 comes back."""
         path = names.EVACUATE_PATH if evacuated else names.RESTORE_PATH
         for control in itertools.cycle(self.controls):
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
@@ -49,7 +53,7 @@
         raise AssertionError
 
     async def read(self) -> bytes:
-        """Read the newest configuration from any node that knows it."""
+        """Read the newest configuration from any control box that has it."""
         async with open_session() as session:
             for control in itertools.cycle(self.controls):
                 url = f"http://{control}{names.READ_PATH}"
@@ -69,7 +73,7 @@
 
 
 async def post_bytes(control: str, path: str, body: bytes) -> int:
-    """Send bytes to a control box, as any writer may, and return the status."""
+    """Post a body to a control box, as any client can, and return the status."""
     url = f"http://{control}{path}"
     return await _post(url, body)
 
@@ -80,7 +84,8 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """Open a session in which each request has a connection of its own."""
+    """Open a session that uses a new connection for each request."""
+
     return aiohttp.ClientSession(
         timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT),
         connector=LoopConnector(),
--- a/tools/platform/pauses.py
+++ b/tools/platform/pauses.py
@@ -1,4 +1,4 @@
-"""Counts what reaches a server from an entry while it wants nothing from it."""
+"""Counts the requests that reach a server from an entry during a requested pause."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
     from tools.platform.standin import Server
 
 SLACK = 0.5
-"""Seconds after a refusal in which requests may still be on their way."""
+"""Seconds after a refusal during which requests may still be in flight."""
 MAX_ARRIVALS = 2
-"""Requests that may reach a server while it rests: the users' bound."""
+"""Requests that may reach a server during a pause: the limit that users set."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """A refusal with which a server asks for a rest.
+    """A refusal with which a server asks for a pause.
 
     Args:
-        at: When it was sent, on the steady clock.
-        length: Seconds for which nothing more is wanted.
-        request_id: Request that was turned away.
-        incarnation: Start of the server that asks.
+        at: When the refusal was sent, on the monotonic clock.
+        length: Length of the pause in seconds.
+        request_id: Identifier of the refused request.
+        incarnation: Incarnation of the server that asks.
     """
 
     at: float
@@ -34,7 +34,7 @@
     incarnation: str
 
     def covers(self, arrival: Arrival) -> bool:
-        """Tell whether a request arrived where none was wanted."""
+        """Return whether a request arrived during the pause, after the slack."""
         if arrival.incarnation != self.incarnation:
             return False
         return self.at + SLACK < arrival.at < self.at + self.length
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that has reached a server, run or not.
+    """A request that has reached a server, whether or not it ran.
 
     Args:
-        request_id: Its identifier.
-        incarnation: Start of the server.
-        at: When its head was read, on the steady clock.
+        request_id: Identifier of the request.
+        incarnation: Incarnation of the server.
+        at: When the head was read, on the monotonic clock.
     """
 
     request_id: str
@@ -57,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseArrivals:
-    """Requests that reached a server in one of its rests.
+    """Requests that reached a server during one of its pauses.
 
     Args:
         entry: Entry that sent them.
-        count: How many.
-        rest: The rest.
+        count: Number of requests.
+        pause: The pause, or None if there were no such requests.
     """
 
     entry: str
@@ -71,11 +71,12 @@
 
 
 def max_arrivals_in_pause(server: Server, entry_of: Mapping[str, str]) -> PauseArrivals:
-    """Return the most arrivals from one entry in one rest that the entry was asked for.
+    """Return the most arrivals from one entry during a pause requested of that entry.
 
     Args:
-        server: The server.
-        entry_of: Entry that each request was sent to.
+        server: Server that asked for the pauses.
+        entry_of: Entry that each request was sent to, by request identifier.
+
     """
     worst = PauseArrivals("", 0, None)
     for pause in server.pauses:
