--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's servers, which registers itself."""
+"""Stand-in for the platform's servers, which registers itself with heartbeats."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from collections.abc import Sequence
 
 HEARTBEAT = 0.1
-"""Seconds between two heartbeats of a server, as its nodes' settings state."""
+"""Seconds between two heartbeats of a server, as in the settings of the nodes."""
 EVENTS = 6
-"""Events of each stream."""
+"""Number of events in each stream."""
 LARGE_BODY = b"\nid: 7\n" * 300_000
-"""Body of a plain answer that is passed on before it is whole: 2.1 MB."""
+"""Body of a plain response that is passed on before it is complete: 2.1 MB."""
 LARGE_BODY_START = 1_400_000
-"""Bytes of it that come at once."""
+"""Bytes of it that are sent at once."""
 _instances = itertools.count(1)
 
 
@@ -38,13 +38,13 @@
     """A request that a server ran.
 
     Args:
-        request_id: Its identifier.
+        request_id: Identifier of the request.
         method: HTTP method.
         target: Path and query as sent.
         body: Bytes of the body.
         headers: All headers as received.
         ended: How it ended: `done`, `cancelled`, or empty while it runs.
-        at: When its body had been read, on the steady clock.
+        at: When its body had been read, on the monotonic clock.
     """
 
     request_id: str
@@ -58,7 +58,7 @@
 
 @dataclass
 class Server:
-    """One server.
+    """One server, whose behavior can be set by path.
 
     Args:
         ip: Address that it listens on.
@@ -66,26 +66,26 @@
         service: Service that it registers for.
         controls: Control boxes that heartbeats go to, in turn.
         slots: Requests that it takes at a time.
-        instance: Name of its incarnation.
-        actions: What it does with a path, by the path's last part.
+        instance: Id under which it registers.
+        actions: Action for a request, by the last component of its path.
         runs: Requests that it ran.
-        release: Set when those that `actions` holds may go on.
-        state: State that it states in heartbeats.
-        acks: Heartbeats that were acknowledged.
+        release: Set to let requests continue that an action holds.
+        state: State that it reports in heartbeats.
+        acks: Number of heartbeats that were acknowledged.
         advertised: Address that it registers. Defaults to where it listens.
-        delay: Seconds between events, and before a plain answer.
-        default_action: What it does with paths that `actions` does not name.
-        born: When it started, in Unix milliseconds; None to leave it out.
-        left_at: When its end was acknowledged, on the steady clock, or None.
+        delay: Seconds between events, and before a plain response.
+        default_action: Action for paths that `actions` does not list.
+        born: When it started, in Unix milliseconds; None to leave it out of heartbeats.
+        left_at: When its leaving was acknowledged, on the monotonic clock, or None.
         restart_delay: Seconds from a crash to the next start: as another incarnation,
-            under a new id or, if it states its starts, under the one that it had.
+            under a new id or, if it reports its starts, under the one that it had.
         crashes: Requests that have crashed it.
-        zone: Failure domain that it states.
-        cold: Milliseconds for which it says that it is cold.
-        pause_length: Seconds of pause for which it asks when it turns a request away.
-        pauses: Refusals with which it has asked for a rest.
-        arrivals: Requests that have reached it, run or not.
-        announces_leaving: Whether its answers say that it is about to end.
+        zone: Failure domain that it reports.
+        cold: Milliseconds for which it reports that it is cold.
+        pause_length: Seconds of the pause that it asks for when it refuses a request.
+        pauses: Refusals with which it has asked for a pause.
+        arrivals: Requests that have reached it, whether or not they ran.
+        announces_leaving: Whether its responses announce that it is about to stop.
     """
 
     ip: str
@@ -125,7 +125,7 @@
         self._stopped = False
 
     async def stop(self) -> None:
-        """Go away without a word."""
+        """Stop without announcing it."""
         self._stopped = True
         if self._restarting is not None and not self._restarting.done():
             self._restarting.cancel()
@@ -144,20 +144,20 @@
 
     @property
     def incarnation(self) -> str:
-        """Which start of it this is."""
+        """Identifier of this start of the server."""
         return f"{self.instance}@{self.born or 0}"
 
     def crash(self) -> bool:
-        """End all connections and tasks at once, and come back after a while.
+        """End all connections and tasks at once, and restart after a delay.
 
         Returns:
-            Whether it was up; one that goes away for good is not to come back at its
-            successor's place.
+            Whether it was up. A server that was stopped for good must not restart: its
+            successor may use the same address.
         """
         if self._stopped or not self.is_up:
             return False
         for site in list(self._runner.sites):
-            # Closes the listening socket at once; the rest is awaited later.
+            # Closes the listening socket at once; `_end` awaits the remaining cleanup.
             if site._server is not None:
                 site._server.close()
         for conn in list(self._server.connections):
@@ -173,7 +173,7 @@
             self.instance = f"i-{next(_instances)}"
         else:
             self.born = time.time_ns() // 1_000_000
-        # Nothing that it announced before is true of this start.
+        # What it announced before does not apply to this start.
         self.state = "ready"
         self.announces_leaving = False
         self.left_at = None
@@ -203,10 +203,10 @@
             await asyncio.sleep(HEARTBEAT)
 
     async def deregister(self, born: int | None = None) -> int:
-        """Say that a start of it leaves; return the status.
+        """Send a leave call for one of its starts, and return the status.
 
         Args:
-            born: Start that leaves. Defaults to its own.
+            born: Start time that leaves. Defaults to the current one.
         """
         born = self.born if born is None else born
         body = {} if born is None else {"born": born}
@@ -214,7 +214,7 @@
         return await post_bytes(self.controls[0], path, json.dumps(body).encode())
 
     def heartbeat(self, sequence: int) -> dict[str, Any]:
-        """Return what it says of itself."""
+        """Return the body of a heartbeat."""
         start_time = {} if self.born is None else {"born": self.born}
         return start_time | {
             "service": self.service,
@@ -290,7 +290,7 @@
         return web.Response(body=body, headers=self._signed_headers(http))
 
     async def _large(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Answer with more than is held, the rest of it when that is released."""
+        """Send the start of a large body, and the remainder once it is released."""
         headers = {**self._signed_headers(http), "Content-Type": "application/json"}
         response = web.StreamResponse(headers=headers)
         response.content_length = len(LARGE_BODY)
@@ -345,12 +345,12 @@
 
 
 def event(number: int) -> bytes:
-    """Return one event of every stream."""
+    """Return the encoded event of a number; the same in all streams."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENTS + 1))
-"""Body of a stream that is complete."""
+"""Body of a complete stream."""
 
 
 async def _as_awaitable(value: bool) -> bool:
