--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -84,19 +84,19 @@
         self.spare_ips = [f"127.0.0.{number}" for number in (24, 25)]
         self.entry_ips = [f"127.0.0.{number}" for number in (31, 32)]
         self.server_ips = [f"127.0.0.{number}" for number in range(41, 47)]
-        every = [
+        all_ips = [
             *self.control_ips,
             *self.spare_ips,
             *self.entry_ips,
             *self.server_ips,
         ]
-        self._log_begins: dict[str, int] = {}
+        self._log_offsets: dict[str, int] = {}
         self._clocks: dict[str, SuspendableClock] = {}
-        self.control_port = free_port(every)
-        self.internal_port = free_port(every)
-        self.front_port = free_port(every)
-        self.ready_port = free_port(every)
-        self.server_port = free_port(every)
+        self.control_port = free_port(all_ips)
+        self.internal_port = free_port(all_ips)
+        self.front_port = free_port(all_ips)
+        self.ready_port = free_port(all_ips)
+        self.server_port = free_port(all_ips)
         self.controls = [f"{ip}:{self.control_port}" for ip in self.control_ips]
         self.seeds = self.controls
         self.operator = Operator(self.controls)
@@ -164,7 +164,7 @@
         role = "control" if ip in self.control_ips else "entry"
         path = self.folder / f"{ip}.conf"
         with open(self.folder / f"{ip}.log", "ab") as log:
-            self._log_begins[ip] = log.tell()
+            self._log_offsets[ip] = log.tell()
             self.processes[ip] = subprocess.Popen(
                 [sys.executable, "-m", *self._program(ip), role],
                 env={**os.environ, names.SETTINGS_VARIABLE: str(path)},
@@ -173,16 +173,16 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    def replace_control(self, gone: str) -> str:
+    def replace_control(self, lost_ip: str) -> str:
         """Start an empty control box for one that is gone; return its address."""
-        newcomer = self.spare_ips.pop(0)
-        self.control_ips[self.control_ips.index(gone)] = newcomer
-        addresses = {f"{gone}:{self.control_port}": f"{newcomer}:{self.control_port}"}
+        new_ip = self.spare_ips.pop(0)
+        self.control_ips[self.control_ips.index(lost_ip)] = new_ip
+        addresses = {f"{lost_ip}:{self.control_port}": f"{new_ip}:{self.control_port}"}
         self.seeds = [addresses.get(one, one) for one in self.seeds]
         # In place, for operators and servers hold the same list.
         self.controls[:] = [addresses.get(one, one) for one in self.controls]
-        self.start(newcomer, bootstrap=False)
-        return newcomer
+        self.start(new_ip, bootstrap=False)
+        return new_ip
 
     def write_settings(self, ip: str, *, bootstrap: bool = True) -> None:
         """Write the settings file of a box."""
@@ -246,14 +246,14 @@
         self.processes[ip].kill()
         self.processes[ip].wait()
 
-    def log(self, ip: str, *, begin: int = 0) -> list[dict[str, Any]]:
+    def log(self, ip: str, *, offset: int = 0) -> list[dict[str, Any]]:
         """Return the log lines of a box.
 
         Args:
             ip: Address of the box.
-            begin: Byte of its log to begin at.
+            offset: Byte of its log to begin at.
         """
-        text = (self.folder / f"{ip}.log").read_bytes()[begin:].decode()
+        text = (self.folder / f"{ip}.log").read_bytes()[offset:].decode()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
     def last_voters(self, ip: str) -> set[str]:
@@ -267,7 +267,7 @@
     def _last_members(self, ip: str, kind: str) -> set[str]:
         # What the process before has written is not true of this one: it may have lost
         # its disk, and write nothing yet.
-        lines = self.log(ip, begin=self._log_begins.get(ip, 0))
+        lines = self.log(ip, offset=self._log_offsets.get(ip, 0))
         changes = [line for line in lines if line["message"] == "membership changed"]
         identities = changes[-1][kind] if changes else []
         return {identity.partition("#")[0] for identity in identities}
@@ -333,7 +333,7 @@
         key: str | None,
         on_data: Callable[[bytes], None],
     ) -> Answer:
-        sent = {
+        request_headers = {
             "Host": HOST,
             names.REQUEST_ID: request_id or f"r-{next(_requests)}",
             names.DEADLINE: "5000",
@@ -343,7 +343,9 @@
         url = f"http://{ip}:{self.front_port}{path}"
         received = b""
         try:
-            async with self.http.request(method, url, data=body, headers=sent) as resp:
+            async with self.http.request(
+                method, url, data=body, headers=request_headers
+            ) as resp:
                 async for data in resp.content.iter_any():
                     received += data
                     on_data(received)
