--- a/tools/platform/__init__.py
+++ b/tools/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform on one machine: real nodes, stand-in servers and an operator."""
+"""The platform on one machine: boxes, stand-in servers and an operator."""
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -1,4 +1,4 @@
-"""Real processes of the platform's roles on loopback addresses."""
+"""Control and entry processes on loopback addresses, with stand-in servers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def free_port(ips: Sequence[str]) -> int:
-    """Return a port that is free on all addresses."""
+    """Return a port that is free on all of these addresses."""
     while True:
         with contextlib.ExitStack() as stack:
             first = stack.enter_context(socket.socket())
@@ -52,7 +52,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got; `status` is 0 if the connection was cut."""
+    """Response that a caller received; `status` is 0 if the connection was cut."""
 
     status: int
     body: bytes
@@ -62,12 +62,12 @@
 
 @dataclass
 class Platform:
-    """Control boxes, entries and servers, each with an address of its own.
+    """Control boxes, entries and servers, each with its own loopback address.
 
     Args:
-        folder: Where logs, settings and disks are.
-        processes: Processes by address.
-        servers: Servers that run.
+        folder: Folder for logs, settings files and data folders.
+        processes: Processes of boxes by address.
+        servers: Running servers.
         reports_starts: Whether servers report when they started, and start again under
             the id that they had.
         suspendable: Whether boxes can be suspended.
@@ -107,7 +107,7 @@
         )
 
     async def close(self) -> None:
-        """End everything."""
+        """End all processes and servers."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -118,7 +118,7 @@
         await self.http.close()
 
     async def start_all(self) -> None:
-        """Start control, entries, a model service and a plain one, and configure."""
+        """Start all boxes, a model service and a plain one, and configure them."""
         for ip in [*self.control_ips, *self.entry_ips]:
             self.start(ip)
         for ip in self.server_ips[:2]:
@@ -136,10 +136,10 @@
         """Start a server.
 
         Args:
-            ip: Its address.
-            service: What it serves.
+            ip: Address that it listens on.
+            service: Service that it registers for.
             earlier: Id under which it ran before. Defaults to a new one.
-            zone: Failure domain that it states.
+            zone: Failure domain that it reports.
         """
         server = Server(ip, self.server_port, service, self.controls, zone=zone)
         if self.reports_starts:
@@ -174,12 +174,12 @@
             )
 
     def replace_control(self, lost_ip: str) -> str:
-        """Start an empty control box for one that is gone; return its address."""
+        """Replace a lost control box by an empty one, and return the new address."""
         new_ip = self.spare_ips.pop(0)
         self.control_ips[self.control_ips.index(lost_ip)] = new_ip
         addresses = {f"{lost_ip}:{self.control_port}": f"{new_ip}:{self.control_port}"}
         self.seeds = [addresses.get(one, one) for one in self.seeds]
-        # In place, for operators and servers hold the same list.
+        # Changed in place, as operators and servers share this list.
         self.controls[:] = [addresses.get(one, one) for one in self.controls]
         self.start(new_ip, bootstrap=False)
         return new_ip
@@ -218,7 +218,7 @@
         (self.folder / f"{ip}.conf").write_text(lines)
 
     def metrics_address(self, ip: str) -> str:
-        """Return where a box shows its metrics."""
+        """Return the address on which a box serves its metrics."""
         return f"{ip}:{self.internal_port_of(ip) + METRICS_OFFSET}"
 
     def internal_port_of(self, ip: str) -> int:
@@ -230,14 +230,14 @@
         self.processes[ip].send_signal(number)
 
     async def suspend(self, ip: str, length: float) -> None:
-        """Suspend the box of an address for some seconds."""
+        """Suspend a box for some seconds."""
         await self._clocks[ip].suspend(self.processes[ip], length)
 
     def _program(self, ip: str) -> list[str]:
         if not self.suspendable:
             return ["leadseam.cli.node"]
         if ip not in self._clocks:
-            # One for all processes of a box: the clock is the box's.
+            # All processes of a box share the clock of that box.
             self._clocks[ip] = SuspendableClock(self.folder / f"{ip}.left-out")
         return [suspension.MODULE, str(self._clocks[ip].file), "node"]
 
@@ -251,33 +251,33 @@
 
         Args:
             ip: Address of the box.
-            offset: Byte of its log to begin at.
+            offset: Offset in bytes at which to start reading.
         """
         text = (self.folder / f"{ip}.log").read_bytes()[offset:].decode()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
     def last_voters(self, ip: str) -> set[str]:
-        """Return the boxes that vote, by the last line of a control process."""
+        """Return the voters in the last membership line of a control process."""
         return self._last_members(ip, "voters")
 
     def last_learners(self, ip: str) -> set[str]:
-        """Return the boxes that do not vote yet, by its last line."""
+        """Return the learners in the last membership line of a control process."""
         return self._last_members(ip, "learners")
 
     def _last_members(self, ip: str, kind: str) -> set[str]:
-        # What the process before has written is not true of this one: it may have lost
-        # its disk, and write nothing yet.
+        # Lines of an earlier process do not apply to this one, which may have lost its
+        # disk and may not have logged anything yet.
         lines = self.log(ip, offset=self._log_offsets.get(ip, 0))
         changes = [line for line in lines if line["message"] == "membership changed"]
         identities = changes[-1][kind] if changes else []
         return {identity.partition("#")[0] for identity in identities}
 
     async def wait_ready(self, ip: str) -> None:
-        """Wait until an entry calls itself ready."""
+        """Wait until an entry reports that it is ready."""
         await until(lambda: self.is_ready(ip), f"{ip} is ready")
 
     async def is_ready(self, ip: str) -> bool:
-        """Ask an entry whether it is ready."""
+        """Return whether an entry reports that it is ready."""
         url = f"http://{ip}:{self.ready_port}{names.READY_PATH}"
         try:
             async with self.http.get(url) as resp:
@@ -306,13 +306,14 @@
         key: str | None = KEY,
         on_data: Callable[[bytes], None] = lambda _: None,
     ) -> Answer:
-        """Send a request and read the answer as far as it goes.
+        """Send a request and read the response until it ends or is cut.
 
-        An entry that is short of processor time refuses before it does anything, as
-        one may on a busy machine; a caller comes back then, and so does this.
+        An entry that is short of processor time, as on a busy test machine, refuses
+        requests with `entry_busy` before it does any work. Such a request is sent
+        again after the delay in the refusal.
 
         Args:
-            on_data: Called with all that was received so far.
+            on_data: Called with all data received so far, after each read.
         """
         while True:
             answer = await self._call_once(
@@ -355,7 +356,8 @@
 
 
 def document(version: int, **changes: Any) -> bytes:
-    """Return an operator's document with the routes of the tests."""
+    """Return an operator's document with the routes that the tests use."""
+
     common: dict[str, Any] = {"host": HOST, "timeoutMs": 5_000, "targetLatencyMs": 500}
     routes: list[dict[str, Any]] = [
         {"name": "once", "pathPrefix": "/once/", "kind": "unsafe", "service": "plain"},
