--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -28,12 +28,12 @@
 
     from tools.platform.standin import Server
 
-AWAY = 2.0
+SUSPENDED_S = 2.0
 """Seconds for which a box is suspended."""
-SHOW_CLOCK = """
+PRINT_CLOCK = """
 import sys
-from tools.platform.suspendable import leave_out
-leave_out(sys.argv[1])
+from tools.platform.suspendable import subtract_suspended_time
+subtract_suspended_time(sys.argv[1])
 from leadseam.clock import SystemClock
 clock = SystemClock()
 while input():
@@ -52,28 +52,28 @@
         await platform.close()
 
 
-async def test_the_clock_counts_the_time_away(tmp_path: Path) -> None:
-    steady = SuspendableClock(tmp_path / "left-out")
+async def test_the_clock_includes_suspended_time(tmp_path: Path) -> None:
+    clock = SuspendableClock(tmp_path / "left-out")
     with subprocess.Popen(
-        [sys.executable, "-c", SHOW_CLOCK, str(steady.file)],
+        [sys.executable, "-c", PRINT_CLOCK, str(clock.file)],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
     ) as process:
         assert process.stdin is not None and process.stdout is not None
 
-        def show() -> int:
+        def read_clock() -> int:
             assert process.stdin is not None and process.stdout is not None
             process.stdin.write(b"now\n")
             process.stdin.flush()
             return int(process.stdout.readline())
 
-        before = show()
-        await steady.suspend(process, 1.0)
-        assert show() - before >= 1_000
+        before = read_clock()
+        await clock.suspend(process, 1.0)
+        assert read_clock() - before >= 1_000
         process.stdin.write(b"\n")
 
 
-async def held_by(platform: Platform, path: str) -> Server:
+async def wait_held(platform: Platform, path: str) -> Server:
     """Wait until a server holds a request, and return that one."""
 
     async def held() -> bool:
@@ -85,15 +85,15 @@
     )
 
 
-async def test_an_upstream_is_told_no_more_time_than_is_left(
+async def test_an_upstream_gets_a_deadline_without_the_suspended_time(
     platform: Platform,
 ) -> None:
     entry = platform.entry_ips[0]
     for server in platform.servers_of("plain"):
         server.actions["held"] = "hold"
     call = asyncio.create_task(platform.call(entry, "/safe/held", method="GET"))
-    holder = await held_by(platform, "/safe/held")
-    suspended = asyncio.create_task(platform.suspend(entry, AWAY))
+    holder = await wait_held(platform, "/safe/held")
+    suspended = asyncio.create_task(platform.suspend(entry, SUSPENDED_S))
     (other,) = (one for one in platform.servers_of("plain") if one is not holder)
     other.actions.clear()
     await asyncio.sleep(0)
@@ -102,10 +102,10 @@
     await suspended
     assert (await call).status == 200
     (run,) = (run for run in other.runs if run.target == "/safe/held")
-    assert int(run.headers[names.DEADLINE]) <= 5_000 - AWAY * 1_000
+    assert int(run.headers[names.DEADLINE]) <= 5_000 - SUSPENDED_S * 1_000
 
 
-async def test_what_is_past_its_deadline_ends_before_what_has_time_left(
+async def test_expired_requests_end_before_those_with_time_left(
     platform: Platform,
 ) -> None:
     entry = platform.entry_ips[0]
@@ -121,7 +121,7 @@
         return answer.status
 
     first = asyncio.create_task(call("first", 4_500))
-    await held_by(platform, "/once/first")
+    await wait_held(platform, "/once/first")
     await platform.suspend(entry, 5.0)
     second = asyncio.create_task(call("second", 2_000))
     assert (await first, await second) == (504, 504)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -321,7 +321,7 @@
         "            exchange.reset_deadline_timer()\n",
         "            pass\n",
         "tests/platform/test_suspended_box.py"
-        "::test_what_is_past_its_deadline_ends_before_what_has_time_left",
+        "::test_expired_requests_end_before_those_with_time_left",
     ),
     Variant(
         "late copies of orders are carried out",
--- a/tools/platform/suspendable.py
+++ b/tools/platform/suspendable.py
@@ -26,33 +26,33 @@
 """Bytes of the file."""
 
 
-def leave_out(path: str) -> None:
+def subtract_suspended_time(path: str) -> None:
     """Have the steady clock of this process leave out what a file says."""
-    real_ns = time.monotonic_ns
+    original_ns = time.monotonic_ns
     file = os.open(path, os.O_RDONLY)
 
     def monotonic_ns() -> int:
-        (left_out,) = struct.unpack("=q", os.pread(file, SIZE, 0))
-        return real_ns() - int(left_out)
+        (suspended_ns,) = struct.unpack("=q", os.pread(file, SIZE, 0))
+        return original_ns() - int(suspended_ns)
 
     time.monotonic_ns = monotonic_ns
     time.monotonic = lambda: monotonic_ns() / 1e9
 
 
-def run_in_own_loop(main: Main) -> int:
+def run_in_selector_loop(main: Main) -> int:
     """Run a program in Python's event loop, and return its exit code."""
     with asyncio.Runner(loop_factory=asyncio.SelectorEventLoop) as runner:
         return runner.run(main)
 
 
 if __name__ == "__main__":
-    leave_out(sys.argv.pop(1))
+    subtract_suspended_time(sys.argv.pop(1))
     # Later than the clock, which what it imports may keep.
     from leadseam.runtime import process
 
     program = importlib.import_module(f"leadseam.cli.{sys.argv.pop(1)}")
-    vars(program)["run_in_uvloop"] = run_in_own_loop
+    vars(program)["run_in_uvloop"] = run_in_selector_loop
     defaults = process.run_program.__kwdefaults__
     assert defaults is not None
-    defaults["run"] = run_in_own_loop
+    defaults["run"] = run_in_selector_loop
     program.main()
--- a/tools/platform/suspension.py
+++ b/tools/platform/suspension.py
@@ -29,9 +29,9 @@
 
     def __init__(self, file: Path) -> None:
         self.file = file
-        self._nanos = 0
-        self._under_way = 0
-        self._began = 0
+        self._suspended_ns = 0
+        self._active_suspensions = 0
+        self._began_ns = 0
         self._write()
 
     async def suspend(self, process: Popen[bytes], length: float) -> None:
@@ -39,21 +39,21 @@
 
         A process that is killed meanwhile takes nothing over to the next one.
         """
-        self._under_way += 1
+        self._active_suspensions += 1
         process.send_signal(signal.SIGSTOP)
-        if self._under_way == 1:
-            self._began = time.monotonic_ns()
+        if self._active_suspensions == 1:
+            self._began_ns = time.monotonic_ns()
         try:
             await asyncio.sleep(length)
         finally:
-            self._under_way -= 1
-            if not self._under_way and process.poll() is None:
-                self._nanos += time.monotonic_ns() - self._began
+            self._active_suspensions -= 1
+            if not self._active_suspensions and process.poll() is None:
+                self._suspended_ns += time.monotonic_ns() - self._began_ns
                 self._write()
-            if not self._under_way:
+            if not self._active_suspensions:
                 process.send_signal(signal.SIGCONT)
 
     def _write(self) -> None:
         # In place: the process has the file open.
         with open(self.file, "r+b" if self.file.exists() else "wb") as file:
-            file.write(struct.pack("=q", self._nanos))
+            file.write(struct.pack("=q", self._suspended_ns))
