--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -1,11 +1,10 @@
 """Boxes that are suspended for seconds, with real processes.
 
-The story: a box is suspended while it serves and goes on seconds later. Its steady
-clock leaves that time out, and so do the timers of its event loop: what was due is late
-by the time away, and what was believed looks as fresh as before.
-The evidence: before the repair the clock below showed 1 ms for a suspension of 1 s, an
-upstream was told of 4,945 ms where 3,000 were left, and a request whose deadline had
-passed was answered after one that had 2 s left.
+Guards against clocks that ignore a suspension. The monotonic clock of a suspended box
+leaves the suspended time out, and so do the timers of its event loop: timers fire late,
+and stale data looks as fresh as before. Before the fix the clock advanced by 1 ms in a
+suspension of 1 s, an upstream received a deadline of 4,945 ms where 3,000 ms were left,
+and a request past its deadline was answered after one that had 2 s left.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     from tools.platform.standin import Server
 
 SUSPENDED_S = 2.0
-"""Seconds for which a box is suspended."""
+"""Length of a suspension in seconds."""
 PRINT_CLOCK = """
 import sys
 from tools.platform.suspendable import subtract_suspended_time
@@ -74,7 +73,7 @@
 
 
 async def wait_held(platform: Platform, path: str) -> Server:
-    """Wait until a server holds a request, and return that one."""
+    """Wait until a server holds the request of a path, and return that server."""
 
     async def held() -> bool:
         return any(run.target == path for one in platform.servers for run in one.runs)
--- a/tools/platform/suspendable.py
+++ b/tools/platform/suspendable.py
@@ -1,12 +1,13 @@
-"""Run a program whose steady clock leaves out the time for which it was suspended.
+"""Run a program whose monotonic clock leaves out the time that it was suspended.
 
 Usage: python -m tools.platform.suspendable FILE PROGRAM ARGUMENT...
 
 PROGRAM is a module of `leadseam.cli`; it gets the arguments.
 
-FILE holds, as eight bytes in the machine's order, the nanoseconds left out so far. The
-steady clock of Python and the timers of an event loop go by it; CLOCK_BOOTTIME and the
-time of day stay as they are. The loop is Python's own, as others ask the system.
+FILE holds the nanoseconds of all suspensions so far, as eight bytes in native byte
+order. They are subtracted from Python's monotonic clock, which also drives the timers
+of the event loop; CLOCK_BOOTTIME and the time of day are unchanged. The program runs in
+asyncio's selector loop, as other loops read the system's clock directly.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
     from leadseam.runtime.loop import Main
 
 SIZE = 8
-"""Bytes of the file."""
+"""Size of the file in bytes."""
 
 
 def subtract_suspended_time(path: str) -> None:
-    """Have the steady clock of this process leave out what a file says."""
+    """Subtract the time in a file from the monotonic clock of this process."""
     original_ns = time.monotonic_ns
     file = os.open(path, os.O_RDONLY)
 
@@ -40,14 +41,15 @@
 
 
 def run_in_selector_loop(main: Main) -> int:
-    """Run a program in Python's event loop, and return its exit code."""
+    """Run a program in asyncio's selector loop, and return its exit code."""
     with asyncio.Runner(loop_factory=asyncio.SelectorEventLoop) as runner:
         return runner.run(main)
 
 
 if __name__ == "__main__":
     subtract_suspended_time(sys.argv.pop(1))
-    # Later than the clock, which what it imports may keep.
+    # Imported after the clock is patched, as modules may keep a reference to it.
+
     from leadseam.runtime import process
 
     program = importlib.import_module(f"leadseam.cli.{sys.argv.pop(1)}")
--- a/tools/platform/suspension.py
+++ b/tools/platform/suspension.py
@@ -1,8 +1,9 @@
-"""Processes that are suspended: they stand still, and their steady clock with them.
+"""Suspension of processes together with their monotonic clock.
 
-SIGSTOP alone is a freeze: the steady clock goes on, and timers are due at once. Here
-the time away is left out of the steady clock before the process goes on, so that its
-timers are late by it. CLOCK_BOOTTIME and the time of day count it.
+SIGSTOP alone stops a process but not its monotonic clock, so timers are due at once
+after SIGCONT. Here the suspended time is subtracted from the monotonic clock before the
+process continues, so that its timers fire late by that time, as after the suspension of
+a box. CLOCK_BOOTTIME and the time of day include it.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 class SuspendableClock:
-    """The steady clock of one process, which can leave time out.
+    """Suspends processes and subtracts that time from their monotonic clock.
 
     Args:
-        file: Where the process reads the time left out; see `MODULE`.
+        file: File from which the processes read the time to subtract; see `MODULE`.
     """
 
     def __init__(self, file: Path) -> None:
@@ -35,9 +36,9 @@
         self._write()
 
     async def suspend(self, process: Popen[bytes], length: float) -> None:
-        """Suspend a process for some seconds; one may begin before another is over.
+        """Suspend a process for some seconds; suspensions may overlap.
 
-        A process that is killed meanwhile takes nothing over to the next one.
+        If the process is killed meanwhile, its successor is not affected.
         """
         self._active_suspensions += 1
         process.send_signal(signal.SIGSTOP)
@@ -54,6 +55,7 @@
                 process.send_signal(signal.SIGCONT)
 
     def _write(self) -> None:
-        # In place: the process has the file open.
+        # Written in place, as the process has the file open.
+
         with open(self.file, "r+b" if self.file.exists() else "wb") as file:
             file.write(struct.pack("=q", self._suspended_ns))
