--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -35,11 +35,13 @@
 
 DEADLY = "/safe/deadly"
 ROUNDS = 12
-BORNE = 3
+CRASHES_BEFORE_VERDICT = 3
 """Upstreams that such a request ends before it is known, and sends borne after that."""
 
 
-async def four_servers(platform: Platform, born: int | None = None) -> list[Server]:
+async def add_crashing_servers(
+    platform: Platform, born: int | None = None
+) -> list[Server]:
     """Have four plain servers that a request with the deadly path crashes."""
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
@@ -47,11 +49,11 @@
     for server in servers:
         server.actions["deadly"] = "crash"
         server.born = born
-    await wait_up(platform, servers)
+    await wait_servers_up(platform, servers)
     return servers
 
 
-async def wait_up(platform: Platform, servers: list[Server]) -> None:
+async def wait_servers_up(platform: Platform, servers: list[Server]) -> None:
     """Wait until all servers are back, and each entry uses every one of them."""
 
     async def up() -> bool:
@@ -70,18 +72,18 @@
     await until(up, "all servers are back and used")
 
 
-def arrivals(servers: list[Server]) -> int:
+def count_crashes(servers: list[Server]) -> int:
     """Return how often the deadly request began to run."""
     return sum(len(server.crashes) for server in servers)
 
 
-async def call_again(platform: Platform, round_: int, path: str = DEADLY) -> Answer:
+async def resend(platform: Platform, round_: int, path: str = DEADLY) -> Answer:
     """Send the deadly request again, through one entry after the other."""
     entry = platform.entry_ips[round_ % len(platform.entry_ips)]
     return await platform.call(entry, path, method="POST", body=b'{"n":1}')
 
 
-def assert_known(answer: Answer) -> None:
+def assert_refused_by_verdict(answer: Answer) -> None:
     """Check that an answer says that it is this request, and when not to come back."""
     assert (answer.status, b'"crashes_upstreams"' in answer.body) == (503, True)
     assert b'"not_run"' in answer.body
@@ -89,45 +91,45 @@
 
 
 @pytest.mark.parametrize("born", [None, 1_764_720_000_000])
-async def test_it_is_refused_everywhere_once_three_have_ended(
+async def test_a_deadly_request_is_refused_everywhere_after_three_crashes(
     platform: Platform, born: int | None
 ) -> None:
-    servers = await four_servers(platform, born)
+    servers = await add_crashing_servers(platform, born)
     answers = []
     for round_ in range(ROUNDS):
-        answers.append(await call_again(platform, round_))
-        await wait_up(platform, servers)
-    assert arrivals(servers) <= BORNE + 1
+        answers.append(await resend(platform, round_))
+        await wait_servers_up(platform, servers)
+    assert count_crashes(servers) <= CRASHES_BEFORE_VERDICT + 1
     for answer in answers[-2 * len(platform.entry_ips) :]:
-        assert_known(answer)
+        assert_refused_by_verdict(answer)
     # Another body is another request, and everybody else is served.
     entry = platform.entry_ips[0]
     assert (await platform.call(entry, "/safe/good", body=b'{"n":1}')).status == 200
 
 
 async def test_an_operator_sees_and_lifts_a_verdict(platform: Platform) -> None:
-    servers = await four_servers(platform)
+    servers = await add_crashing_servers(platform)
     for round_ in range(ROUNDS // 2):
-        await call_again(platform, round_)
-        await wait_up(platform, servers)
+        await resend(platform, round_)
+        await wait_servers_up(platform, servers)
     control = platform.metrics_address(platform.control_ips[0])
-    listed = json.loads(await verdicts("--json", control))
+    listed = json.loads(await run_verdicts_command("--json", control))
     assert [(row["account"], row["body_bytes"]) for row in listed] == [("bank", 7)]
-    assert len(listed[0]["ended"]) == BORNE
-    assert listed[0]["fingerprint"] in await verdicts(control)
+    assert len(listed[0]["ended"]) == CRASHES_BEFORE_VERDICT
+    assert listed[0]["fingerprint"] in await run_verdicts_command(control)
     for server in servers:
         server.actions.clear()
-    await verdicts("--lift", listed[0]["fingerprint"], control)
+    await run_verdicts_command("--lift", listed[0]["fingerprint"], control)
 
     async def served() -> bool:
-        answers = [await call_again(platform, round_) for round_ in range(2)]
+        answers = [await resend(platform, round_) for round_ in range(2)]
         return all(answer.status == 200 for answer in answers)
 
     await until(served, "the request is served again")
-    assert json.loads(await verdicts("--json", control)) == []
+    assert json.loads(await run_verdicts_command("--json", control)) == []
 
 
-async def verdicts(*args: str) -> str:
+async def run_verdicts_command(*args: str) -> str:
     """Run the operators' command on the control box, and return its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "leadseam.cli.verdicts", *args, stdout=PIPE
@@ -137,15 +139,15 @@
     return output.decode()
 
 
-async def test_it_stays_known_when_all_boxes_have_lost_power(
+async def test_a_verdict_survives_a_power_loss_of_all_boxes(
     platform: Platform,
 ) -> None:
-    servers = await four_servers(platform)
+    servers = await add_crashing_servers(platform)
     for round_ in range(ROUNDS // 2):
-        await call_again(platform, round_)
-        await wait_up(platform, servers)
-    known = arrivals(servers)
-    assert BORNE <= known <= BORNE + 1
+        await resend(platform, round_)
+        await wait_servers_up(platform, servers)
+    crashes_before = count_crashes(servers)
+    assert CRASHES_BEFORE_VERDICT <= crashes_before <= CRASHES_BEFORE_VERDICT + 1
     boxes = [*platform.control_ips, *platform.entry_ips]
     for ip in boxes:
         platform.kill(ip)
@@ -153,37 +155,37 @@
         platform.start(ip)
     for ip in platform.entry_ips:
         await platform.wait_ready(ip)
-    await wait_up(platform, servers)
+    await wait_servers_up(platform, servers)
     for round_ in range(len(platform.entry_ips)):
-        assert_known(await call_again(platform, round_))
-    assert arrivals(servers) == known
+        assert_refused_by_verdict(await resend(platform, round_))
+    assert count_crashes(servers) == crashes_before
 
 
-async def test_one_that_is_hit_by_the_ends_of_others_is_served(
+async def test_a_request_hit_by_crashes_of_others_is_served(
     platform: Platform,
 ) -> None:
     """Beside a deadly request, 8 of 24 callers of longer ones were refused too."""
-    servers = await four_servers(platform)
+    servers = await add_crashing_servers(platform)
     for server in servers:
         server.actions["long"] = "hold"
     hits = 0
-    while hits < BORNE:
-        call = asyncio.create_task(call_again(platform, hits, "/once/long"))
-        running = await run_by(servers, hits)
+    while hits < CRASHES_BEFORE_VERDICT:
+        call = asyncio.create_task(resend(platform, hits, "/once/long"))
+        running = await wait_running(servers, hits)
         # It runs for some time already: what crashes now is not its doing.
         await asyncio.sleep(2 * EARLY_LIMIT / 1_000)
         assert running.crash()
         assert (await call).status == 502
         hits += 1
-        await wait_up(platform, servers)
+        await wait_servers_up(platform, servers)
     for server in servers:
         server.actions.clear()
     for round_ in range(len(platform.entry_ips)):
-        answer = await call_again(platform, round_, "/once/long")
+        answer = await resend(platform, round_, "/once/long")
         assert answer.status == 200
 
 
-async def run_by(servers: list[Server], before: int) -> Server:
+async def wait_running(servers: list[Server], before: int) -> Server:
     """Wait until one more run of the long request has begun, and return its server."""
 
     def runs(server: Server) -> int:
@@ -192,10 +194,10 @@
     counts = [runs(server) for server in servers]
     assert sum(counts) in (before, before + 1)
 
-    async def begun() -> bool:
+    async def has_begun() -> bool:
         return sum(map(runs, servers)) > before
 
-    await until(begun, "the long request runs")
+    await until(has_begun, "the long request runs")
     return next(
         server
         for server in servers
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -277,14 +277,14 @@
         "feed/crash_server.py",
         "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
-        f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
+        f"{DEADLY}::test_a_deadly_request_is_refused_everywhere_after_three_crashes",
     ),
     Variant(
         "verdicts are not written",
         "feed/crash_server.py",
         "            await self._write(self._unwritten())\n",
         "            pass\n",
-        f"{DEADLY}::test_it_stays_known_when_all_boxes_have_lost_power",
+        f"{DEADLY}::test_a_verdict_survives_a_power_loss_of_all_boxes",
     ),
     Variant(
         "a break alone speaks against a request",
@@ -299,7 +299,7 @@
         "crashes/evidence.py",
         "LATE_WEIGHT = 4\n",
         "LATE_WEIGHT = EARLY_WEIGHT\n",
-        f"{DEADLY}::test_one_that_is_hit_by_the_ends_of_others_is_served",
+        f"{DEADLY}::test_a_request_hit_by_crashes_of_others_is_served",
     ),
     Variant(
         "nobody is acquitted",
