--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -1,17 +1,20 @@
-"""A request that crashes each upstream which begins it, with real processes.
-
-What users saw: engines of a pool ended one after another for ten seconds, and hardly
-any request to them was answered. Thirteen ended under one request, five of them after
-three had ended and everybody could have known.
-The order of events: a request comes in and its engine ends some 50 ms after it has
-begun it; the entry sends it to the next engine at once; its caller sends it again under
-another id, at any entry; engines that start anew end within seconds.
-The cause: nothing knew the request again. Failures were kept by upstream, by pool and
-within one exchange, so each arrival was the first.
-The evidence: in the users' record one attempt that broke 46 ms after its begin and was
-sent on 12 ms later; ends of engines only, ordering servers were whole; in lines of a
-play, an engine that ended with a single attempt under way. Here: before the repair each
-of the twelve calls below reached two upstreams and ended both, 24 in all.
+"""A request that crashes each upstream that runs it, with real processes.
+
+Guards against a deadly request that takes down a whole pool. In a user's deployment the
+engines of a pool crashed one after another for ten seconds, and hardly any request to
+them was answered: one request crashed thirteen engines, five of them after the first
+three crashes.
+
+An engine crashes some 50 ms after it has begun the request. The entry retries the
+request on the next engine at once, its caller sends it again under another id and
+through any entry, and restarted engines crash again within seconds. Failures were
+tracked by upstream, by pool and within one exchange, so nothing recognized the request:
+each arrival looked like the first.
+
+Evidence: in the user's log an attempt broke after 46 ms and was retried 12 ms later;
+only engines crashed, ordering servers did not; and in the log lines of one run an
+engine crashed with a single attempt in flight. Before the fix each of the twelve calls
+below reached two upstreams and crashed both, 24 in all.
 """
 
 from __future__ import annotations
@@ -36,13 +39,13 @@
 DEADLY = "/safe/deadly"
 ROUNDS = 12
 CRASHES_BEFORE_VERDICT = 3
-"""Upstreams that such a request ends before it is known, and sends borne after that."""
+"""Upstreams that a deadly request crashes before there is a verdict on it."""
 
 
 async def add_crashing_servers(
     platform: Platform, born: int | None = None
 ) -> list[Server]:
-    """Have four plain servers that a request with the deadly path crashes."""
+    """Return four plain servers, which a request with the deadly path crashes."""
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
     servers = platform.servers_of("plain")
@@ -54,7 +57,7 @@
 
 
 async def wait_servers_up(platform: Platform, servers: list[Server]) -> None:
-    """Wait until all servers are back, and each entry uses every one of them."""
+    """Wait until all servers are up and each of them runs requests again."""
 
     async def up() -> bool:
         if not all(server.is_up for server in servers):
@@ -69,22 +72,22 @@
             for server, count in zip(servers, counts, strict=True)
         )
 
-    await until(up, "all servers are back and used")
+    await until(up, "all servers are up and used")
 
 
 def count_crashes(servers: list[Server]) -> int:
-    """Return how often the deadly request began to run."""
+    """Return how often the deadly request has crashed a server."""
     return sum(len(server.crashes) for server in servers)
 
 
 async def resend(platform: Platform, round_: int, path: str = DEADLY) -> Answer:
-    """Send the deadly request again, through one entry after the other."""
+    """Send a request once more, through one entry after the other."""
     entry = platform.entry_ips[round_ % len(platform.entry_ips)]
     return await platform.call(entry, path, method="POST", body=b'{"n":1}')
 
 
 def assert_refused_by_verdict(answer: Answer) -> None:
-    """Check that an answer says that it is this request, and when not to come back."""
+    """Check that a response refuses the request by verdict, without a retry delay."""
     assert (answer.status, b'"crashes_upstreams"' in answer.body) == (503, True)
     assert b'"not_run"' in answer.body
     assert names.RETRY_AFTER not in answer.headers
@@ -102,7 +105,7 @@
     assert count_crashes(servers) <= CRASHES_BEFORE_VERDICT + 1
     for answer in answers[-2 * len(platform.entry_ips) :]:
         assert_refused_by_verdict(answer)
-    # Another body is another request, and everybody else is served.
+    # The same body under another path is another request, and is served.
     entry = platform.entry_ips[0]
     assert (await platform.call(entry, "/safe/good", body=b'{"n":1}')).status == 200
 
@@ -130,7 +133,7 @@
 
 
 async def run_verdicts_command(*args: str) -> str:
-    """Run the operators' command on the control box, and return its output."""
+    """Run the operators' command for verdicts, and return its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "leadseam.cli.verdicts", *args, stdout=PIPE
     )
@@ -164,7 +167,10 @@
 async def test_a_request_hit_by_crashes_of_others_is_served(
     platform: Platform,
 ) -> None:
-    """Beside a deadly request, 8 of 24 callers of longer ones were refused too."""
+    """Crashes that others cause must not count against a request in flight.
+
+    Beside a deadly request, 8 of 24 callers of longer requests were refused too.
+    """
     servers = await add_crashing_servers(platform)
     for server in servers:
         server.actions["long"] = "hold"
@@ -172,7 +178,7 @@
     while hits < CRASHES_BEFORE_VERDICT:
         call = asyncio.create_task(resend(platform, hits, "/once/long"))
         running = await wait_running(servers, hits)
-        # It runs for some time already: what crashes now is not its doing.
+        # It has run for some time, so a crash now is not attributed to it.
         await asyncio.sleep(2 * EARLY_LIMIT / 1_000)
         assert running.crash()
         assert (await call).status == 502
@@ -186,7 +192,7 @@
 
 
 async def wait_running(servers: list[Server], before: int) -> Server:
-    """Wait until one more run of the long request has begun, and return its server."""
+    """Wait until one more run of the long request has begun; return its server."""
 
     def runs(server: Server) -> int:
         return sum(run.target == "/once/long" for run in server.runs)
