--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -22,16 +22,18 @@
 CALLS = 12
 
 
-async def spread_over(platform: Platform, *zones: str) -> None:
+async def set_failure_domains(platform: Platform, *zones: str) -> None:
     """Have the servers of each service state these failure domains."""
     for service in ("model", "plain"):
         for server, zone in zip(platform.servers_of(service), zones, strict=True):
             server.zone = zone
             acks = server.acks
-            await until(partial(_more, server, acks), f"{zone} is registered")
+            await until(
+                partial(_acked_by_all_boxes, server, acks), f"{zone} is registered"
+            )
 
 
-async def _more(server: Server, acks: int) -> bool:
+async def _acked_by_all_boxes(server: Server, acks: int) -> bool:
     # Heartbeats go to all boxes in turn, so each has the new domain then.
     return server.acks > acks + 2 * len(server.controls)
 
@@ -40,12 +42,16 @@
     """Wait until the last word of each entry is that these are evacuated."""
     for entry in platform.entry_ips:
 
-        async def is_told(entry: str = entry) -> bool:
+        async def has_logged(entry: str = entry) -> bool:
             lines = platform.log(entry)
-            told = [one for one in lines if one["message"] == "evacuations in force"]
-            return bool(told) and set(told[-1]["domains"]) == set(domains)
+            in_force_lines = [
+                one for one in lines if one["message"] == "evacuations in force"
+            ]
+            return bool(in_force_lines) and set(in_force_lines[-1]["domains"]) == set(
+                domains
+            )
 
-        await until(is_told, f"{entry} knows that {domains} are evacuated")
+        await until(has_logged, f"{entry} knows that {domains} are evacuated")
 
 
 async def call_all(platform: Platform) -> None:
@@ -59,13 +65,13 @@
 async def test_an_evacuated_domain_gets_nothing_also_after_all_boxes_restart(
     platform: Platform,
 ) -> None:
-    await spread_over(platform, "a", "b")
-    emptied = [one for one in platform.servers if one.zone == "b"]
+    await set_failure_domains(platform, "a", "b")
+    evacuated_servers = [one for one in platform.servers if one.zone == "b"]
     assert await platform.operator.switch("b", evacuated=True) == 200
     await wait_evacuated(platform, "b")
-    before = [len(server.runs) for server in emptied]
+    before = [len(server.runs) for server in evacuated_servers]
     await call_all(platform)
-    assert [len(server.runs) for server in emptied] == before
+    assert [len(server.runs) for server in evacuated_servers] == before
     # A second order is acknowledged and changes nothing.
     assert await platform.operator.switch("b", evacuated=True) == 200
     boxes = [*platform.control_ips, *platform.entry_ips]
@@ -77,21 +83,23 @@
         await platform.wait_ready(ip)
         await platform.wait_served(ip)
     await call_all(platform)
-    assert [len(server.runs) for server in emptied] == before
+    assert [len(server.runs) for server in evacuated_servers] == before
     assert await platform.operator.switch("b", evacuated=False) == 200
     await wait_evacuated(platform)
 
     async def served_again() -> bool:
         await call_all(platform)
-        return all(len(s.runs) > b for s, b in zip(emptied, before, strict=True))
+        return all(
+            len(s.runs) > b for s, b in zip(evacuated_servers, before, strict=True)
+        )
 
     await until(served_again, "the domain serves again")
 
 
-async def test_what_runs_in_a_domain_that_is_evacuated_ends_there(
+async def test_running_requests_finish_in_an_evacuated_domain(
     platform: Platform,
 ) -> None:
-    await spread_over(platform, "a", "a")
+    await set_failure_domains(platform, "a", "a")
     for server in platform.servers_of("model"):
         server.actions["long"] = "pause"
     entry = platform.entry_ips[0]
@@ -119,7 +127,7 @@
     assert plain.status == 503
 
 
-async def test_orders_that_cannot_be_told_from_late_copies_wait(
+async def test_orders_that_may_be_late_copies_are_delayed(
     platform: Platform,
 ) -> None:
     operator = platform.operator
@@ -175,7 +183,7 @@
     assert set(ordered) == {"c"}
 
 
-async def test_bodies_stay_within_the_regions_of_route_and_account(
+async def test_requests_stay_within_the_regions_of_route_and_account(
     platform: Platform,
 ) -> None:
     for ip in platform.server_ips[4:6]:
@@ -184,7 +192,7 @@
     for server, zone in zip(platform.servers_of("plain"), zones, strict=True):
         server.zone = zone
         acks = server.acks
-        await until(partial(_more, server, acks), f"{zone} is registered")
+        await until(partial(_acked_by_all_boxes, server, acks), f"{zone} is registered")
     routes = json.loads(document(2))["routes"]
     routes[0]["allowedRegions"] = ["east", "west"]
     routes[1]["allowedRegions"] = ["north"]
@@ -192,14 +200,14 @@
         {"name": "bank", "apiKeys": ["key-of-bank"]},
         {"name": "west", "apiKeys": ["k-west"], "allowedRegions": ["west", "north"]},
     ]
-    newer = document(2, routes=routes, tenants=tenants)
-    assert await platform.operator.replace(newer) == 200
+    new_document = document(2, routes=routes, tenants=tenants)
+    assert await platform.operator.replace(new_document) == 200
     for entry in platform.entry_ips:
 
-        async def in_force(entry: str = entry) -> bool:
+        async def key_is_in_force(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
-        await until(in_force, "the bounds are in force")
+        await until(key_is_in_force, "the bounds are in force")
     for server in platform.servers_of("plain"):
         server.runs.clear()
     for number in range(CALLS):
@@ -221,19 +229,19 @@
 ) -> None:
     services = json.loads(document(2))["services"]
     services[0]["coldPerS"] = 2
-    newer = document(2, services=services)
-    assert await platform.operator.replace(newer) == 200
+    new_document = document(2, services=services)
+    assert await platform.operator.replace(new_document) == 200
     cold, _ = platform.servers_of("plain")
     cold.cold = 60_000
     for entry in platform.entry_ips:
 
-        async def is_kept_back(entry: str = entry) -> bool:
+        async def is_limited(entry: str = entry) -> bool:
             before = len(cold.runs)
             for _ in range(CALLS):
                 assert (await platform.call(entry, "/once/x")).status == 200
             return len(cold.runs) <= before + 2
 
-        await until(is_kept_back, "the entry knows that the server is cold")
+        await until(is_limited, "the entry knows that the server is cold")
     before = len(cold.runs)
     for number in range(CALLS):
         await platform.call(platform.entry_ips[number % 2], "/once/x")
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -380,7 +380,7 @@
         "routing/placer.py",
         "self._feed.view.pool(scope.pool, scope.regions)",
         "self._feed.view.pool(scope.pool)",
-        f"{EVACUATION}::test_bodies_stay_within_the_regions_of_route_and_account",
+        f"{EVACUATION}::test_requests_stay_within_the_regions_of_route_and_account",
     ),
     Variant(
         "a body is not read before it is refused",
