--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -23,7 +23,7 @@
 
 
 async def set_failure_domains(platform: Platform, *zones: str) -> None:
-    """Have the servers of each service state these failure domains."""
+    """Have the servers of each service report these failure domains."""
     for service in ("model", "plain"):
         for server, zone in zip(platform.servers_of(service), zones, strict=True):
             server.zone = zone
@@ -34,12 +34,12 @@
 
 
 async def _acked_by_all_boxes(server: Server, acks: int) -> bool:
-    # Heartbeats go to all boxes in turn, so each has the new domain then.
+    # Heartbeats go to all boxes in turn, so each box has received the new domain.
     return server.acks > acks + 2 * len(server.controls)
 
 
 async def wait_evacuated(platform: Platform, *domains: str) -> None:
-    """Wait until the last word of each entry is that these are evacuated."""
+    """Wait until each entry has last logged exactly these domains as evacuated."""
     for entry in platform.entry_ips:
 
         async def has_logged(entry: str = entry) -> bool:
@@ -51,7 +51,7 @@
                 domains
             )
 
-        await until(has_logged, f"{entry} knows that {domains} are evacuated")
+        await until(has_logged, f"{entry} treats {domains} as evacuated")
 
 
 async def call_all(platform: Platform) -> None:
@@ -118,7 +118,7 @@
     assert (answer.status, answer.cut) == (200, False)
     assert sum(server.count("running") for server in platform.servers_of("model")) == 1
     await wait_evacuated(platform, "a")
-    # No domain is left: refused at once, with a time to come back.
+    # No domain is left: requests are refused at once, with a retry delay.
     refused = await platform.call(entry, "/stream/x")
     assert refused.status == 503
     assert b"no_upstream" in refused.body
@@ -143,7 +143,7 @@
 
     # A follower that has not applied the restore answers 503 for another reason.
     await until(has_applied_both, "the box has applied both orders")
-    # Within the time in which the first order may be sent again.
+    # Still within the time in which the first order may be sent again.
     status = await post_bytes(box, names.EVACUATE_PATH.format(domain="b"), b"")
     lines = [
         line["status"]
@@ -160,8 +160,8 @@
 async def test_an_order_whose_caller_has_hung_up_is_not_carried_out(
     platform: Platform,
 ) -> None:
-    # An order that a suspended box finds in its socket was sent again elsewhere, and
-    # may have been undone since.
+    # A suspended box finds this order in its socket when it resumes. The caller has
+    # sent it again to another box meanwhile, and it may have been undone since.
     ip = platform.control_ips[0]
     platform.signal(ip, signal.SIGSTOP)
     _, writer = await asyncio.open_connection(ip, platform.control_port)
@@ -207,7 +207,8 @@
         async def key_is_in_force(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
-        await until(key_is_in_force, "the bounds are in force")
+        await until(key_is_in_force, "the allowed regions are in force")
+
     for server in platform.servers_of("plain"):
         server.runs.clear()
     for number in range(CALLS):
@@ -241,11 +242,12 @@
                 assert (await platform.call(entry, "/once/x")).status == 200
             return len(cold.runs) <= before + 2
 
-        await until(is_limited, "the entry knows that the server is cold")
+        await until(is_limited, "the entry limits the cold server")
     before = len(cold.runs)
     for number in range(CALLS):
         await platform.call(platform.entry_ips[number % 2], "/once/x")
-    # Two entries send one each in a window, and these calls span two windows at most.
+    # Each of the two entries sends one request per window, and these calls span at most
+    # two windows.
     assert len(cold.runs) <= before + 4
     cold.cold = 0
     seen = len(cold.runs)
