--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -90,28 +90,28 @@
 
 async def test_routes_and_keys(platform: Platform) -> None:
     entry = platform.entry_ips[0]
-    await wait_for(platform, entry, "/none/x", 404)
-    await wait_for(platform, entry, "/once/x", 401, key="stranger")
-    await wait_for(platform, entry, "/once/x", 401, key=None)
+    await wait_for_status(platform, entry, "/none/x", 404)
+    await wait_for_status(platform, entry, "/once/x", 401, key="stranger")
+    await wait_for_status(platform, entry, "/once/x", 401, key=None)
     assert (await platform.call(entry, "/open/x", key=None)).status == 200
     no_id = await platform.call(entry, "/once/x", headers={names.REQUEST_ID: ""})
     assert no_id.status == 400
 
 
-async def test_a_configuration_is_kept_read_back_and_never_older(
+async def test_a_configuration_is_stored_and_never_downgraded(
     platform: Platform,
 ) -> None:
     operator = platform.operator
-    newer = document(5, tenants=[{"name": "bank", "apiKeys": [KEY, "second"]}])
-    assert await operator.replace(newer) == 200
-    assert await operator.replace(newer) == 200
+    new_document = document(5, tenants=[{"name": "bank", "apiKeys": [KEY, "second"]}])
+    assert await operator.replace(new_document) == 200
+    assert await operator.replace(new_document) == 200
     # Not above the version held: acknowledged, and without effect.
     assert await operator.replace(document(5)) == 200
     assert await operator.replace(document(3)) == 200
     assert await operator.replace(document(6)[:-9]) == 400
     bad_route = json.loads(document(7))["routes"][0] | {"service": "nowhere"}
     assert await operator.replace(document(7, routes=[bad_route])) == 400
-    assert await operator.read() == newer
+    assert await operator.read() == new_document
     for entry in platform.entry_ips:
 
         async def second_key_works(entry: str = entry) -> bool:
@@ -125,11 +125,11 @@
     await leaving.drain()
     for entry in platform.entry_ips:
 
-        async def is_left_out(entry: str = entry) -> bool:
+        async def is_excluded(entry: str = entry) -> bool:
             lines = platform.log(entry)
             return any(leaving.instance in line.get("instances", ()) for line in lines)
 
-        await until(is_left_out, "the entry knows of the leaving")
+        await until(is_excluded, "the entry knows of the leaving")
     before = len(leaving.runs)
     for number in range(20):
         answer = await platform.call(platform.entry_ips[number % 2], "/once/x")
@@ -138,7 +138,7 @@
     # A heartbeat that says otherwise does not bring this incarnation back.
     leaving.state = "ready"
     acks = leaving.acks
-    await until(lambda: _reached(leaving.acks, acks + 3), "ready again is heard")
+    await until(lambda: _at_least(leaving.acks, acks + 3), "ready again is heard")
     assert (await platform.call(platform.entry_ips[0], "/once/x")).status == 200
     assert len(leaving.runs) == before
     assert len(other.runs) >= 21
@@ -158,7 +158,7 @@
     return release
 
 
-async def test_a_broken_stream_goes_on_elsewhere_without_gap_or_repeat(
+async def test_a_broken_stream_is_resumed_without_gap_or_duplicate(
     platform: Platform,
 ) -> None:
     answer = await platform.call(
@@ -175,7 +175,7 @@
     assert sorted(run.headers.get(names.LAST_EVENT, "") for run in resumed) == ["", "2"]
 
 
-async def test_a_stream_that_may_not_go_on_is_cut_visibly(platform: Platform) -> None:
+async def test_a_stream_that_is_not_resumable_is_cut(platform: Platform) -> None:
     answer = await platform.call(
         platform.entry_ips[0],
         "/stream-fixed/breaks",
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("action", ["reset", "unsigned", "foreign"])
-async def test_what_must_not_repeat_runs_once_and_is_not_called_not_run(
+async def test_an_unsafe_request_runs_once_and_is_not_reported_as_not_run(
     platform: Platform, action: str
 ) -> None:
     for server in platform.servers_of("plain"):
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("action", ["reset", "unsigned", "foreign", "error"])
-async def test_what_may_repeat_is_tried_elsewhere(
+async def test_a_safe_request_is_retried_on_another_server(
     platform: Platform, action: str
 ) -> None:
     bad, good = platform.servers_of("plain")
@@ -214,7 +214,9 @@
     await until(bad_was_tried, "the bad server was tried")
 
 
-async def test_a_refusal_is_true_and_says_when_to_come_back(platform: Platform) -> None:
+async def test_a_refused_request_does_not_run_and_gets_a_retry_delay(
+    platform: Platform,
+) -> None:
     for server in platform.servers_of("plain"):
         server.actions["x"] = "full"
     answer = await platform.call(platform.entry_ips[0], "/once/x", request_id="f")
@@ -223,7 +225,7 @@
     assert sum(server.count("f") for server in platform.servers_of("plain")) == 0
 
 
-async def test_the_time_limit_gives_a_final_answer(platform: Platform) -> None:
+async def test_a_request_past_its_deadline_gets_a_timeout(platform: Platform) -> None:
     for server in platform.servers_of("plain"):
         server.actions["x"] = "hold"
     answer = await platform.call(
@@ -232,7 +234,7 @@
     assert answer.status == 504
 
 
-async def test_a_caller_that_leaves_ends_the_work(platform: Platform) -> None:
+async def test_a_disconnected_caller_cancels_its_request(platform: Platform) -> None:
     for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
     call = asyncio.create_task(
@@ -252,7 +254,7 @@
     await until(cancelled, "the work is cancelled")
 
 
-async def test_a_planned_stop_finishes_what_runs(platform: Platform) -> None:
+async def test_a_planned_stop_finishes_running_requests(platform: Platform) -> None:
     entry = platform.entry_ips[0]
     for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
@@ -278,7 +280,7 @@
     answer = await call
     assert (answer.status, answer.body) == (200, WHOLE_STREAM)
     process = platform.processes[entry]
-    await until(lambda: _reached(process.poll() is not None, True), "the entry ends")
+    await until(lambda: _at_least(process.poll() is not None, True), "the entry ends")
     assert process.returncode == 0
 
 
@@ -289,28 +291,28 @@
     platform.kill(entry)
     platform.start(entry, bootstrap=False)
     await platform.wait_ready(entry)
-    await wait_for(platform, entry, "/none/x", 404)
+    await wait_for_status(platform, entry, "/none/x", 404)
     await platform.wait_served(entry)
 
 
-async def test_a_lost_disk_joins_anew_and_what_was_acknowledged_stays(
+async def test_a_box_with_a_lost_disk_rejoins_without_data_loss(
     platform: Platform,
 ) -> None:
     box = platform.control_ips[0]
     platform.kill(box)
-    newer = document(4)
-    assert await platform.operator.replace(newer) == 200
+    new_document = document(4)
+    assert await platform.operator.replace(new_document) == 200
     shutil.rmtree(platform.folder / f"data-{box}")
     platform.start(box, bootstrap=False)
 
-    await wait_for_new_vote(platform, box)
+    await wait_for_rejoin(platform, box)
     for other in platform.control_ips[1:]:
         platform.kill(other)
         platform.start(other, bootstrap=False)
-    assert await platform.operator.read() == newer
+    assert await platform.operator.read() == new_document
 
 
-async def test_a_box_joins_a_leader_that_no_seed_names(platform: Platform) -> None:
+async def test_a_box_joins_a_leader_that_is_not_a_seed(platform: Platform) -> None:
     first, *others = platform.control_ips
     platform.kill(first)
     shutil.rmtree(platform.folder / f"data-{first}")
@@ -320,10 +322,10 @@
     follower = next(other for other in others if other != leader)
     platform.seeds = [f"{follower}:{platform.control_port}"]
     platform.start(first, bootstrap=False)
-    await wait_for_new_vote(platform, first)
+    await wait_for_rejoin(platform, first)
 
 
-async def test_new_seeds_cut_nothing(platform: Platform) -> None:
+async def test_new_seeds_interrupt_no_stream(platform: Platform) -> None:
     entry = platform.entry_ips[0]
     for server in platform.servers_of("model"):
         server.actions["slow"] = "pause"
@@ -347,29 +349,33 @@
     assert (await call).body == WHOLE_STREAM
 
 
-async def wait_for(
+async def wait_for_status(
     platform: Platform, entry: str, path: str, status: int, key: str | None = KEY
 ) -> None:
     """Ask until the entry is sure; before, it may only say 503."""
-    seen: list[int] = []
+    statuses: list[int] = []
 
-    async def sure() -> bool:
-        seen.append((await platform.call(entry, path, key=key)).status)
-        return seen[-1] != 503
+    async def is_decided() -> bool:
+        statuses.append((await platform.call(entry, path, key=key)).status)
+        return statuses[-1] != 503
 
-    await until(sure, "the entry is sure of its configuration")
-    assert seen[-1] == status
+    await until(is_decided, "the entry is sure of its configuration")
+    assert statuses[-1] == status
 
 
-async def wait_for_new_vote(platform: Platform, box: str) -> None:
+async def wait_for_rejoin(platform: Platform, box: str) -> None:
     """Wait until a box that lost its disk votes under a new identity."""
 
     async def votes() -> bool:
         lines = platform.log(box)
         changes = [line for line in lines if line["message"] == "membership changed"]
         voters = changes[-1]["voters"] if changes else []
-        mine = [name for name in voters if name.startswith(f"{box}#")]
-        return len(voters) == 3 and bool(mine) and mine != [f"{box}#first"]
+        own_identities = [name for name in voters if name.startswith(f"{box}#")]
+        return (
+            len(voters) == 3
+            and bool(own_identities)
+            and own_identities != [f"{box}#first"]
+        )
 
     await until(votes, "the box votes under a new identity")
 
@@ -382,8 +388,8 @@
     )
 
 
-async def _reached(value: int, wanted: int) -> bool:
-    return value >= wanted
+async def _at_least(value: int, minimum: int) -> bool:
+    return value >= minimum
 
 
 async def test_connections_are_kept_up_to_a_limit(platform: Platform) -> None:
@@ -391,7 +397,7 @@
     connector = LoopConnector(keepalive=KEEPALIVE_S)
     async with aiohttp.ClientSession(connector=connector) as http:
 
-        async def is_kept(path: str) -> bool:
+        async def connection_is_kept(path: str) -> bool:
             url = f"http://{entry}:{platform.front_port}{path}"
             headers = {"Host": HOST, names.REQUEST_ID: path}
             headers[names.AUTHORIZATION] = names.BEARER + KEY
@@ -405,13 +411,13 @@
                     assert resp.status == 200
                     return resp.headers.get("Connection") != "close"
 
-        assert await is_kept("/once/few")
-        assert await is_kept("/stream/few")
+        assert await connection_is_kept("/once/few")
+        assert await connection_is_kept("/stream/few")
         idle = [
             await asyncio.open_connection(entry, platform.front_port)
             for _ in range(MAX_KEPT_ALIVE + 1)
         ]
-        assert not await is_kept("/once/many")
-        assert not await is_kept("/stream/many")
+        assert not await connection_is_kept("/once/many")
+        assert not await connection_is_kept("/stream/many")
         for _, writer in idle:
             writer.close()
