--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: callers, entries, control, servers, operator."""
+"""End-to-end tests of the platform: callers, entries, control, servers, operator."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 async def test_a_large_plain_answer_is_passed_on_as_it_comes(
     platform: Platform,
 ) -> None:
-    # It went through the splitter of events, which held it back up to an empty line,
-    # here until its end, and took a line of it for the identity of an event.
+    # Guards against plain responses in the event stream parser: it buffered them up to
+    # an empty line, here until the end, and read one of the lines as an event id.
     for server in platform.servers_of("plain"):
         server.actions["large"] = "large"
     received = asyncio.Event()
@@ -78,7 +78,7 @@
     assert run.headers[names.ACCOUNT] == "bank"
     assert run.headers["X-Odd"] == "kept"
     assert names.AUTHORIZATION not in run.headers
-    # Nothing is added but what the platform asks for.
+    # Only the headers of the platform are added.
     assert "Accept-Encoding" not in run.headers
     assert "X-Hop" not in run.headers
     assert 0 < int(run.headers[names.DEADLINE]) <= 5_000
@@ -105,7 +105,7 @@
     new_document = document(5, tenants=[{"name": "bank", "apiKeys": [KEY, "second"]}])
     assert await operator.replace(new_document) == 200
     assert await operator.replace(new_document) == 200
-    # Not above the version held: acknowledged, and without effect.
+    # A version that is not above the current one is acknowledged without effect.
     assert await operator.replace(document(5)) == 200
     assert await operator.replace(document(3)) == 200
     assert await operator.replace(document(6)[:-9]) == 400
@@ -135,7 +135,7 @@
         answer = await platform.call(platform.entry_ips[number % 2], "/once/x")
         assert answer.status == 200
     assert len(leaving.runs) == before
-    # A heartbeat that says otherwise does not bring this incarnation back.
+    # A later heartbeat that reports ready does not readmit this incarnation.
     leaving.state = "ready"
     acks = leaving.acks
     await until(lambda: _at_least(leaving.acks, acks + 3), "ready again is heard")
@@ -145,7 +145,7 @@
 
 
 def break_after_two_events(platform: Platform) -> Callable[[bytes], None]:
-    """Have model servers break off once the caller has two events."""
+    """Have model servers break a stream once the caller has received two events."""
     for server in platform.servers_of("model"):
         server.actions["breaks"] = "break"
 
@@ -352,7 +352,10 @@
 async def wait_for_status(
     platform: Platform, entry: str, path: str, status: int, key: str | None = KEY
 ) -> None:
-    """Ask until the entry is sure; before, it may only say 503."""
+    """Call until the status is not 503, then check it.
+
+    An entry answers 503 until its configuration is confirmed.
+    """
     statuses: list[int] = []
 
     async def is_decided() -> bool:
@@ -405,7 +408,8 @@
                 async with http.post(url, headers=headers) as resp:
                     body = await resp.read()
                     if resp.status == 503 and b'"entry_busy"' in body:
-                        # Short of processor time, as on a busy machine; see `call`.
+                        # The entry is short of processor time; see `Platform.call`.
+
                         await asyncio.sleep(float(resp.headers[names.RETRY_AFTER]))
                         continue
                     assert resp.status == 200
