--- a/tests/platform/test_disk.py
+++ b/tests/platform/test_disk.py
@@ -19,27 +19,27 @@
 
 
 async def test_a_full_disk_ends_no_control_process(platform: Platform) -> None:
-    full, other, _ = platform.control_ips
-    process = platform.processes[full]
+    full_ip, other_ip, _ = platform.control_ips
+    process = platform.processes[full_ip]
     # The kernel refuses any file of that process to grow, as a full disk would.
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (0, UNLIMITED))
     assert await platform.operator.replace(document(2)) == 200
 
-    async def is_silent() -> bool:
+    async def is_closed() -> bool:
         with socket.socket() as sock:
-            return sock.connect_ex((full, platform.control_port)) != 0
+            return sock.connect_ex((full_ip, platform.control_port)) != 0
 
-    await until(is_silent, "the box with the full disk serves nothing")
+    await until(is_closed, "the box with the full disk serves nothing")
     assert await platform.operator.replace(document(3)) == 200
     assert process.poll() is None
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (UNLIMITED, UNLIMITED))
 
     async def reads_the_newest() -> bool:
-        return await read_from(platform, full) == document(3)
+        return await read_from(platform, full_ip) == document(3)
 
     await until(reads_the_newest, "the box takes part again")
     # Of three voters one more is gone, so this one's vote and disk are needed.
-    platform.kill(other)
+    platform.kill(other_ip)
     assert await platform.operator.replace(document(4)) == 200
     assert await platform.operator.read() == document(4)
     assert process.poll() is None
--- a/tests/platform/test_summing.py
+++ b/tests/platform/test_load_aggregation.py
@@ -14,20 +14,22 @@
     from tools.platform.nodes import Platform
 
 
-async def test_loads_are_added_up_elsewhere_while_a_box_stands_still(
+async def test_another_replica_adds_up_loads_while_a_box_is_stopped(
     platform: Platform,
 ) -> None:
     entry = platform.entry_ips[0]
     first, second, _ = platform.control_ips
-    await until(lambda: _is_chosen(platform, entry, first), "the first box adds up")
+    await until(lambda: _is_aggregator(platform, entry, first), "the first box adds up")
     platform.signal(first, signal.SIGSTOP)
-    await until(lambda: _is_chosen(platform, entry, second), "the second one does")
+    await until(lambda: _is_aggregator(platform, entry, second), "the second one does")
     assert (await platform.call(entry, "/stream/x")).status == 200
     platform.signal(first, signal.SIGCONT)
-    await until(lambda: _is_chosen(platform, entry, first), "the first one does again")
+    await until(
+        lambda: _is_aggregator(platform, entry, first), "the first one does again"
+    )
 
 
-async def _is_chosen(platform: Platform, entry: str, box: str) -> bool:
+async def _is_aggregator(platform: Platform, entry: str, box: str) -> bool:
     lines = platform.log(entry)
     chosen = [line["replica"] for line in lines if "added up" in line["message"]]
     return bool(chosen) and f"'{box}'" in chosen[-1]
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -19,10 +19,10 @@
 """Seconds after which a read has failed; a group that works answers within two."""
 
 
-async def test_a_replaced_box_costs_no_later_loss(platform: Platform) -> None:
-    gone, wiped, _ = platform.control_ips
-    platform.kill(gone)
-    newcomer = platform.replace_control(gone)
+async def test_a_replaced_box_does_not_weaken_the_group(platform: Platform) -> None:
+    lost, wiped, _ = platform.control_ips
+    platform.kill(lost)
+    newcomer = platform.replace_control(lost)
     await wait_for_vote(platform, newcomer)
     await wait_for_voters(platform, newcomer, set(platform.control_ips))
 
@@ -46,10 +46,10 @@
     await until(votes, f"{box} votes")
 
 
-async def wait_for_voters(platform: Platform, box: str, wanted: set[str]) -> None:
+async def wait_for_voters(platform: Platform, box: str, expected: set[str]) -> None:
     """Wait until a box knows of these voters and no others."""
 
-    async def settled() -> bool:
-        return platform.last_voters(box) == wanted
+    async def has_voters() -> bool:
+        return platform.last_voters(box) == expected
 
-    await until(settled, f"the voters are {sorted(wanted)}")
+    await until(has_voters, f"the voters are {sorted(expected)}")
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -24,15 +24,17 @@
 SECOND_START = FIRST_START + 60_000
 
 
-async def only_server(platform: Platform, ip: str, **fields: object) -> Server:
+async def replace_plain_servers(
+    platform: Platform, ip: str, **fields: object
+) -> Server:
     """Return the only plain server of a running platform."""
     for other in platform.servers_of("plain"):
         await other.stop()
         platform.servers.remove(other)
-    return await one_more_server(platform, ip, **fields)
+    return await add_plain_server(platform, ip, **fields)
 
 
-async def one_more_server(platform: Platform, ip: str, **fields: object) -> Server:
+async def add_plain_server(platform: Platform, ip: str, **fields: object) -> Server:
     """Start a plain server."""
     server = Server(
         ip,
@@ -46,7 +48,7 @@
     return server
 
 
-async def wait_answered_by(platform: Platform, server: Server) -> None:
+async def wait_served_only_by(platform: Platform, server: Server) -> None:
     """Wait until both entries send requests to a server and nowhere else."""
 
     async def answered() -> bool:
@@ -59,38 +61,40 @@
     await until(answered, f"{server.ip} answers")
 
 
-async def test_a_server_that_left_may_come_back_under_its_id(
+async def test_a_server_may_start_again_under_its_id_after_leaving(
     platform: Platform,
 ) -> None:
-    first = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, first)
+    first = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, first)
     await first.drain()
     await first.stop()
     platform.servers.remove(first)
-    second = await only_server(platform, first.ip, born=SECOND_START)
-    await wait_answered_by(platform, second)
+    second = await replace_plain_servers(platform, first.ip, born=SECOND_START)
+    await wait_served_only_by(platform, second)
 
 
-async def test_a_late_word_of_leaving_concerns_the_start_that_said_it(
+async def test_a_late_leave_call_concerns_only_the_start_it_names(
     platform: Platform,
 ) -> None:
-    server = await only_server(platform, platform.server_ips[4], born=SECOND_START)
-    await wait_answered_by(platform, server)
+    server = await replace_plain_servers(
+        platform, platform.server_ips[4], born=SECOND_START
+    )
+    await wait_served_only_by(platform, server)
     assert await server.deregister(FIRST_START) == 200
     acks = server.acks
 
-    async def beaten() -> bool:
+    async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after the late word")
-    await wait_answered_by(platform, server)
+    await until(has_new_heartbeats, "heartbeats after the late word")
+    await wait_served_only_by(platform, server)
 
 
-async def test_what_runs_at_an_earlier_start_is_not_waited_for(
+async def test_attempts_at_an_earlier_start_are_ended(
     platform: Platform,
 ) -> None:
-    first = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, first)
+    first = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, first)
     first.actions["held"] = "hold"
     entry = platform.entry_ips[0]
     held = [
@@ -103,7 +107,7 @@
 
     await until(running, "both requests run")
     # It has started again elsewhere; nobody tells the connections to where it was.
-    second = await one_more_server(platform, platform.server_ips[5], born=SECOND_START)
+    second = await add_plain_server(platform, platform.server_ips[5], born=SECOND_START)
     safe, once = await asyncio.gather(*held)
     assert safe.status == 200
     assert safe.body == b"i-same /safe/held"
@@ -111,13 +115,13 @@
     assert [run.target for run in second.runs] == ["/safe/held"]
 
 
-async def test_what_names_no_server_takes_nothing_from_one_that_serves(
+async def test_invalid_heartbeats_do_not_affect_a_running_server(
     platform: Platform,
 ) -> None:
-    server = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, server)
+    server = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, server)
     address = f"{server.ip}:{platform.server_port}"
-    good = {
+    valid = {
         "service": "plain",
         "address": address,
         "zone": "a",
@@ -129,13 +133,13 @@
         "sequence": 1_000,
     }
     bodies = [
-        json.dumps(good | {"service": "nobody"}).encode(),
-        json.dumps(good | {"state": "resting"}).encode(),
-        json.dumps(good | {"born": f"{SECOND_START}"}).encode(),
-        json.dumps(good | {"born": SECOND_START + 0.5}).encode(),
-        json.dumps({key: good[key] for key in good if key != "slots"}).encode(),
-        json.dumps(good).encode("utf-16"),
-        b'{"born":1,' + json.dumps(good).encode()[1:],
+        json.dumps(valid | {"service": "nobody"}).encode(),
+        json.dumps(valid | {"state": "resting"}).encode(),
+        json.dumps(valid | {"born": f"{SECOND_START}"}).encode(),
+        json.dumps(valid | {"born": SECOND_START + 0.5}).encode(),
+        json.dumps({key: valid[key] for key in valid if key != "slots"}).encode(),
+        json.dumps(valid).encode("utf-16"),
+        b'{"born":1,' + json.dumps(valid).encode()[1:],
         b"[" * 60_000,
     ]
     acks = server.acks
@@ -146,10 +150,10 @@
                 status = await post_bytes(control, path, body)
                 assert (number, status) in ((0, 200), (number, 400))
 
-    async def beaten() -> bool:
+    async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after those of strangers")
-    await wait_answered_by(platform, server)
+    await until(has_new_heartbeats, "heartbeats after those of strangers")
+    await wait_served_only_by(platform, server)
     for control in platform.control_ips:
         assert platform.processes[control].poll() is None
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -270,7 +270,7 @@
         "            on_restart()\n",
         "            pass\n",
         "tests/platform/test_restarted_server.py"
-        "::test_what_runs_at_an_earlier_start_is_not_waited_for",
+        "::test_attempts_at_an_earlier_start_are_ended",
     ),
     Variant(
         "nobody is told of upstreams that have ended",
