--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""A small platform of real processes and stand-ins."""
+"""Fixture with a small platform of real processes and stand-in servers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 async def platform(tmp_path: Path) -> AsyncIterator[Platform]:
-    """A running platform that ends with the test."""
+    """A running platform that is closed after the test."""
     platform = Platform(tmp_path)
     try:
         await platform.start_all()
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Only the adapter knows the platform's names."""
+"""Names of the platform occur only in its adapter package."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_disk.py
+++ b/tests/platform/test_disk.py
@@ -1,4 +1,4 @@
-"""A control box whose disk is full stays up, and takes part again once it is not."""
+"""A control box with a full disk keeps running, and rejoins once it has space."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 async def test_a_full_disk_ends_no_control_process(platform: Platform) -> None:
     full_ip, other_ip, _ = platform.control_ips
     process = platform.processes[full_ip]
-    # The kernel refuses any file of that process to grow, as a full disk would.
+    # The kernel does not let any file of the process grow, like a full disk.
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (0, UNLIMITED))
     assert await platform.operator.replace(document(2)) == 200
 
@@ -38,7 +38,7 @@
         return await read_from(platform, full_ip) == document(3)
 
     await until(reads_the_newest, "the box takes part again")
-    # Of three voters one more is gone, so this one's vote and disk are needed.
+    # With another of the three voters lost, this box is needed for a quorum.
     platform.kill(other_ip)
     assert await platform.operator.replace(document(4)) == 200
     assert await platform.operator.read() == document(4)
@@ -46,7 +46,8 @@
 
 
 async def read_from(platform: Platform, ip: str) -> bytes:
-    """Read the configuration from one control box; empty if it does not know."""
+    """Return the configuration that one control box has, or nothing if it has none."""
+
     url = f"http://{ip}:{platform.control_port}{names.READ_PATH}"
     try:
         async with platform.http.get(url) as resp:
--- a/tests/platform/test_load_aggregation.py
+++ b/tests/platform/test_load_aggregation.py
@@ -1,6 +1,6 @@
-"""A control box that adds up loads stands still, with real processes.
+"""A control box that aggregates loads is stopped, with real processes.
 
-The story and its evidence are told in `tests/feed/test_aggregator_selector.py`.
+The failure and its cause are described in `tests/feed/test_aggregator_selector.py`.
 """
 
 from __future__ import annotations
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -1,6 +1,6 @@
 """Control boxes that are replaced for good, with real processes.
 
-The story and its evidence are told in `tests/control/test_replaced_box.py`.
+The failure and its cause are described in `tests/control/test_replaced_box.py`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     from tools.platform.nodes import Platform
 
 READ_LIMIT = 30
-"""Seconds after which a read has failed; a group that works answers within two."""
+"""Seconds until a read counts as failed; a working group answers within two."""
 
 
 async def test_a_replaced_box_does_not_weaken_the_group(platform: Platform) -> None:
@@ -38,7 +38,7 @@
 
 
 async def wait_for_vote(platform: Platform, box: str) -> None:
-    """Wait until a box votes."""
+    """Wait until a box is a voter."""
 
     async def votes() -> bool:
         return box in platform.last_voters(box)
@@ -47,7 +47,7 @@
 
 
 async def wait_for_voters(platform: Platform, box: str, expected: set[str]) -> None:
-    """Wait until a box knows of these voters and no others."""
+    """Wait until the last membership line of a box lists exactly these voters."""
 
     async def has_voters() -> bool:
         return platform.last_voters(box) == expected
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -1,9 +1,10 @@
-"""Servers that start again under their id, and registrations that name no server.
+"""Servers that restart under the same id, and registrations that name no server.
 
-The story: a server that starts again keeps its id, knows nothing of before and counts
-its heartbeats anew. Taken for the one before, its heartbeats are too old to count, a
-word of leaving concerns it for good, and what was learned of the one before is believed
-of it. And whoever can reach the control boxes may write what reads like a heartbeat.
+A restarted server keeps its id, has lost its state and counts its heartbeats from the
+start. Guards against taking it for the earlier start: then its heartbeats would look
+outdated, a leave call of the earlier start would remove it for good, and what was
+measured at the earlier start would be applied to it. Anyone who can reach the control
+boxes may also send documents that look like heartbeats.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 async def replace_plain_servers(
     platform: Platform, ip: str, **fields: object
 ) -> Server:
-    """Return the only plain server of a running platform."""
+    """Stop all plain servers, and start a single one instead."""
     for other in platform.servers_of("plain"):
         await other.stop()
         platform.servers.remove(other)
@@ -49,7 +50,7 @@
 
 
 async def wait_served_only_by(platform: Platform, server: Server) -> None:
-    """Wait until both entries send requests to a server and nowhere else."""
+    """Wait until both entries send their requests to this server only."""
 
     async def answered() -> bool:
         runs = len(server.runs)
@@ -106,7 +107,8 @@
         return sum(not run.ended for run in first.runs) == len(held)
 
     await until(running, "both requests run")
-    # It has started again elsewhere; nobody tells the connections to where it was.
+    # It has started again at another address; its old connections stay open.
+
     second = await add_plain_server(platform, platform.server_ips[5], born=SECOND_START)
     safe, once = await asyncio.gather(*held)
     assert safe.status == 200
