--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -2,8 +2,8 @@
 
 Guards against a deadly request that takes down a whole pool. In a user's deployment the
 engines of a pool crashed one after another for ten seconds, and hardly any request to
-them was answered: one request crashed thirteen engines, five of them after the first
-three crashes.
+them was answered. One request crashed thirteen engines, five of them after three
+crashes that every entry could have known of.
 
 An engine crashes some 50 ms after it has begun the request. The entry retries the
 request on the next engine at once, its caller sends it again under another id and
