--- a/src/leadseam/platform/entry_node.py
+++ b/src/leadseam/platform/entry_node.py
@@ -1,4 +1,4 @@
-"""An entry on the platform: feed, gateway, callers' socket, readiness, metrics."""
+"""Process of an entry: feed, gateway, callers' socket, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -37,25 +37,26 @@
 
 INCARNATION_BITS = 53
 REPLICAS_FOLLOWED = 9
-"""Control replicas followed at once: all of them, as upstreams register at any."""
+"""Control replicas followed at once: all, as upstreams register with any of them."""
 SWEEP_INTERVAL: Millis = 500
 STOP_NOTICE: Millis = 2_600
-"""Time from the request to stop until connections are closed: the platform asks once a
-second, takes a box out after two misses, and connections are under way meanwhile."""
+"""Time from the request to stop until idle connections are closed. The platform checks
+readiness once a second and removes a box after two failed checks; new connections keep
+arriving until then."""
 STOP_RESERVE: Millis = 700
-"""Time kept before the platform kills the process, to close in order."""
+"""Time reserved for an orderly shutdown before the platform kills the process."""
 DRAIN_POLL: Millis = 50
 
 log = logging.getLogger(__name__)
 
 
 class EntryNode:
-    """One entry and everything it serves.
+    """One entry with its sockets and background tasks.
 
     Args:
-        settings: Its settings.
-        path: File that they came from.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the process.
+        path: File from which the settings were read.
+        clock: Source of time. Defaults to the system clock.
     """
 
     def __init__(
@@ -76,14 +77,14 @@
             on_change=self._configure,
             width=REPLICAS_FOLLOWED,
             view=self._view,
-            address_of=settings.inner,
-            on_sums=self._take_sums,
+            address_of=settings.internal_endpoint,
+            on_sums=self._apply_sums,
             on_restarts=self._end_attempts,
-            on_crashes=self._take_crashes,
-            greeting=self._greeting,
+            on_crashes=self._receive_crashes,
+            greeting=self._initial_report,
         )
         self._routing_metrics = RoutingMetrics(self._metrics)
-        self._lag = LoopLag(self._clock, self._show_lag)
+        self._lag = LoopLag(self._clock, self._record_lag)
         self._suspension = SuspensionWatch(
             self._clock, self._metrics, on_resume=self._on_resume
         )
@@ -97,7 +98,7 @@
         self._stopping = False
 
     async def start(self) -> None:
-        """Bind all sockets."""
+        """Bind all sockets and start serving."""
         settings = self._settings
         assert settings.front is not None
         assert settings.ready is not None
@@ -124,7 +125,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run the background tasks until cancelled."""
         assert self._gateway is not None
         async with asyncio.TaskGroup() as group:
             group.create_task(self._feed.run())
@@ -136,16 +137,19 @@
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
-        """Fail the readiness question, go on serving, end after the last answer."""
+        """Report not ready, keep serving, and return after the last response.
+
+        Returns earlier if the grace period of the platform is about to end.
+        """
         assert self._gateway is not None
         assert self._front is not None
         started = self._clock.now()
         self._stopping = True
         self._gateway.stopping = True
-        last = started + self._settings.grace - STOP_RESERVE
+        deadline = started + self._settings.grace - STOP_RESERVE
         await sleep(STOP_NOTICE)
         await self._front.close_idle()
-        while self._gateway.in_flight and self._clock.now() < last:
+        while self._gateway.in_flight and self._clock.now() < deadline:
             await sleep(DRAIN_POLL)
         extra = {
             "in_flight": self._gateway.in_flight,
@@ -154,7 +158,8 @@
         log.info("drained", extra=extra)
 
     async def stop(self) -> None:
-        """Release all sockets."""
+        """Close all sockets."""
+
         if self._front is not None:
             await self._front.stop()
         if self._client is not None:
@@ -193,27 +198,27 @@
         self._staleness.resumed()
         self._gateway.resumed()
 
-    def _show_lag(self, lag: Millis) -> None:
+    def _record_lag(self, lag: Millis) -> None:
         self._routing_metrics.lag.set({}, lag)
 
-    def _take_sums(self, included: int, sums: LoadSums) -> None:
+    def _apply_sums(self, included: int, sums: LoadSums) -> None:
         assert self._gateway is not None
         self._gateway.placer.apply_sums(included, sums)
 
-    def _end_attempts(self, over: Iterable[Incarnation]) -> None:
+    def _end_attempts(self, ended_incarnations: Iterable[Incarnation]) -> None:
         assert self._gateway is not None
-        over = tuple(over)
-        ended = self._gateway.restarts.end_attempts(over)
-        for incarnation in over:
+        ended_incarnations = tuple(ended_incarnations)
+        ended = self._gateway.restarts.end_attempts(ended_incarnations)
+        for incarnation in ended_incarnations:
             self._gateway.crash_guard.ended(incarnation)
         if ended:
             log.info("attempts at earlier starts ended", extra={"attempts": ended})
 
-    def _take_crashes(self, message: Crashes) -> None:
+    def _receive_crashes(self, message: Crashes) -> None:
         assert self._gateway is not None
         self._gateway.crash_guard.receive(message)
 
-    def _greeting(self) -> Crashes | None:
+    def _initial_report(self) -> Crashes | None:
         assert self._gateway is not None
         return self._gateway.crash_guard.initial_report()
 
--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -1,10 +1,10 @@
-"""A caller's new connection until its first request has come in.
+"""Early refusal of the first request of a connection, from its raw bytes.
 
-A busy entry refuses many requests. To answer one through the HTTP library takes a task,
-a parser and a response, which costs twice as much as to look for a few fields. Where an
-entry gets hundreds of them a second little is left for those that it could serve. So
-the first request of a connection may be refused from its bytes. All others go on to the
-library untouched.
+A busy entry refuses many requests. Answering one through the HTTP library takes a task,
+a parser and a response object, which costs twice as much as searching the head for a
+few fields. At hundreds of refusals a second, little processor time would be left for
+the requests that the entry can serve. So the first request of a connection may be
+refused from its bytes; every other request goes to the library unchanged.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     Refuse = Callable[[Sender], NotRun | None]
 
-HEAD_END = b"\r\n\r\n"
+HEAD_TERMINATOR = b"\r\n\r\n"
 _FIELD = re.compile(
     rb"\r\n(content-length|transfer-encoding|expect|%b):[ \t]*([^\r\n]*)"
     % b"|".join(
@@ -43,17 +43,17 @@
     ),
     re.IGNORECASE,
 )
-"""The fields of a head that decide."""
+"""The header fields that are read before the library parses a request."""
 REASONS = {429: "Too Many Requests", 503: "Service Unavailable"}
 
 
 @dataclass(frozen=True, slots=True)
 class FirstHead:
-    """The head of a first request, as far as a refusal needs it.
+    """The parts of a request head that an early refusal needs.
 
     Args:
-        sender: Who sends it, and how much work it is.
-        body_left: Bytes of its body that have not come in yet.
+        sender: Who sends the request, and how many tokens it asks for.
+        body_left: Bytes of the body that have not been received yet.
     """
 
     sender: Sender
@@ -61,13 +61,14 @@
 
 
 def read_first_head(data: bytes) -> FirstHead | None:
-    """Read a head from the first bytes of a connection.
+    """Parse a request head from the first bytes of a connection.
 
     Returns:
-        None if these bytes do not hold one whole head of a request with a plain length:
-        the library has to read it then.
+        The head, or None if the library has to parse the request: if the head is
+        incomplete, repeats a field, uses `Transfer-Encoding` or `Expect`, has an
+        invalid `Content-Length`, or if the bytes go beyond the body.
     """
-    head, end, body = data.partition(HEAD_END)
+    head, end, body = data.partition(HEAD_TERMINATOR)
     if not end:
         return None
     fields: dict[bytes, str] = {}
@@ -98,7 +99,7 @@
 
 
 def encode_refusal(refusal: NotRun) -> bytes:
-    """Return the whole HTTP response of a refusal, which ends the connection."""
+    """Encode a refusal as an HTTP response that closes the connection."""
     body = json.dumps(error_body(refusal)).encode()
     status = status_of(refusal)
     lines = [
@@ -110,17 +111,19 @@
     ]
     if refusal.retry_after is not None:
         lines.append(f"{names.RETRY_AFTER}: {refusal.retry_after / 1_000:.3f}")
-    return "\r\n".join(lines).encode() + HEAD_END + body
+    return "\r\n".join(lines).encode() + HEAD_TERMINATOR + body
 
 
 class FirstBytes(asyncio.Protocol):
-    """Refuses the first request of a connection, or hands the connection over.
+    """Refuses the first request of a connection, or hands it over to the HTTP library.
 
     Args:
-        make_handler: Makes the library's protocol of a connection.
-        refuse: Returns the refusal of a request, or None to have it served.
-        waiting: Where connections are noted that have sent nothing yet.
-        idle_s: Seconds after which such a connection is closed.
+        make_handler: Creates the library's protocol for a connection.
+        refuse: Returns the refusal of a request, or None if it is to be served.
+        waiting: Set that holds this connection until its first request is refused or
+            handed over.
+        idle_timeout_s: Seconds after which a connection in that set is closed.
+
     """
 
     def __init__(
@@ -128,64 +131,65 @@
         make_handler: Callable[[], RequestHandler],
         refuse: Refuse,
         waiting: set[FirstBytes],
-        idle_s: float,
+        idle_timeout_s: float,
     ) -> None:
         self._make_handler = make_handler
         self._refuse = refuse
         self._waiting = waiting
-        self._idle_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._answer = b""
+        self._response = b""
         self._body_left = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the first bytes."""
+        """Start the idle timeout and wait for the first bytes."""
         self._transport = cast("asyncio.Transport", transport)
         self._waiting.add(self)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._idle_s, self.close)
+        self._timer = loop.call_later(self._idle_timeout_s, self.close)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
-        self._done()
+        """Remove the connection from the waiting ones."""
+        self._stop_waiting()
 
     def data_received(self, data: bytes) -> None:
-        """Refuse the request, read its body out, or hand all over."""
-        if self._answer:
-            # The caller may not read an answer that comes before its body is read.
+        """Refuse the request, drain its body, or hand the connection over."""
+        if self._response:
+            # A caller may not read a response that is sent before its body is drained.
+
             self._body_left -= len(data)
-            self._end_if_read()
+            self._respond_if_read()
             return
         head = read_first_head(data)
         refusal = self._refuse(head.sender) if head is not None else None
         if head is None or refusal is None:
             self._hand_over(data)
             return
-        self._answer = encode_refusal(refusal)
+        self._response = encode_refusal(refusal)
         self._body_left = head.body_left
-        self._end_if_read()
+        self._respond_if_read()
 
     def close(self) -> None:
         """Close the connection."""
-        self._done()
+        self._stop_waiting()
         if self._transport is not None:
             self._transport.close()
 
-    def _end_if_read(self) -> None:
+    def _respond_if_read(self) -> None:
         if self._body_left <= 0 and self._transport is not None:
-            self._transport.write(self._answer)
+            self._transport.write(self._response)
             self.close()
 
     def _hand_over(self, data: bytes) -> None:
         assert self._transport is not None
-        self._done()
+        self._stop_waiting()
         handler = self._make_handler()
         self._transport.set_protocol(handler)
         handler.connection_made(self._transport)
         handler.data_received(data)
 
-    def _done(self) -> None:
+    def _stop_waiting(self) -> None:
         self._waiting.discard(self)
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -1,17 +1,20 @@
-"""A request that crashes each upstream which begins it, with real processes.
-
-What users saw: engines of a pool ended one after another for ten seconds, and hardly
-any request to them was answered. Thirteen ended under one request, five of them after
-three had ended and everybody could have known.
-The order of events: a request comes in and its engine ends some 50 ms after it has
-begun it; the entry sends it to the next engine at once; its caller sends it again under
-another id, at any entry; engines that start anew end within seconds.
-The cause: nothing knew the request again. Failures were kept by upstream, by pool and
-within one exchange, so each arrival was the first.
-The evidence: in the users' record one attempt that broke 46 ms after its begin and was
-sent on 12 ms later; ends of engines only, ordering servers were whole; in lines of a
-play, an engine that ended with a single attempt under way. Here: before the repair each
-of the twelve calls below reached two upstreams and ended both, 24 in all.
+"""A request that crashes each upstream that runs it, with real processes.
+
+Guards against a deadly request that takes down a whole pool. In a user's deployment the
+engines of a pool crashed one after another for ten seconds, and hardly any request to
+them was answered. One request crashed thirteen engines, five of them after three
+crashes that every entry could have known of.
+
+An engine crashes some 50 ms after it has begun the request. The entry retries the
+request on the next engine at once, its caller sends it again under another id and
+through any entry, and restarted engines crash again within seconds. Failures were
+tracked by upstream, by pool and within one exchange, so nothing recognized the request:
+each arrival looked like the first.
+
+Evidence: in the user's log an attempt broke after 46 ms and was retried 12 ms later;
+only engines crashed, ordering servers did not; and in the log lines of one run an
+engine crashed with a single attempt in flight. Before the fix each of the twelve calls
+below reached two upstreams and crashed both, 24 in all.
 """
 
 from __future__ import annotations
@@ -35,24 +38,26 @@
 
 DEADLY = "/safe/deadly"
 ROUNDS = 12
-BORNE = 3
-"""Upstreams that such a request ends before it is known, and sends borne after that."""
+CRASHES_BEFORE_VERDICT = 3
+"""Upstreams that a deadly request crashes before there is a verdict on it."""
 
 
-async def four_servers(platform: Platform, born: int | None = None) -> list[Server]:
-    """Have four plain servers that a request with the deadly path crashes."""
+async def add_crashing_servers(
+    platform: Platform, born: int | None = None
+) -> list[Server]:
+    """Return four plain servers, which a request with the deadly path crashes."""
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
-    servers = platform.of("plain")
+    servers = platform.servers_of("plain")
     for server in servers:
-        server.behave["deadly"] = "crash"
+        server.actions["deadly"] = "crash"
         server.born = born
-    await wait_up(platform, servers)
+    await wait_servers_up(platform, servers)
     return servers
 
 
-async def wait_up(platform: Platform, servers: list[Server]) -> None:
-    """Wait until all servers are back, and each entry uses every one of them."""
+async def wait_servers_up(platform: Platform, servers: list[Server]) -> None:
+    """Wait until all servers are up and each of them runs requests again."""
 
     async def up() -> bool:
         if not all(server.is_up for server in servers):
@@ -67,68 +72,68 @@
             for server, count in zip(servers, counts, strict=True)
         )
 
-    await until(up, "all servers are back and used")
+    await until(up, "all servers are up and used")
 
 
-def arrivals(servers: list[Server]) -> int:
-    """Return how often the deadly request began to run."""
+def count_crashes(servers: list[Server]) -> int:
+    """Return how often the deadly request has crashed a server."""
     return sum(len(server.crashes) for server in servers)
 
 
-async def call_again(platform: Platform, round_: int, path: str = DEADLY) -> Answer:
-    """Send the deadly request again, through one entry after the other."""
+async def resend(platform: Platform, round_: int, path: str = DEADLY) -> Answer:
+    """Send a request once more, through one entry after the other."""
     entry = platform.entry_ips[round_ % len(platform.entry_ips)]
     return await platform.call(entry, path, method="POST", body=b'{"n":1}')
 
 
-def assert_known(answer: Answer) -> None:
-    """Check that an answer says that it is this request, and when not to come back."""
+def assert_refused_by_verdict(answer: Answer) -> None:
+    """Check that a response refuses the request by verdict, without a retry delay."""
     assert (answer.status, b'"crashes_upstreams"' in answer.body) == (503, True)
     assert b'"not_run"' in answer.body
     assert names.RETRY_AFTER not in answer.headers
 
 
 @pytest.mark.parametrize("born", [None, 1_764_720_000_000])
-async def test_it_is_refused_everywhere_once_three_have_ended(
+async def test_a_deadly_request_is_refused_everywhere_after_three_crashes(
     platform: Platform, born: int | None
 ) -> None:
-    servers = await four_servers(platform, born)
+    servers = await add_crashing_servers(platform, born)
     answers = []
     for round_ in range(ROUNDS):
-        answers.append(await call_again(platform, round_))
-        await wait_up(platform, servers)
-    assert arrivals(servers) <= BORNE + 1
+        answers.append(await resend(platform, round_))
+        await wait_servers_up(platform, servers)
+    assert count_crashes(servers) <= CRASHES_BEFORE_VERDICT + 1
     for answer in answers[-2 * len(platform.entry_ips) :]:
-        assert_known(answer)
-    # Another body is another request, and everybody else is served.
+        assert_refused_by_verdict(answer)
+    # The same body under another path is another request, and is served.
     entry = platform.entry_ips[0]
     assert (await platform.call(entry, "/safe/good", body=b'{"n":1}')).status == 200
 
 
 async def test_an_operator_sees_and_lifts_a_verdict(platform: Platform) -> None:
-    servers = await four_servers(platform)
+    servers = await add_crashing_servers(platform)
     for round_ in range(ROUNDS // 2):
-        await call_again(platform, round_)
-        await wait_up(platform, servers)
+        await resend(platform, round_)
+        await wait_servers_up(platform, servers)
     control = platform.metrics_address(platform.control_ips[0])
-    listed = json.loads(await verdicts("--json", control))
+    listed = json.loads(await run_verdicts_command("--json", control))
     assert [(row["account"], row["body_bytes"]) for row in listed] == [("bank", 7)]
-    assert len(listed[0]["ended"]) == BORNE
-    assert listed[0]["fingerprint"] in await verdicts(control)
+    assert len(listed[0]["ended"]) == CRASHES_BEFORE_VERDICT
+    assert listed[0]["fingerprint"] in await run_verdicts_command(control)
     for server in servers:
-        server.behave.clear()
-    await verdicts("--lift", listed[0]["fingerprint"], control)
+        server.actions.clear()
+    await run_verdicts_command("--lift", listed[0]["fingerprint"], control)
 
     async def served() -> bool:
-        answers = [await call_again(platform, round_) for round_ in range(2)]
+        answers = [await resend(platform, round_) for round_ in range(2)]
         return all(answer.status == 200 for answer in answers)
 
     await until(served, "the request is served again")
-    assert json.loads(await verdicts("--json", control)) == []
+    assert json.loads(await run_verdicts_command("--json", control)) == []
 
 
-async def verdicts(*args: str) -> str:
-    """Run the operators' command on the control box, and return its output."""
+async def run_verdicts_command(*args: str) -> str:
+    """Run the operators' command for verdicts, and return its output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "leadseam.cli.verdicts", *args, stdout=PIPE
     )
@@ -137,15 +142,15 @@
     return output.decode()
 
 
-async def test_it_stays_known_when_all_boxes_have_lost_power(
+async def test_a_verdict_survives_a_power_loss_of_all_boxes(
     platform: Platform,
 ) -> None:
-    servers = await four_servers(platform)
+    servers = await add_crashing_servers(platform)
     for round_ in range(ROUNDS // 2):
-        await call_again(platform, round_)
-        await wait_up(platform, servers)
-    known = arrivals(servers)
-    assert BORNE <= known <= BORNE + 1
+        await resend(platform, round_)
+        await wait_servers_up(platform, servers)
+    crashes_before = count_crashes(servers)
+    assert CRASHES_BEFORE_VERDICT <= crashes_before <= CRASHES_BEFORE_VERDICT + 1
     boxes = [*platform.control_ips, *platform.entry_ips]
     for ip in boxes:
         platform.kill(ip)
@@ -153,38 +158,41 @@
         platform.start(ip)
     for ip in platform.entry_ips:
         await platform.wait_ready(ip)
-    await wait_up(platform, servers)
+    await wait_servers_up(platform, servers)
     for round_ in range(len(platform.entry_ips)):
-        assert_known(await call_again(platform, round_))
-    assert arrivals(servers) == known
+        assert_refused_by_verdict(await resend(platform, round_))
+    assert count_crashes(servers) == crashes_before
 
 
-async def test_one_that_is_hit_by_the_ends_of_others_is_served(
+async def test_a_request_hit_by_crashes_of_others_is_served(
     platform: Platform,
 ) -> None:
-    """Beside a deadly request, 8 of 24 callers of longer ones were refused too."""
-    servers = await four_servers(platform)
+    """Crashes that others cause must not count against a request in flight.
+
+    Beside a deadly request, 8 of 24 callers of longer requests were refused too.
+    """
+    servers = await add_crashing_servers(platform)
     for server in servers:
-        server.behave["long"] = "hold"
+        server.actions["long"] = "hold"
     hits = 0
-    while hits < BORNE:
-        call = asyncio.create_task(call_again(platform, hits, "/once/long"))
-        running = await run_by(servers, hits)
-        # It runs for some time already: what crashes now is not its doing.
+    while hits < CRASHES_BEFORE_VERDICT:
+        call = asyncio.create_task(resend(platform, hits, "/once/long"))
+        running = await wait_running(servers, hits)
+        # It has run for some time, so a crash now is not attributed to it.
         await asyncio.sleep(2 * EARLY_LIMIT / 1_000)
         assert running.crash()
         assert (await call).status == 502
         hits += 1
-        await wait_up(platform, servers)
+        await wait_servers_up(platform, servers)
     for server in servers:
-        server.behave.clear()
+        server.actions.clear()
     for round_ in range(len(platform.entry_ips)):
-        answer = await call_again(platform, round_, "/once/long")
+        answer = await resend(platform, round_, "/once/long")
         assert answer.status == 200
 
 
-async def run_by(servers: list[Server], before: int) -> Server:
-    """Wait until one more run of the long request has begun, and return its server."""
+async def wait_running(servers: list[Server], before: int) -> Server:
+    """Wait until one more run of the long request has begun; return its server."""
 
     def runs(server: Server) -> int:
         return sum(run.target == "/once/long" for run in server.runs)
@@ -192,10 +200,10 @@
     counts = [runs(server) for server in servers]
     assert sum(counts) in (before, before + 1)
 
-    async def begun() -> bool:
+    async def has_begun() -> bool:
         return sum(map(runs, servers)) > before
 
-    await until(begun, "the long request runs")
+    await until(has_begun, "the long request runs")
     return next(
         server
         for server in servers
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -12,7 +12,7 @@
 
 from leadseam.platform import names
 from tools.platform.nodes import document
-from tools.platform.operator import tell
+from tools.platform.operator import post_bytes
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -22,30 +22,36 @@
 CALLS = 12
 
 
-async def spread_over(platform: Platform, *zones: str) -> None:
-    """Have the servers of each service state these failure domains."""
+async def set_failure_domains(platform: Platform, *zones: str) -> None:
+    """Have the servers of each service report these failure domains."""
     for service in ("model", "plain"):
-        for server, zone in zip(platform.of(service), zones, strict=True):
+        for server, zone in zip(platform.servers_of(service), zones, strict=True):
             server.zone = zone
             acks = server.acks
-            await until(partial(_more, server, acks), f"{zone} is registered")
+            await until(
+                partial(_acked_by_all_boxes, server, acks), f"{zone} is registered"
+            )
 
 
-async def _more(server: Server, acks: int) -> bool:
-    # Heartbeats go to all boxes in turn, so each has the new domain then.
+async def _acked_by_all_boxes(server: Server, acks: int) -> bool:
+    # Heartbeats go to all boxes in turn, so each box has received the new domain.
     return server.acks > acks + 2 * len(server.controls)
 
 
 async def wait_evacuated(platform: Platform, *domains: str) -> None:
-    """Wait until the last word of each entry is that these are evacuated."""
+    """Wait until each entry has last logged exactly these domains as evacuated."""
     for entry in platform.entry_ips:
 
-        async def is_told(entry: str = entry) -> bool:
+        async def has_logged(entry: str = entry) -> bool:
             lines = platform.log(entry)
-            told = [one for one in lines if one["message"] == "evacuations in force"]
-            return bool(told) and set(told[-1]["domains"]) == set(domains)
+            in_force_lines = [
+                one for one in lines if one["message"] == "evacuations in force"
+            ]
+            return bool(in_force_lines) and set(in_force_lines[-1]["domains"]) == set(
+                domains
+            )
 
-        await until(is_told, f"{entry} knows that {domains} are evacuated")
+        await until(has_logged, f"{entry} treats {domains} as evacuated")
 
 
 async def call_all(platform: Platform) -> None:
@@ -59,58 +65,60 @@
 async def test_an_evacuated_domain_gets_nothing_also_after_all_boxes_restart(
     platform: Platform,
 ) -> None:
-    await spread_over(platform, "a", "b")
-    emptied = [one for one in platform.servers if one.zone == "b"]
+    await set_failure_domains(platform, "a", "b")
+    evacuated_servers = [one for one in platform.servers if one.zone == "b"]
     assert await platform.operator.switch("b", evacuated=True) == 200
     await wait_evacuated(platform, "b")
-    before = [len(server.runs) for server in emptied]
+    before = [len(server.runs) for server in evacuated_servers]
     await call_all(platform)
-    assert [len(server.runs) for server in emptied] == before
+    assert [len(server.runs) for server in evacuated_servers] == before
     # A second order is acknowledged and changes nothing.
     assert await platform.operator.switch("b", evacuated=True) == 200
     boxes = [*platform.control_ips, *platform.entry_ips]
     for ip in boxes:
         platform.kill(ip)
     for ip in boxes:
-        platform.start(ip, founding=False)
+        platform.start(ip, bootstrap=False)
     for ip in platform.entry_ips:
         await platform.wait_ready(ip)
         await platform.wait_served(ip)
     await call_all(platform)
-    assert [len(server.runs) for server in emptied] == before
+    assert [len(server.runs) for server in evacuated_servers] == before
     assert await platform.operator.switch("b", evacuated=False) == 200
     await wait_evacuated(platform)
 
     async def served_again() -> bool:
         await call_all(platform)
-        return all(len(s.runs) > b for s, b in zip(emptied, before, strict=True))
+        return all(
+            len(s.runs) > b for s, b in zip(evacuated_servers, before, strict=True)
+        )
 
     await until(served_again, "the domain serves again")
 
 
-async def test_what_runs_in_a_domain_that_is_evacuated_ends_there(
+async def test_running_requests_finish_in_an_evacuated_domain(
     platform: Platform,
 ) -> None:
-    await spread_over(platform, "a", "a")
-    for server in platform.of("model"):
-        server.behave["long"] = "pause"
+    await set_failure_domains(platform, "a", "a")
+    for server in platform.servers_of("model"):
+        server.actions["long"] = "pause"
     entry = platform.entry_ips[0]
     call = asyncio.create_task(
         platform.call(entry, "/stream/long", request_id="running")
     )
 
     async def runs() -> bool:
-        return any(server.count("running") for server in platform.of("model"))
+        return any(server.count("running") for server in platform.servers_of("model"))
 
     await until(runs, "the request runs")
     assert await platform.operator.switch("a", evacuated=True) == 200
-    for server in platform.of("model"):
+    for server in platform.servers_of("model"):
         server.release.set()
     answer = await call
     assert (answer.status, answer.cut) == (200, False)
-    assert sum(server.count("running") for server in platform.of("model")) == 1
+    assert sum(server.count("running") for server in platform.servers_of("model")) == 1
     await wait_evacuated(platform, "a")
-    # No domain is left: refused at once, with a time to come back.
+    # No domain is left: requests are refused at once, with a retry delay.
     refused = await platform.call(entry, "/stream/x")
     assert refused.status == 503
     assert b"no_upstream" in refused.body
@@ -119,7 +127,7 @@
     assert plain.status == 503
 
 
-async def test_orders_that_cannot_be_told_from_late_copies_wait(
+async def test_orders_that_may_be_late_copies_are_delayed(
     platform: Platform,
 ) -> None:
     operator = platform.operator
@@ -135,8 +143,8 @@
 
     # A follower that has not applied the restore answers 503 for another reason.
     await until(has_applied_both, "the box has applied both orders")
-    # Within the time in which the first order may be sent again.
-    status = await tell(box, names.EVACUATE_PATH.format(domain="b"), b"")
+    # Still within the time in which the first order may be sent again.
+    status = await post_bytes(box, names.EVACUATE_PATH.format(domain="b"), b"")
     lines = [
         line["status"]
         for ip in platform.control_ips
@@ -152,8 +160,8 @@
 async def test_an_order_whose_caller_has_hung_up_is_not_carried_out(
     platform: Platform,
 ) -> None:
-    # An order that a suspended box finds in its socket was sent again elsewhere, and
-    # may have been undone since.
+    # A suspended box finds this order in its socket when it resumes. The caller has
+    # sent it again to another box meanwhile, and it may have been undone since.
     ip = platform.control_ips[0]
     platform.signal(ip, signal.SIGSTOP)
     _, writer = await asyncio.open_connection(ip, platform.control_port)
@@ -175,16 +183,16 @@
     assert set(ordered) == {"c"}
 
 
-async def test_bodies_stay_within_the_regions_of_route_and_account(
+async def test_requests_stay_within_the_regions_of_route_and_account(
     platform: Platform,
 ) -> None:
     for ip in platform.server_ips[4:6]:
         await platform.add_server(ip, "plain")
     zones = ("a", "b", "c", "c")
-    for server, zone in zip(platform.of("plain"), zones, strict=True):
+    for server, zone in zip(platform.servers_of("plain"), zones, strict=True):
         server.zone = zone
         acks = server.acks
-        await until(partial(_more, server, acks), f"{zone} is registered")
+        await until(partial(_acked_by_all_boxes, server, acks), f"{zone} is registered")
     routes = json.loads(document(2))["routes"]
     routes[0]["allowedRegions"] = ["east", "west"]
     routes[1]["allowedRegions"] = ["north"]
@@ -192,15 +200,16 @@
         {"name": "bank", "apiKeys": ["key-of-bank"]},
         {"name": "west", "apiKeys": ["k-west"], "allowedRegions": ["west", "north"]},
     ]
-    newer = document(2, routes=routes, tenants=tenants)
-    assert await platform.operator.replace(newer) == 200
+    new_document = document(2, routes=routes, tenants=tenants)
+    assert await platform.operator.replace(new_document) == 200
     for entry in platform.entry_ips:
 
-        async def in_force(entry: str = entry) -> bool:
+        async def key_is_in_force(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
-        await until(in_force, "the bounds are in force")
-    for server in platform.of("plain"):
+        await until(key_is_in_force, "the allowed regions are in force")
+
+    for server in platform.servers_of("plain"):
         server.runs.clear()
     for number in range(CALLS):
         entry = platform.entry_ips[number % 2]
@@ -212,7 +221,7 @@
             request_id = f"{path}{key}{number}".replace("/", "-")
             answer = await platform.call(entry, path, key=key, request_id=request_id)
             assert answer.status == 200
-            (server,) = [s for s in platform.of("plain") if s.count(request_id)]
+            (server,) = [s for s in platform.servers_of("plain") if s.count(request_id)]
             assert server.zone in allowed
 
 
@@ -221,23 +230,24 @@
 ) -> None:
     services = json.loads(document(2))["services"]
     services[0]["coldPerS"] = 2
-    newer = document(2, services=services)
-    assert await platform.operator.replace(newer) == 200
-    cold, _ = platform.of("plain")
+    new_document = document(2, services=services)
+    assert await platform.operator.replace(new_document) == 200
+    cold, _ = platform.servers_of("plain")
     cold.cold = 60_000
     for entry in platform.entry_ips:
 
-        async def is_kept_back(entry: str = entry) -> bool:
+        async def is_limited(entry: str = entry) -> bool:
             before = len(cold.runs)
             for _ in range(CALLS):
                 assert (await platform.call(entry, "/once/x")).status == 200
             return len(cold.runs) <= before + 2
 
-        await until(is_kept_back, "the entry knows that the server is cold")
+        await until(is_limited, "the entry limits the cold server")
     before = len(cold.runs)
     for number in range(CALLS):
         await platform.call(platform.entry_ips[number % 2], "/once/x")
-    # Two entries send one each in a window, and these calls span two windows at most.
+    # Each of the two entries sends one request per window, and these calls span at most
+    # two windows.
     assert len(cold.runs) <= before + 4
     cold.cold = 0
     seen = len(cold.runs)
--- a/tests/platform/test_first_bytes.py
+++ b/tests/platform/test_first_bytes.py
@@ -1,10 +1,11 @@
-"""Requests that a busy entry refuses from their first bytes.
-
-Two of 22 entries got 26,000 requests in 57 s that they refused as busy, all but a few
-of one account each, whose callers use one entry; they had no processor time left for
-those that they could have served (0.1 M tokens a second placed of 1 M asked for). A
-refusal took 0.38 and 0.41 ms of processor time, now 0.20 and 0.21 (4,000 connections a
-run, on a workstation).
+"""Early refusal of requests at a busy entry.
+
+Guards against an overload in which refusals use up the processor time of an entry. Two
+of 22 entries refused 26,000 requests as busy in 57 s, nearly all of one account each,
+whose callers use a single entry. No time was left for requests that they could have
+served: 0.1 M tokens a second were placed of 1 M requested. A refusal through the HTTP
+library took 0.38 and 0.41 ms of processor time, an early one takes 0.20 and 0.21 ms
+(4,000 connections a run, on a workstation).
 """
 
 from __future__ import annotations
@@ -35,13 +36,13 @@
 
 
 def head_of(*lines: bytes, body: bytes = b"") -> FirstHead | None:
-    """Read a head with further lines."""
+    """Parse the common head with additional header lines."""
     return read_first_head(
         HEAD + b"".join(b"%b\r\n" % x for x in lines) + b"\r\n" + body
     )
 
 
-def test_a_head_tells_who_sends_how_much() -> None:
+def test_a_head_yields_sender_and_token_counts() -> None:
     assert head_of() == FirstHead(SENDER, 0)
     assert head_of(b"Content-Length: 12", body=b"12345") == FirstHead(SENDER, 7)
 
@@ -59,21 +60,21 @@
         (b"Expect: 100-continue",),
     ],
 )
-def test_what_is_not_plain_is_left_to_the_library(lines: tuple[bytes, ...]) -> None:
+def test_unusual_heads_are_left_to_the_library(lines: tuple[bytes, ...]) -> None:
     assert head_of(*lines) is None
 
 
-def test_bytes_that_are_no_whole_request_are_left_to_the_library() -> None:
+def test_incomplete_or_pipelined_requests_are_left_to_the_library() -> None:
     assert read_first_head(HEAD) is None
-    # A second request behind the first.
+    # Pipelined: a second request follows the first.
     assert head_of(b"Content-Length: 1", body=b"1POST") is None
 
 
-class Busy:
+class RefusingServer:
     """A front server that refuses the key `k1` while it is busy."""
 
     def __init__(self) -> None:
-        self.busy = True
+        self.is_busy = True
         self.seen: list[Sender] = []
         self.served: list[bytes] = []
         self.front = FrontServer(self._handle, refuse=self._refuse)
@@ -83,7 +84,7 @@
 
     def _refuse(self, sender: Sender) -> NotRun | None:
         self.seen.append(sender)
-        if self.busy and sender.key == "k1":
+        if self.is_busy and sender.key == "k1":
             return NotRun(Reason.ENTRY_BUSY, 120)
         return None
 
@@ -97,24 +98,26 @@
 
 
 @pytest.fixture
-async def busy() -> AsyncIterator[Busy]:
+async def server() -> AsyncIterator[RefusingServer]:
     """A running front server."""
-    busy = Busy()
-    await busy.front.start(Endpoint(ip=LOOPBACK, port=busy.port))
+    server = RefusingServer()
+    await server.front.start(Endpoint(ip=LOOPBACK, port=server.port))
     try:
-        yield busy
+        yield server
     finally:
-        await busy.front.stop()
+        await server.front.stop()
 
 
-async def test_a_refusal_is_whole_true_and_ends_the_connection(busy: Busy) -> None:
-    reader, writer = await busy.connect()
+async def test_a_refusal_is_complete_and_closes_the_connection(
+    server: RefusingServer,
+) -> None:
+    reader, writer = await server.connect()
     writer.write(HEAD + b"Content-Length: 6\r\n\r\nabc")
     await writer.drain()
-    while not busy.seen:
+    while not server.seen:
         await asyncio.sleep(0)
-    # The rest of the body is read before the answer, or a reset could overtake it.
-    assert len(busy.front.connections) == 1
+    # The body is drained first: otherwise a reset could overtake the response.
+    assert len(server.front.connections) == 1
     writer.write(b"def")
     answer = await reader.read()
     head, _, body = answer.partition(b"\r\n\r\n")
@@ -124,37 +127,42 @@
     assert json.loads(body)["error"]["code"] == "entry_busy"
     assert json.loads(body)["error"]["outcome"] == "not_run"
     assert f"Content-Length: {len(body)}".encode() in head
-    assert busy.served == []
-    assert busy.seen == [SENDER]
-    assert busy.front.connections == []
+    assert server.served == []
+    assert server.seen == [SENDER]
+    assert server.front.connections == []
     writer.close()
 
 
-async def test_what_is_not_refused_is_served_with_all_its_bytes(busy: Busy) -> None:
-    busy.busy = False
-    reader, writer = await busy.connect()
+async def test_an_accepted_request_is_served_with_its_whole_body(
+    server: RefusingServer,
+) -> None:
+    server.is_busy = False
+    reader, writer = await server.connect()
     writer.write(HEAD + b"Content-Length: 6\r\n\r\nabc")
     await writer.drain()
-    while not busy.seen:
+    while not server.seen:
         await asyncio.sleep(0)
     writer.write(b"def")
     await reader.readuntil(b"\r\n\r\n")
     assert await reader.readexactly(4) == b"done"
-    # The connection is the library's from then on.
+    # From here on the library handles the connection.
+
     writer.write(HEAD + b"\r\n")
     await reader.readuntil(b"\r\n\r\n")
-    assert busy.served == [b"abcdef", b""]
-    assert len(busy.seen) == 1
+    assert server.served == [b"abcdef", b""]
+    assert len(server.seen) == 1
     writer.close()
 
 
-async def test_a_head_in_pieces_is_served_by_the_library(busy: Busy) -> None:
-    reader, writer = await busy.connect()
+async def test_a_head_in_pieces_is_served_by_the_library(
+    server: RefusingServer,
+) -> None:
+    reader, writer = await server.connect()
     writer.write(HEAD)
     await writer.drain()
-    while not any(not hasattr(c, "_waiting") for c in busy.front.connections):
+    while not any(not hasattr(c, "_waiting") for c in server.front.connections):
         await asyncio.sleep(0)
     writer.write(b"\r\n")
     await reader.readuntil(b"\r\n\r\n")
-    assert busy.served == [b""]
+    assert server.served == [b""]
     writer.close()
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -1,6 +1,6 @@
 """Control boxes that are replaced for good, with real processes.
 
-The story and its evidence are told in `tests/control/test_replaced_box.py`.
+The failure and its cause are described in `tests/control/test_replaced_box.py`.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
     from tools.platform.nodes import Platform
 
 READ_LIMIT = 30
-"""Seconds after which a read has failed; a group that works answers within two."""
+"""Seconds until a read counts as failed; a working group answers within two."""
 
 
-async def test_a_replaced_box_costs_no_later_loss(platform: Platform) -> None:
-    gone, wiped, _ = platform.control_ips
-    platform.kill(gone)
-    newcomer = platform.replace_control(gone)
+async def test_a_replaced_box_does_not_weaken_the_group(platform: Platform) -> None:
+    lost, wiped, _ = platform.control_ips
+    platform.kill(lost)
+    newcomer = platform.replace_control(lost)
     await wait_for_vote(platform, newcomer)
     await wait_for_voters(platform, newcomer, set(platform.control_ips))
 
@@ -32,13 +32,13 @@
         platform.kill(ip)
     shutil.rmtree(platform.folder / f"data-{wiped}")
     for ip in platform.control_ips:
-        platform.start(ip, founding=False)
+        platform.start(ip, bootstrap=False)
 
     assert await asyncio.wait_for(platform.operator.read(), READ_LIMIT) == newest
 
 
 async def wait_for_vote(platform: Platform, box: str) -> None:
-    """Wait until a box votes."""
+    """Wait until a box is a voter."""
 
     async def votes() -> bool:
         return box in platform.last_voters(box)
@@ -46,10 +46,10 @@
     await until(votes, f"{box} votes")
 
 
-async def wait_for_voters(platform: Platform, box: str, wanted: set[str]) -> None:
-    """Wait until a box knows of these voters and no others."""
+async def wait_for_voters(platform: Platform, box: str, expected: set[str]) -> None:
+    """Wait until the last membership line of a box lists exactly these voters."""
 
-    async def settled() -> bool:
-        return platform.last_voters(box) == wanted
+    async def has_voters() -> bool:
+        return platform.last_voters(box) == expected
 
-    await until(settled, f"the voters are {sorted(wanted)}")
+    await until(has_voters, f"the voters are {sorted(expected)}")
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -1,9 +1,10 @@
-"""Servers that start again under their id, and registrations that name no server.
+"""Servers that restart under the same id, and registrations that name no server.
 
-The story: a server that starts again keeps its id, knows nothing of before and counts
-its heartbeats anew. Taken for the one before, its heartbeats are too old to count, a
-word of leaving concerns it for good, and what was learned of the one before is believed
-of it. And whoever can reach the control boxes may write what reads like a heartbeat.
+A restarted server keeps its id, has lost its state and counts its heartbeats from the
+start. Guards against taking it for the earlier start: then its heartbeats would look
+outdated, a leave call of the earlier start would remove it for good, and what was
+measured at the earlier start would be applied to it. Anyone who can reach the control
+boxes may also send documents that look like heartbeats.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.operator import tell
+from tools.platform.operator import post_bytes
 from tools.platform.standin import Server
 from tools.waiting import until
 
@@ -24,15 +25,17 @@
 SECOND_START = FIRST_START + 60_000
 
 
-async def only_server(platform: Platform, ip: str, **fields: object) -> Server:
-    """Return the only plain server of a running platform."""
-    for other in platform.of("plain"):
+async def replace_plain_servers(
+    platform: Platform, ip: str, **fields: object
+) -> Server:
+    """Stop all plain servers, and start a single one instead."""
+    for other in platform.servers_of("plain"):
         await other.stop()
         platform.servers.remove(other)
-    return await one_more_server(platform, ip, **fields)
+    return await add_plain_server(platform, ip, **fields)
 
 
-async def one_more_server(platform: Platform, ip: str, **fields: object) -> Server:
+async def add_plain_server(platform: Platform, ip: str, **fields: object) -> Server:
     """Start a plain server."""
     server = Server(
         ip,
@@ -46,8 +49,8 @@
     return server
 
 
-async def wait_answered_by(platform: Platform, server: Server) -> None:
-    """Wait until both entries send requests to a server and nowhere else."""
+async def wait_served_only_by(platform: Platform, server: Server) -> None:
+    """Wait until both entries send their requests to this server only."""
 
     async def answered() -> bool:
         runs = len(server.runs)
@@ -59,39 +62,41 @@
     await until(answered, f"{server.ip} answers")
 
 
-async def test_a_server_that_left_may_come_back_under_its_id(
+async def test_a_server_may_start_again_under_its_id_after_leaving(
     platform: Platform,
 ) -> None:
-    first = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, first)
+    first = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, first)
     await first.drain()
     await first.stop()
     platform.servers.remove(first)
-    second = await only_server(platform, first.ip, born=SECOND_START)
-    await wait_answered_by(platform, second)
+    second = await replace_plain_servers(platform, first.ip, born=SECOND_START)
+    await wait_served_only_by(platform, second)
 
 
-async def test_a_late_word_of_leaving_concerns_the_start_that_said_it(
+async def test_a_late_leave_call_concerns_only_the_start_it_names(
     platform: Platform,
 ) -> None:
-    server = await only_server(platform, platform.server_ips[4], born=SECOND_START)
-    await wait_answered_by(platform, server)
+    server = await replace_plain_servers(
+        platform, platform.server_ips[4], born=SECOND_START
+    )
+    await wait_served_only_by(platform, server)
     assert await server.deregister(FIRST_START) == 200
     acks = server.acks
 
-    async def beaten() -> bool:
+    async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after the late word")
-    await wait_answered_by(platform, server)
+    await until(has_new_heartbeats, "heartbeats after the late word")
+    await wait_served_only_by(platform, server)
 
 
-async def test_what_runs_at_an_earlier_start_is_not_waited_for(
+async def test_attempts_at_an_earlier_start_are_ended(
     platform: Platform,
 ) -> None:
-    first = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, first)
-    first.behave["held"] = "hold"
+    first = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, first)
+    first.actions["held"] = "hold"
     entry = platform.entry_ips[0]
     held = [
         asyncio.create_task(platform.call(entry, f"/{route}/held", method="GET"))
@@ -102,8 +107,9 @@
         return sum(not run.ended for run in first.runs) == len(held)
 
     await until(running, "both requests run")
-    # It has started again elsewhere; nobody tells the connections to where it was.
-    second = await one_more_server(platform, platform.server_ips[5], born=SECOND_START)
+    # It has started again at another address; its old connections stay open.
+
+    second = await add_plain_server(platform, platform.server_ips[5], born=SECOND_START)
     safe, once = await asyncio.gather(*held)
     assert safe.status == 200
     assert safe.body == b"i-same /safe/held"
@@ -111,13 +117,13 @@
     assert [run.target for run in second.runs] == ["/safe/held"]
 
 
-async def test_what_names_no_server_takes_nothing_from_one_that_serves(
+async def test_invalid_heartbeats_do_not_affect_a_running_server(
     platform: Platform,
 ) -> None:
-    server = await only_server(platform, platform.server_ips[4])
-    await wait_answered_by(platform, server)
+    server = await replace_plain_servers(platform, platform.server_ips[4])
+    await wait_served_only_by(platform, server)
     address = f"{server.ip}:{platform.server_port}"
-    good = {
+    valid = {
         "service": "plain",
         "address": address,
         "zone": "a",
@@ -129,13 +135,13 @@
         "sequence": 1_000,
     }
     bodies = [
-        json.dumps(good | {"service": "nobody"}).encode(),
-        json.dumps(good | {"state": "resting"}).encode(),
-        json.dumps(good | {"born": f"{SECOND_START}"}).encode(),
-        json.dumps(good | {"born": SECOND_START + 0.5}).encode(),
-        json.dumps({key: good[key] for key in good if key != "slots"}).encode(),
-        json.dumps(good).encode("utf-16"),
-        b'{"born":1,' + json.dumps(good).encode()[1:],
+        json.dumps(valid | {"service": "nobody"}).encode(),
+        json.dumps(valid | {"state": "resting"}).encode(),
+        json.dumps(valid | {"born": f"{SECOND_START}"}).encode(),
+        json.dumps(valid | {"born": SECOND_START + 0.5}).encode(),
+        json.dumps({key: valid[key] for key in valid if key != "slots"}).encode(),
+        json.dumps(valid).encode("utf-16"),
+        b'{"born":1,' + json.dumps(valid).encode()[1:],
         b"[" * 60_000,
     ]
     acks = server.acks
@@ -143,13 +149,13 @@
         for number, body in enumerate(bodies):
             for instance in ("i-same", f"i-stranger-{number}"):
                 path = names.HEARTBEAT_PATH.format(instance=instance)
-                status = await tell(control, path, body)
+                status = await post_bytes(control, path, body)
                 assert (number, status) in ((0, 200), (number, 400))
 
-    async def beaten() -> bool:
+    async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after those of strangers")
-    await wait_answered_by(platform, server)
+    await until(has_new_heartbeats, "heartbeats after those of strangers")
+    await wait_served_only_by(platform, server)
     for control in platform.control_ips:
         assert platform.processes[control].poll() is None
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Parsing of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 """
 
 
-def test_a_file_is_read_into_our_words() -> None:
+def test_a_file_becomes_settings() -> None:
     assert NodeSettings.parse(TEXT, "f") == NodeSettings(
         node="core-a-1",
         ip="10.1.0.35",
@@ -40,13 +40,13 @@
         front=None,
         ready=None,
         control=Endpoint(ip="10.1.0.35", port=8785),
-        inner_port=7400,
+        internal_port=7400,
         metrics_port=7401,
         seeds=(
             Endpoint(ip="10.1.0.35", port=7400),
             Endpoint(ip="10.2.0.20", port=7400),
         ),
-        founding=True,
+        bootstrap=True,
         data_dir="/data/my-core",
         loss_tolerance=2,
         heartbeat_interval=1_200,
@@ -67,7 +67,7 @@
         ("listen.front=:a", "f: listen.front: expected IP:PORT, got ':a'"),
     ],
 )
-def test_a_fault_is_named_by_file_and_key(line: str, message: str | None) -> None:
+def test_an_error_names_file_and_key(line: str, message: str | None) -> None:
     if message is None:
         assert NodeSettings.parse(TEXT + line, "f").ip == ""
         return
--- a/tests/routing/gateways.py
+++ b/tests/routing/gateways.py
@@ -168,7 +168,7 @@
         answer = {names.REQUEST_ID: request_id}
         leaves = loop.time() >= upstream.leaves_at
         if leaves:
-            answer[names.LEAVING] = names.LEAVING_SET
+            answer[names.LEAVING] = names.LEAVING_VALUE
         period = upstream.refusal_period_at(loop.time())
         if period is not None:
             await asyncio.sleep(NETWORK_DELAY)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -270,21 +270,21 @@
         "            on_restart()\n",
         "            pass\n",
         "tests/platform/test_restarted_server.py"
-        "::test_what_runs_at_an_earlier_start_is_not_waited_for",
+        "::test_attempts_at_an_earlier_start_are_ended",
     ),
     Variant(
         "nobody is told of upstreams that have ended",
         "feed/crash_server.py",
         "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
-        f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
+        f"{DEADLY}::test_a_deadly_request_is_refused_everywhere_after_three_crashes",
     ),
     Variant(
         "verdicts are not written",
         "feed/crash_server.py",
         "            await self._write(self._unwritten())\n",
         "            pass\n",
-        f"{DEADLY}::test_it_stays_known_when_all_boxes_have_lost_power",
+        f"{DEADLY}::test_a_verdict_survives_a_power_loss_of_all_boxes",
     ),
     Variant(
         "a break alone speaks against a request",
@@ -298,7 +298,7 @@
         "crashes/evidence.py",
         "LATE_WEIGHT = 4\n",
         "LATE_WEIGHT = EARLY_WEIGHT\n",
-        f"{DEADLY}::test_one_that_is_hit_by_the_ends_of_others_is_served",
+        f"{DEADLY}::test_a_request_hit_by_crashes_of_others_is_served",
     ),
     Variant(
         "nobody is acquitted",
@@ -320,7 +320,7 @@
         "            exchange.reset_deadline_timer()\n",
         "            pass\n",
         "tests/platform/test_suspended_box.py"
-        "::test_what_is_past_its_deadline_ends_before_what_has_time_left",
+        "::test_expired_requests_end_before_those_with_time_left",
     ),
     Variant(
         "late copies of orders are carried out",
@@ -379,7 +379,7 @@
         "routing/placer.py",
         "self._feed.view.pool(scope.pool, scope.regions)",
         "self._feed.view.pool(scope.pool)",
-        f"{EVACUATION}::test_bodies_stay_within_the_regions_of_route_and_account",
+        f"{EVACUATION}::test_requests_stay_within_the_regions_of_route_and_account",
     ),
     Variant(
         "a body is not read before it is refused",
@@ -387,7 +387,7 @@
         "        if self._body_left <= 0 and self._transport is not None:",
         "        if self._transport is not None:",
         "tests/platform/test_first_bytes.py"
-        "::test_a_refusal_is_whole_true_and_ends_the_connection",
+        "::test_a_refusal_is_complete_and_closes_the_connection",
     ),
     Variant(
         "a pause is not kept",
@@ -428,7 +428,7 @@
     Variant(
         "the word of leaving in answers is not read",
         "platform/headers.py",
-        "            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),",
+        "            leaving=names.LEAVING_VALUE in headers.getall(names.LEAVING, []),",
         "",
         f"{WORDS}::test_a_leaving_upstream_gets_no_new_requests_and_callers_do_not_notice",
     ),
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -1,4 +1,4 @@
-"""Real processes of the platform's roles on loopback addresses."""
+"""Control and entry processes on loopback addresses, with stand-in servers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tools.platform import suspension
 from tools.platform.operator import Operator
 from tools.platform.standin import Server
-from tools.platform.suspension import SteadyClock
+from tools.platform.suspension import SuspendableClock
 from tools.waiting import until
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 
 
 def free_port(ips: Sequence[str]) -> int:
-    """Return a port that is free on all addresses."""
+    """Return a port that is free on all of these addresses."""
     while True:
         with contextlib.ExitStack() as stack:
             first = stack.enter_context(socket.socket())
@@ -52,7 +52,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got; `status` is 0 if the connection was cut."""
+    """Response that a caller received; `status` is 0 if the connection was cut."""
 
     status: int
     body: bytes
@@ -62,21 +62,21 @@
 
 @dataclass
 class Platform:
-    """Control boxes, entries and servers, each with an address of its own.
+    """Control boxes, entries and servers, each with its own loopback address.
 
     Args:
-        folder: Where logs, settings and disks are.
-        processes: Processes by address.
-        servers: Servers that run.
-        states_starts: Whether servers state their starts, and start again under the id
-            that they had.
+        folder: Folder for logs, settings files and data folders.
+        processes: Processes of boxes by address.
+        servers: Running servers.
+        reports_starts: Whether servers report when they started, and start again under
+            the id that they had.
         suspendable: Whether boxes can be suspended.
     """
 
     folder: Path
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     servers: list[Server] = field(default_factory=list)
-    states_starts: bool = False
+    reports_starts: bool = False
     suspendable: bool = False
 
     def __post_init__(self) -> None:
@@ -84,19 +84,19 @@
         self.spare_ips = [f"127.0.0.{number}" for number in (24, 25)]
         self.entry_ips = [f"127.0.0.{number}" for number in (31, 32)]
         self.server_ips = [f"127.0.0.{number}" for number in range(41, 47)]
-        every = [
+        all_ips = [
             *self.control_ips,
             *self.spare_ips,
             *self.entry_ips,
             *self.server_ips,
         ]
-        self._log_begins: dict[str, int] = {}
-        self._clocks: dict[str, SteadyClock] = {}
-        self.control_port = free_port(every)
-        self.inner_port = free_port(every)
-        self.front_port = free_port(every)
-        self.ready_port = free_port(every)
-        self.server_port = free_port(every)
+        self._log_offsets: dict[str, int] = {}
+        self._clocks: dict[str, SuspendableClock] = {}
+        self.control_port = free_port(all_ips)
+        self.internal_port = free_port(all_ips)
+        self.front_port = free_port(all_ips)
+        self.ready_port = free_port(all_ips)
+        self.server_port = free_port(all_ips)
         self.controls = [f"{ip}:{self.control_port}" for ip in self.control_ips]
         self.seeds = self.controls
         self.operator = Operator(self.controls)
@@ -107,7 +107,7 @@
         )
 
     async def close(self) -> None:
-        """End everything."""
+        """End all processes and servers."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -118,7 +118,7 @@
         await self.http.close()
 
     async def start_all(self) -> None:
-        """Start control, entries, a model service and a plain one, and configure."""
+        """Start all boxes, a model service and a plain one, and configure them."""
         for ip in [*self.control_ips, *self.entry_ips]:
             self.start(ip)
         for ip in self.server_ips[:2]:
@@ -136,13 +136,13 @@
         """Start a server.
 
         Args:
-            ip: Its address.
-            service: What it serves.
+            ip: Address that it listens on.
+            service: Service that it registers for.
             earlier: Id under which it ran before. Defaults to a new one.
-            zone: Failure domain that it states.
+            zone: Failure domain that it reports.
         """
         server = Server(ip, self.server_port, service, self.controls, zone=zone)
-        if self.states_starts:
+        if self.reports_starts:
             server.born = time.time_ns() // 1_000_000
             server.instance = earlier or server.instance
         server.advertised = self.advertised(ip)
@@ -154,17 +154,17 @@
         """Return the address that a server registers."""
         return f"{ip}:{self.server_port}"
 
-    def of(self, service: str) -> list[Server]:
+    def servers_of(self, service: str) -> list[Server]:
         """Return the servers of a service."""
         return [server for server in self.servers if server.service == service]
 
-    def start(self, ip: str, *, founding: bool = True) -> None:
+    def start(self, ip: str, *, bootstrap: bool = True) -> None:
         """Start the process of a box."""
-        self.write_settings(ip, founding=founding)
+        self.write_settings(ip, bootstrap=bootstrap)
         role = "control" if ip in self.control_ips else "entry"
         path = self.folder / f"{ip}.conf"
         with open(self.folder / f"{ip}.log", "ab") as log:
-            self._log_begins[ip] = log.tell()
+            self._log_offsets[ip] = log.tell()
             self.processes[ip] = subprocess.Popen(
                 [sys.executable, "-m", *self._program(ip), role],
                 env={**os.environ, names.SETTINGS_VARIABLE: str(path)},
@@ -173,18 +173,18 @@
                 stdin=subprocess.DEVNULL,
             )
 
-    def replace_control(self, gone: str) -> str:
-        """Start an empty control box for one that is gone; return its address."""
-        newcomer = self.spare_ips.pop(0)
-        self.control_ips[self.control_ips.index(gone)] = newcomer
-        addresses = {f"{gone}:{self.control_port}": f"{newcomer}:{self.control_port}"}
+    def replace_control(self, lost_ip: str) -> str:
+        """Replace a lost control box by an empty one, and return the new address."""
+        new_ip = self.spare_ips.pop(0)
+        self.control_ips[self.control_ips.index(lost_ip)] = new_ip
+        addresses = {f"{lost_ip}:{self.control_port}": f"{new_ip}:{self.control_port}"}
         self.seeds = [addresses.get(one, one) for one in self.seeds]
-        # In place, for operators and servers hold the same list.
+        # Changed in place, as operators and servers share this list.
         self.controls[:] = [addresses.get(one, one) for one in self.controls]
-        self.start(newcomer, founding=False)
-        return newcomer
+        self.start(new_ip, bootstrap=False)
+        return new_ip
 
-    def write_settings(self, ip: str, *, founding: bool = True) -> None:
+    def write_settings(self, ip: str, *, bootstrap: bool = True) -> None:
         """Write the settings file of a box."""
         data_dir = self.folder / f"data-{ip}"
         data_dir.mkdir(exist_ok=True)
@@ -195,9 +195,11 @@
             "zones.a": "east",
             "zones.b": "west",
             "zones.c": "north",
-            "internalPorts": f"{self.inner_port_of(ip)},{self.inner_port_of(ip) + 9}",
+            "internalPorts": (
+                f"{self.internal_port_of(ip)},{self.internal_port_of(ip) + 9}"
+            ),
             "seeds": ",".join(self.seeds),
-            "bootstrap": str(founding).lower(),
+            "bootstrap": str(bootstrap).lower(),
             "heartbeatMs": 100,
             "tolerate.machines": 1,
             "bounds.ackMs": 500,
@@ -216,27 +218,27 @@
         (self.folder / f"{ip}.conf").write_text(lines)
 
     def metrics_address(self, ip: str) -> str:
-        """Return where a box shows its metrics."""
-        return f"{ip}:{self.inner_port_of(ip) + METRICS_OFFSET}"
+        """Return the address on which a box serves its metrics."""
+        return f"{ip}:{self.internal_port_of(ip) + METRICS_OFFSET}"
 
-    def inner_port_of(self, ip: str) -> int:
+    def internal_port_of(self, ip: str) -> int:
         """Return the first of the ports that a box uses for links between nodes."""
-        return self.inner_port
+        return self.internal_port
 
     def signal(self, ip: str, number: signal.Signals) -> None:
         """Send a signal to the process of a box."""
         self.processes[ip].send_signal(number)
 
     async def suspend(self, ip: str, length: float) -> None:
-        """Suspend the box of an address for some seconds."""
+        """Suspend a box for some seconds."""
         await self._clocks[ip].suspend(self.processes[ip], length)
 
     def _program(self, ip: str) -> list[str]:
         if not self.suspendable:
             return ["leadseam.cli.node"]
         if ip not in self._clocks:
-            # One for all processes of a box: the clock is the box's.
-            self._clocks[ip] = SteadyClock(self.folder / f"{ip}.left-out")
+            # All processes of a box share the clock of that box.
+            self._clocks[ip] = SuspendableClock(self.folder / f"{ip}.left-out")
         return [suspension.MODULE, str(self._clocks[ip].file), "node"]
 
     def kill(self, ip: str) -> None:
@@ -244,38 +246,38 @@
         self.processes[ip].kill()
         self.processes[ip].wait()
 
-    def log(self, ip: str, *, begin: int = 0) -> list[dict[str, Any]]:
+    def log(self, ip: str, *, offset: int = 0) -> list[dict[str, Any]]:
         """Return the log lines of a box.
 
         Args:
             ip: Address of the box.
-            begin: Byte of its log to begin at.
+            offset: Offset in bytes at which to start reading.
         """
-        text = (self.folder / f"{ip}.log").read_bytes()[begin:].decode()
+        text = (self.folder / f"{ip}.log").read_bytes()[offset:].decode()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
     def last_voters(self, ip: str) -> set[str]:
-        """Return the boxes that vote, by the last line of a control process."""
+        """Return the voters in the last membership line of a control process."""
         return self._last_members(ip, "voters")
 
     def last_learners(self, ip: str) -> set[str]:
-        """Return the boxes that do not vote yet, by its last line."""
+        """Return the learners in the last membership line of a control process."""
         return self._last_members(ip, "learners")
 
     def _last_members(self, ip: str, kind: str) -> set[str]:
-        # What the process before has written is not true of this one: it may have lost
-        # its disk, and write nothing yet.
-        lines = self.log(ip, begin=self._log_begins.get(ip, 0))
+        # Lines of an earlier process do not apply to this one, which may have lost its
+        # disk and may not have logged anything yet.
+        lines = self.log(ip, offset=self._log_offsets.get(ip, 0))
         changes = [line for line in lines if line["message"] == "membership changed"]
         identities = changes[-1][kind] if changes else []
         return {identity.partition("#")[0] for identity in identities}
 
     async def wait_ready(self, ip: str) -> None:
-        """Wait until an entry calls itself ready."""
+        """Wait until an entry reports that it is ready."""
         await until(lambda: self.is_ready(ip), f"{ip} is ready")
 
     async def is_ready(self, ip: str) -> bool:
-        """Ask an entry whether it is ready."""
+        """Return whether an entry reports that it is ready."""
         url = f"http://{ip}:{self.ready_port}{names.READY_PATH}"
         try:
             async with self.http.get(url) as resp:
@@ -304,13 +306,14 @@
         key: str | None = KEY,
         on_data: Callable[[bytes], None] = lambda _: None,
     ) -> Answer:
-        """Send a request and read the answer as far as it goes.
+        """Send a request and read the response until it ends or is cut.
 
-        An entry that is short of processor time refuses before it does anything, as
-        one may on a busy machine; a caller comes back then, and so does this.
+        An entry that is short of processor time, as on a busy test machine, refuses
+        requests with `entry_busy` before it does any work. Such a request is sent
+        again after the delay in the refusal.
 
         Args:
-            on_data: Called with all that was received so far.
+            on_data: Called with all data received so far, after each read.
         """
         while True:
             answer = await self._call_once(
@@ -331,7 +334,7 @@
         key: str | None,
         on_data: Callable[[bytes], None],
     ) -> Answer:
-        sent = {
+        request_headers = {
             "Host": HOST,
             names.REQUEST_ID: request_id or f"r-{next(_requests)}",
             names.DEADLINE: "5000",
@@ -341,7 +344,9 @@
         url = f"http://{ip}:{self.front_port}{path}"
         received = b""
         try:
-            async with self.http.request(method, url, data=body, headers=sent) as resp:
+            async with self.http.request(
+                method, url, data=body, headers=request_headers
+            ) as resp:
                 async for data in resp.content.iter_any():
                     received += data
                     on_data(received)
@@ -351,7 +356,8 @@
 
 
 def document(version: int, **changes: Any) -> bytes:
-    """Return an operator's document with the routes of the tests."""
+    """Return an operator's document with the routes that the tests use."""
+
     common: dict[str, Any] = {"host": HOST, "timeoutMs": 5_000, "targetLatencyMs": 500}
     routes: list[dict[str, Any]] = [
         {"name": "once", "pathPrefix": "/once/", "kind": "unsafe", "service": "plain"},
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's servers, which registers itself."""
+"""Stand-in for the platform's servers, which registers itself with heartbeats."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from multidict import CIMultiDict
 
 from leadseam.platform import names
-from tools.platform.operator import open_session, tell
-from tools.platform.rests import Arrival, Rest
+from tools.platform.operator import open_session, post_bytes
+from tools.platform.pauses import Arrival, Pause
 from tools.waiting import until
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
 HEARTBEAT = 0.1
-"""Seconds between two heartbeats of a server, as its nodes' settings state."""
+"""Seconds between two heartbeats of a server, as in the settings of the nodes."""
 EVENTS = 6
-"""Events of each stream."""
+"""Number of events in each stream."""
 LARGE_BODY = b"\nid: 7\n" * 300_000
-"""Body of a plain answer that is passed on before it is whole: 2.1 MB."""
-LARGE_BEGIN = 1_400_000
-"""Bytes of it that come at once."""
+"""Body of a plain response that is passed on before it is complete: 2.1 MB."""
+LARGE_BODY_START = 1_400_000
+"""Bytes of it that are sent at once."""
 _instances = itertools.count(1)
 
 
@@ -38,13 +38,13 @@
     """A request that a server ran.
 
     Args:
-        request_id: Its identifier.
+        request_id: Identifier of the request.
         method: HTTP method.
         target: Path and query as sent.
         body: Bytes of the body.
         headers: All headers as received.
         ended: How it ended: `done`, `cancelled`, or empty while it runs.
-        at: When its body had been read, on the steady clock.
+        at: When its body had been read, on the monotonic clock.
     """
 
     request_id: str
@@ -58,7 +58,7 @@
 
 @dataclass
 class Server:
-    """One server.
+    """One server, whose behavior can be set by path.
 
     Args:
         ip: Address that it listens on.
@@ -66,26 +66,26 @@
         service: Service that it registers for.
         controls: Control boxes that heartbeats go to, in turn.
         slots: Requests that it takes at a time.
-        instance: Name of its incarnation.
-        behave: What it does with a path, by the path's last part.
+        instance: Id under which it registers.
+        actions: Action for a request, by the last component of its path.
         runs: Requests that it ran.
-        release: Set when those that `behave` holds may go on.
-        state: State that it states in heartbeats.
-        acks: Heartbeats that were acknowledged.
+        release: Set to let requests continue that an action holds.
+        state: State that it reports in heartbeats.
+        acks: Number of heartbeats that were acknowledged.
         advertised: Address that it registers. Defaults to where it listens.
-        pause: Seconds between events, and before a plain answer.
-        usual: What it does with paths that `behave` does not name.
-        born: When it started, in Unix milliseconds; None to leave it out.
-        left_at: When its end was acknowledged, on the steady clock, or None.
-        down: Seconds after a crash until it is back: as another incarnation, under a
-            new id or, if it states its starts, under the one that it had.
+        delay: Seconds between events, and before a plain response.
+        default_action: Action for paths that `actions` does not list.
+        born: When it started, in Unix milliseconds; None to leave it out of heartbeats.
+        left_at: When its leaving was acknowledged, on the monotonic clock, or None.
+        restart_delay: Seconds from a crash to the next start: as another incarnation,
+            under a new id or, if it reports its starts, under the one that it had.
         crashes: Requests that have crashed it.
-        zone: Failure domain that it states.
-        cold: Milliseconds for which it says that it is cold.
-        rest: Seconds of rest for which it asks when it turns a request away.
-        rests: Refusals with which it has asked for a rest.
-        arrivals: Requests that have reached it, run or not.
-        says_leaving: Whether its answers say that it is about to end.
+        zone: Failure domain that it reports.
+        cold: Milliseconds for which it reports that it is cold.
+        pause_length: Seconds of the pause that it asks for when it refuses a request.
+        pauses: Refusals with which it has asked for a pause.
+        arrivals: Requests that have reached it, whether or not they ran.
+        announces_leaving: Whether its responses announce that it is about to stop.
     """
 
     ip: str
@@ -94,24 +94,24 @@
     controls: Sequence[str]
     slots: int = 4
     instance: str = field(default_factory=lambda: f"i-{next(_instances)}")
-    behave: dict[str, str] = field(default_factory=dict)
+    actions: dict[str, str] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
     state: str = "ready"
     acks: int = 0
     advertised: str = ""
-    pause: float = 0.0
-    usual: str = "answer"
+    delay: float = 0.0
+    default_action: str = "answer"
     left_at: float | None = None
     born: int | None = None
-    down: float = 0.6
+    restart_delay: float = 0.6
     crashes: list[Run] = field(default_factory=list)
     zone: str = "a"
     cold: int = 0
-    rest: float = 0.0
-    rests: list[Rest] = field(default_factory=list)
+    pause_length: float = 0.0
+    pauses: list[Pause] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    says_leaving: bool = False
+    announces_leaving: bool = False
 
     async def start(self) -> None:
         """Serve, and send heartbeats."""
@@ -120,62 +120,62 @@
         await self._runner.setup()
         await web.TCPSite(self._runner, self.ip, self.port).start()
         self._session = open_session()
-        self._beats = asyncio.create_task(self._beat())
-        self._coming_back: asyncio.Task[None] | None = None
+        self._heartbeats = asyncio.create_task(self._send_heartbeats())
+        self._restarting: asyncio.Task[None] | None = None
         self._stopped = False
 
     async def stop(self) -> None:
-        """Go away without a word."""
+        """Stop without announcing it."""
         self._stopped = True
-        if self._coming_back is not None and not self._coming_back.done():
-            self._coming_back.cancel()
-            await asyncio.wait([self._coming_back])
+        if self._restarting is not None and not self._restarting.done():
+            self._restarting.cancel()
+            await asyncio.wait([self._restarting])
         await self._end()
 
     async def _end(self) -> None:
-        self._beats.cancel()
+        self._heartbeats.cancel()
         await self._session.close()
         await self._runner.cleanup()
 
     @property
     def is_up(self) -> bool:
         """Whether it serves."""
-        return self._coming_back is None or self._coming_back.done()
+        return self._restarting is None or self._restarting.done()
 
     @property
     def incarnation(self) -> str:
-        """Which start of it this is."""
+        """Identifier of this start of the server."""
         return f"{self.instance}@{self.born or 0}"
 
     def crash(self) -> bool:
-        """End all connections and tasks at once, and come back after a while.
+        """End all connections and tasks at once, and restart after a delay.
 
         Returns:
-            Whether it was up; one that goes away for good is not to come back at its
-            successor's place.
+            Whether it was up. A server that was stopped for good must not restart: its
+            successor may use the same address.
         """
         if self._stopped or not self.is_up:
             return False
         for site in list(self._runner.sites):
-            # Closes the listening socket at once; the rest is awaited later.
+            # Closes the listening socket at once; `_end` awaits the remaining cleanup.
             if site._server is not None:
                 site._server.close()
         for conn in list(self._server.connections):
             if conn.transport is not None:
                 conn.transport.abort()
-        self._coming_back = asyncio.create_task(self._come_back())
+        self._restarting = asyncio.create_task(self._restart())
         return True
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await self._end()
-        await asyncio.sleep(self.down)
+        await asyncio.sleep(self.restart_delay)
         if self.born is None:
             self.instance = f"i-{next(_instances)}"
         else:
             self.born = time.time_ns() // 1_000_000
-        # Nothing that it announced before is true of this start.
+        # What it announced before does not apply to this start.
         self.state = "ready"
-        self.says_leaving = False
+        self.announces_leaving = False
         self.left_at = None
         await self.start()
 
@@ -183,13 +183,15 @@
         """Announce a planned end, and wait for the acknowledgement."""
         self.state = "draining"
         acks = self.acks
-        await until(lambda: _true(self.acks > acks + 1), "leaving is acknowledged")
+        await until(
+            lambda: _as_awaitable(self.acks > acks + 1), "leaving is acknowledged"
+        )
 
     def count(self, request_id: str) -> int:
         """Return how often a request ran here."""
         return sum(run.request_id == request_id for run in self.runs)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for sequence in itertools.count(1):
             control = self.controls[sequence % len(self.controls)]
             url = f"http://{control}" + names.HEARTBEAT_PATH.format(
@@ -201,20 +203,20 @@
             await asyncio.sleep(HEARTBEAT)
 
     async def deregister(self, born: int | None = None) -> int:
-        """Say that a start of it leaves; return the status.
+        """Send a leave call for one of its starts, and return the status.
 
         Args:
-            born: Start that leaves. Defaults to its own.
+            born: Start time that leaves. Defaults to the current one.
         """
         born = self.born if born is None else born
         body = {} if born is None else {"born": born}
         path = names.LEAVE_PATH.format(instance=self.instance)
-        return await tell(self.controls[0], path, json.dumps(body).encode())
+        return await post_bytes(self.controls[0], path, json.dumps(body).encode())
 
     def heartbeat(self, sequence: int) -> dict[str, Any]:
-        """Return what it says of itself."""
-        stated = {} if self.born is None else {"born": self.born}
-        return stated | {
+        """Return the body of a heartbeat."""
+        start_time = {} if self.born is None else {"born": self.born}
+        return start_time | {
             "service": self.service,
             "address": self.advertised or f"{self.ip}:{self.port}",
             "zone": self.zone,
@@ -227,15 +229,15 @@
 
     async def _handle(self, http: web.BaseRequest) -> web.StreamResponse:
         if http.headers.get(names.EXPECT_INSTANCE) != self.instance:
-            return web.Response(status=421, headers=self._echo(http))
+            return web.Response(status=421, headers=self._base_headers(http))
         request_id = http.headers[names.REQUEST_ID]
         self.arrivals.append(Arrival(request_id, self.incarnation))
-        action = self.behave.get(http.path.rsplit("/", 1)[-1], self.usual)
+        action = self.actions.get(http.path.rsplit("/", 1)[-1], self.default_action)
         if action == "full":
-            headers = {**self._echo(http), names.NOT_RUN: "1"}
+            headers = {**self._base_headers(http), names.NOT_RUN: "1"}
             return web.Response(status=503, headers=headers)
         if action == "rest":
-            return self._ask_for_rest(http)
+            return self._ask_for_pause(http)
         run = Run(
             request_id,
             http.method,
@@ -245,14 +247,16 @@
         )
         self.runs.append(run)
         try:
-            response = await self._act(http, action)
+            response = await self._run_action(http, action)
         except asyncio.CancelledError:
             run.ended = "cancelled"
             raise
         run.ended = "done"
         return response
 
-    async def _act(self, http: web.BaseRequest, action: str) -> web.StreamResponse:
+    async def _run_action(
+        self, http: web.BaseRequest, action: str
+    ) -> web.StreamResponse:
         match action:
             case "reset":
                 return self._abort(http)
@@ -264,41 +268,41 @@
                 await self.release.wait()
                 return self._answer(http)
             case "unsigned":
-                return web.Response(body=b"x", headers=self._echo(http))
+                return web.Response(body=b"x", headers=self._base_headers(http))
             case "foreign":
-                signed = self._signed(http) | {names.REQUEST_ID: "another"}
+                signed = self._signed_headers(http) | {names.REQUEST_ID: "another"}
                 return web.Response(body=b"x", headers=signed)
             case "error":
-                return web.Response(status=500, headers=self._signed(http))
+                return web.Response(status=500, headers=self._signed_headers(http))
             case "large":
                 return await self._large(http)
             case _ if "stream" in http.path:
                 return await self._stream(http, action)
             case "lose":
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.delay)
                 return self._abort(http)
             case _:
-                await asyncio.sleep(self.pause)
+                await asyncio.sleep(self.delay)
                 return self._answer(http)
 
     def _answer(self, http: web.BaseRequest) -> web.Response:
         body = f"{self.instance} {http.raw_path}".encode()
-        return web.Response(body=body, headers=self._signed(http))
+        return web.Response(body=body, headers=self._signed_headers(http))
 
     async def _large(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Answer with more than is held, the rest of it when that is released."""
-        headers = {**self._signed(http), "Content-Type": "application/json"}
+        """Send the start of a large body, and the remainder once it is released."""
+        headers = {**self._signed_headers(http), "Content-Type": "application/json"}
         response = web.StreamResponse(headers=headers)
         response.content_length = len(LARGE_BODY)
         await response.prepare(http)
-        await response.write(LARGE_BODY[:LARGE_BEGIN])
+        await response.write(LARGE_BODY[:LARGE_BODY_START])
         await self.release.wait()
-        await response.write(LARGE_BODY[LARGE_BEGIN:])
+        await response.write(LARGE_BODY[LARGE_BODY_START:])
         await response.write_eof()
         return response
 
     async def _stream(self, http: web.BaseRequest, action: str) -> web.StreamResponse:
-        headers = {**self._signed(http), "Content-Type": "text/event-stream"}
+        headers = {**self._signed_headers(http), "Content-Type": "text/event-stream"}
         response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         await response.prepare(http)
@@ -312,8 +316,8 @@
                     await self.release.wait()
                 return self._abort(http)
             await response.write(event(number))
-            if self.pause:
-                await asyncio.sleep(self.pause)
+            if self.delay:
+                await asyncio.sleep(self.delay)
         await response.write_eof()
         return response
 
@@ -322,32 +326,32 @@
         http.transport.abort()
         return web.Response()
 
-    def _ask_for_rest(self, http: web.BaseRequest) -> web.Response:
-        headers = {**self._echo(http), names.NOT_RUN: "1"}
-        headers[names.RETRY_AFTER] = f"{self.rest:g}"
+    def _ask_for_pause(self, http: web.BaseRequest) -> web.Response:
+        headers = {**self._base_headers(http), names.NOT_RUN: "1"}
+        headers[names.RETRY_AFTER] = f"{self.pause_length:g}"
         request_id = http.headers[names.REQUEST_ID]
         now = time.monotonic()
-        self.rests.append(Rest(now, self.rest, request_id, self.incarnation))
+        self.pauses.append(Pause(now, self.pause_length, request_id, self.incarnation))
         return web.Response(status=503, headers=headers)
 
-    def _echo(self, http: web.BaseRequest) -> dict[str, str]:
+    def _base_headers(self, http: web.BaseRequest) -> dict[str, str]:
         headers = {names.REQUEST_ID: http.headers[names.REQUEST_ID]}
-        if self.says_leaving:
-            headers[names.LEAVING] = names.LEAVING_SET
+        if self.announces_leaving:
+            headers[names.LEAVING] = names.LEAVING_VALUE
         return headers
 
-    def _signed(self, http: web.BaseRequest) -> dict[str, str]:
-        return self._echo(http) | {names.SIGNATURE: f"signed-{self.instance}"}
+    def _signed_headers(self, http: web.BaseRequest) -> dict[str, str]:
+        return self._base_headers(http) | {names.SIGNATURE: f"signed-{self.instance}"}
 
 
 def event(number: int) -> bytes:
-    """Return one event of every stream."""
+    """Return the encoded event of a number; the same in all streams."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENTS + 1))
-"""Body of a stream that is complete."""
+"""Body of a complete stream."""
 
 
-async def _true(value: bool) -> bool:
+async def _as_awaitable(value: bool) -> bool:
     return value
--- a/tools/platform/suspendable.py
+++ b/tools/platform/suspendable.py
@@ -1,12 +1,13 @@
-"""Run a program whose steady clock leaves out the time for which it was suspended.
+"""Run a program whose monotonic clock leaves out the time that it was suspended.
 
 Usage: python -m tools.platform.suspendable FILE PROGRAM ARGUMENT...
 
 PROGRAM is a module of `leadseam.cli`; it gets the arguments.
 
-FILE holds, as eight bytes in the machine's order, the nanoseconds left out so far. The
-steady clock of Python and the timers of an event loop go by it; CLOCK_BOOTTIME and the
-time of day stay as they are. The loop is Python's own, as others ask the system.
+FILE holds the nanoseconds of all suspensions so far, as eight bytes in native byte
+order. They are subtracted from Python's monotonic clock, which also drives the timers
+of the event loop; CLOCK_BOOTTIME and the time of day are unchanged. The program runs in
+asyncio's selector loop, as other loops read the system's clock directly.
 """
 
 from __future__ import annotations
@@ -23,36 +24,37 @@
     from leadseam.runtime.loop import Main
 
 SIZE = 8
-"""Bytes of the file."""
+"""Size of the file in bytes."""
 
 
-def leave_out(path: str) -> None:
-    """Have the steady clock of this process leave out what a file says."""
-    real_ns = time.monotonic_ns
+def subtract_suspended_time(path: str) -> None:
+    """Subtract the time in a file from the monotonic clock of this process."""
+    original_ns = time.monotonic_ns
     file = os.open(path, os.O_RDONLY)
 
     def monotonic_ns() -> int:
-        (left_out,) = struct.unpack("=q", os.pread(file, SIZE, 0))
-        return real_ns() - int(left_out)
+        (suspended_ns,) = struct.unpack("=q", os.pread(file, SIZE, 0))
+        return original_ns() - int(suspended_ns)
 
     time.monotonic_ns = monotonic_ns
     time.monotonic = lambda: monotonic_ns() / 1e9
 
 
-def run_in_own_loop(main: Main) -> int:
-    """Run a program in Python's event loop, and return its exit code."""
+def run_in_selector_loop(main: Main) -> int:
+    """Run a program in asyncio's selector loop, and return its exit code."""
     with asyncio.Runner(loop_factory=asyncio.SelectorEventLoop) as runner:
         return runner.run(main)
 
 
 if __name__ == "__main__":
-    leave_out(sys.argv.pop(1))
-    # Later than the clock, which what it imports may keep.
+    subtract_suspended_time(sys.argv.pop(1))
+    # Imported after the clock is patched, as modules may keep a reference to it.
+
     from leadseam.runtime import process
 
     program = importlib.import_module(f"leadseam.cli.{sys.argv.pop(1)}")
-    vars(program)["run_in_uvloop"] = run_in_own_loop
+    vars(program)["run_in_uvloop"] = run_in_selector_loop
     defaults = process.run_program.__kwdefaults__
     assert defaults is not None
-    defaults["run"] = run_in_own_loop
+    defaults["run"] = run_in_selector_loop
     program.main()
--- a/tools/platform/suspension.py
+++ b/tools/platform/suspension.py
@@ -1,8 +1,9 @@
-"""Processes that are suspended: they stand still, and their steady clock with them.
+"""Suspension of processes together with their monotonic clock.
 
-SIGSTOP alone is a freeze: the steady clock goes on, and timers are due at once. Here
-the time away is left out of the steady clock before the process goes on, so that its
-timers are late by it. CLOCK_BOOTTIME and the time of day count it.
+SIGSTOP alone stops a process but not its monotonic clock, so timers are due at once
+after SIGCONT. Here the suspended time is subtracted from the monotonic clock before the
+process continues, so that its timers fire late by that time, as after the suspension of
+a box. CLOCK_BOOTTIME and the time of day include it.
 """
 
 from __future__ import annotations
@@ -20,40 +21,41 @@
 MODULE = "tools.platform.suspendable"
 
 
-class SteadyClock:
-    """The steady clock of one process, which can leave time out.
+class SuspendableClock:
+    """Suspends processes and subtracts that time from their monotonic clock.
 
     Args:
-        file: Where the process reads the time left out; see `MODULE`.
+        file: File from which the processes read the time to subtract; see `MODULE`.
     """
 
     def __init__(self, file: Path) -> None:
         self.file = file
-        self._nanos = 0
-        self._under_way = 0
-        self._began = 0
+        self._suspended_ns = 0
+        self._active_suspensions = 0
+        self._began_ns = 0
         self._write()
 
     async def suspend(self, process: Popen[bytes], length: float) -> None:
-        """Suspend a process for some seconds; one may begin before another is over.
+        """Suspend a process for some seconds; suspensions may overlap.
 
-        A process that is killed meanwhile takes nothing over to the next one.
+        If the process is killed meanwhile, its successor is not affected.
         """
-        self._under_way += 1
+        self._active_suspensions += 1
         process.send_signal(signal.SIGSTOP)
-        if self._under_way == 1:
-            self._began = time.monotonic_ns()
+        if self._active_suspensions == 1:
+            self._began_ns = time.monotonic_ns()
         try:
             await asyncio.sleep(length)
         finally:
-            self._under_way -= 1
-            if not self._under_way and process.poll() is None:
-                self._nanos += time.monotonic_ns() - self._began
+            self._active_suspensions -= 1
+            if not self._active_suspensions and process.poll() is None:
+                self._suspended_ns += time.monotonic_ns() - self._began_ns
                 self._write()
-            if not self._under_way:
+            if not self._active_suspensions:
                 process.send_signal(signal.SIGCONT)
 
     def _write(self) -> None:
-        # In place: the process has the file open.
+        # Written in place, as the process has the file open.
+
         with open(self.file, "r+b" if self.file.exists() else "wb") as file:
-            file.write(struct.pack("=q", self._nanos))
+            file.write(struct.pack("=q", self._suspended_ns))
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING
 
 from leadseam.platform import names
-from tools.platform.rests import MOST_ARRIVALS, SLACK
+from tools.platform.pauses import MAX_ARRIVALS, SLACK
 
 if TYPE_CHECKING:
-    from tools.platform.rests import Rest
+    from tools.platform.pauses import Pause
     from tools.platform.standin import Server
     from tools.soak.callers import Call
     from tools.soak.promises import Promises
@@ -54,15 +54,15 @@
                 group.create_task(self._leave(server) if leaves else self._rest(server))
 
     async def _rest(self, server: Server) -> None:
-        server.rest = self._rng.uniform(LEAST_REST, MOST_REST)
-        server.usual = "rest"
+        server.pause_length = self._rng.uniform(LEAST_REST, MOST_REST)
+        server.default_action = "rest"
         try:
             await asyncio.sleep(self._rng.uniform(0, MOST_SPELL))
         finally:
-            server.usual = "answer"
+            server.default_action = "answer"
 
     async def _leave(self, server: Server) -> None:
-        server.says_leaving = True
+        server.announces_leaving = True
         try:
             await asyncio.sleep(LEAVES_FOR)
         finally:
@@ -75,15 +75,15 @@
             return
         entries = {call.request_id: call.entry for call in self._promises.calls}
         for server in self._world.ever:
-            for rest in server.rests:
+            for rest in server.pauses:
                 if entry := entries.get(rest.request_id):
                     self._check_rest(server, rest, entry, entries)
         for call in self._promises.calls:
-            if call.headers.get(names.LEAVING) == names.LEAVING_SET and not call.cut:
+            if call.headers.get(names.LEAVING) == names.LEAVING_VALUE and not call.cut:
                 self._check_left(call)
 
     def _check_rest(
-        self, server: Server, rest: Rest, entry: str, entries: dict[str, str]
+        self, server: Server, rest: Pause, entry: str, entries: dict[str, str]
     ) -> None:
         if self._excused(entry, server, rest.at, rest.at + rest.length):
             return
@@ -92,7 +92,7 @@
             for arrival in server.arrivals
         )
         detail = f"{count} from {entry} in {rest.length:.2f} s at {rest.incarnation}"
-        kept = count <= MOST_ARRIVALS
+        kept = count <= MAX_ARRIVALS
         self._promises.check("rest kept", kept, f"{rest.request_id}: {detail}")
 
     def _check_left(self, call: Call) -> None:
@@ -104,7 +104,7 @@
             if later.entry == call.entry
             and later.start > call.end + DRAIN
             and later.headers.get(names.SIGNATURE) == f"signed-{instance}"
-            and later.headers.get(names.LEAVING) == names.LEAVING_SET
+            and later.headers.get(names.LEAVING) == names.LEAVING_VALUE
             and not self._world.ledger.touched(call.entry, call.end, later.start)
         ]
         detail = f"{[one.request_id for one in late]} after {call.request_id}"
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -65,7 +65,7 @@
         servers = tuple(server.ip for server in self.servers)
         return Boxes(tuple(self.control_ips), tuple(self.entry_ips), servers)
 
-    def inner_port_of(self, ip: str) -> int:
+    def internal_port_of(self, ip: str) -> int:
         """Return the inner port of a box, which is its own."""
         return self._inner[ip]
 
@@ -77,12 +77,12 @@
         """Start everything."""
         controls = [*self.control_ips, *self.spare_ips]
         nodes = [*controls, *self.entry_ips]
-        await self.links.add_mesh(nodes, controls, self.inner_port_of)
+        await self.links.add_mesh(nodes, controls, self.internal_port_of)
         for ip in self.server_ips[:4]:
             await self.links.add_server(ip, self.server_port, self._proxied)
         await self.start_all()
         for server in self.servers:
-            server.pause = EVENT_PAUSE
+            server.delay = EVENT_PAUSE
         self._keeper = asyncio.create_task(self._keep_running())
 
     async def close(self) -> None:
@@ -98,7 +98,7 @@
             await asyncio.sleep(RESTART_DELAY)
             for ip, process in list(self.processes.items()):
                 if ip not in self.down and process.poll() is not None:
-                    self.start(ip, founding=False)
+                    self.start(ip, bootstrap=False)
 
     def now_at(self, box: str) -> str:
         """Return the box itself, or the one that has come in its place."""
@@ -139,7 +139,7 @@
         server = await self.add_server(
             old.ip, old.service, earlier=old.instance, zone=old.zone
         )
-        server.pause = EVENT_PAUSE
+        server.delay = EVENT_PAUSE
 
     def server_at(self, ip: str) -> Server | None:
         """Return the server that runs at an address, or None."""
