--- a/src/leadseam/platform/control_api.py
+++ b/src/leadseam/platform/control_api.py
@@ -136,7 +136,7 @@
         return await http.clone(client_max_size=MAX_HEARTBEAT_BYTES).read()
     except web.HTTPRequestEntityTooLarge as exc:
         raise UnknownWriterError(
-            Fault.TOO_LARGE, "the document is too large for an upstream"
+            Fault.TOO_LARGE, "more bytes than an upstream sends"
         ) from exc
 
 
--- a/src/leadseam/platform/heartbeat.py
+++ b/src/leadseam/platform/heartbeat.py
@@ -104,7 +104,7 @@
         UnknownWriterError: If it is not a valid id.
     """
     if not _INSTANCE.fullmatch(instance):
-        raise UnknownWriterError(Fault.WRONG_ID, "not a valid upstream id")
+        raise UnknownWriterError(Fault.WRONG_ID, "not the id of an upstream")
     return instance
 
 
@@ -116,7 +116,7 @@
     """
     heartbeat = _decode(document, _HeartbeatBody)
     if heartbeat.state not in (READY, DRAINING):
-        raise UnknownWriterError(Fault.WRONG_STATE, "not a valid upstream state")
+        raise UnknownWriterError(Fault.WRONG_STATE, "no state of an upstream")
     address = _read_address(heartbeat.address)
     return Registration(
         incarnation=Incarnation(read_instance(instance), _start_time(heartbeat.born)),
@@ -148,9 +148,7 @@
 
 def _decode(document: bytes, type_: type[T]) -> T:
     if len(document) > MAX_HEARTBEAT_BYTES:
-        raise UnknownWriterError(
-            Fault.TOO_LARGE, "the document is too large for an upstream"
-        )
+        raise UnknownWriterError(Fault.TOO_LARGE, "more bytes than an upstream sends")
     try:
         fields = json.loads(
             document.decode(),
@@ -168,12 +166,12 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     fields = dict(pairs)
     if len(fields) != len(pairs):
-        raise ValueError("duplicate key")
+        raise ValueError("a key stands twice")
     return fields
 
 
 def _reject_constant(constant: str) -> NoReturn:
-    raise ValueError(f"{constant} is not a valid JSON number")
+    raise ValueError(f"{constant} is no number")
 
 
 def _read_address(text: str) -> Endpoint:
@@ -183,8 +181,6 @@
     except ValueError as exc:
         raise UnknownWriterError(Fault.WRONG_ADDRESS, "not IP:PORT") from exc
     if ip.is_unspecified or ip.is_multicast or not 0 < address.port < 65_536:
-        raise UnknownWriterError(
-            Fault.WRONG_ADDRESS, "not the address of a single server"
-        )
+        raise UnknownWriterError(Fault.WRONG_ADDRESS, "no address of one server")
 
     return address
--- a/src/leadseam/schema/convert.py
+++ b/src/leadseam/schema/convert.py
@@ -54,7 +54,7 @@
             case "drain":
                 return Drain(message.drain.upstream, message.drain.draining)
             case _:
-                raise OperationError("operation is empty")
+                raise OperationError("empty operation")
     except msgspec.ValidationError as exc:
         raise OperationError(f"{kind}: {exc}") from exc
 
