--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -19,7 +19,7 @@
 from leadseam.sidecar.gate import Gate
 from leadseam.sidecar.running import EntryPeer, RunningAttempt, final_of
 from leadseam.sidecar.scheduler import Scheduler
-from leadseam.sidecar.upstream import Upstream, UpstreamAddress, Window
+from leadseam.sidecar.upstream import UpstreamAddress, UpstreamClient, Window
 from leadseam.wire.dispatch import (
     Accepted,
     Backlog,
@@ -82,7 +82,7 @@
         self._clock = clock
         self._metrics = metrics
         self._configuration = Configuration()
-        self._upstream: Upstream | None = None
+        self._upstream: UpstreamClient | None = None
         self._timeouts = Timeouts(clock)
         self._ledger = Ledger()
         self._scheduler = Scheduler(self._ledger, Picker(self._ledger), self._share_of)
@@ -126,7 +126,7 @@
         address = UpstreamAddress(row.ip, row.port, kind is PoolKind.ENGINE)
         if self._upstream is None or self._upstream.address != address:
             old = self._upstream
-            self._upstream = Upstream(address, self._clock, self._timeouts)
+            self._upstream = UpstreamClient(address, self._clock, self._timeouts)
             if old is not None:
                 spawn(self._retire(old))
         self._update_slots()
@@ -394,7 +394,7 @@
                 await self._probe_once(self._upstream)
             await sleep(PROBE_INTERVAL)
 
-    async def _probe_once(self, upstream: Upstream) -> None:
+    async def _probe_once(self, upstream: UpstreamClient) -> None:
         good = await upstream.probe()
         before = self.breaker.health
         if good:
@@ -420,6 +420,6 @@
                     running.broken = True
                     running.task.cancel()
 
-    async def _retire(self, upstream: Upstream) -> None:
+    async def _retire(self, upstream: UpstreamClient) -> None:
         await self.wait_idle()
         await upstream.close()
--- a/src/leadseam/sidecar/upstream.py
+++ b/src/leadseam/sidecar/upstream.py
@@ -92,7 +92,7 @@
         self._open.set()
 
 
-class Upstream:
+class UpstreamClient:
     """HTTP client of one upstream.
 
     Args:
@@ -216,7 +216,7 @@
 
     def __init__(
         self,
-        upstream: Upstream,
+        upstream: UpstreamClient,
         req: Dispatch,
         window: Window,
         send: Callable[[Head | Chunk], None],
--- a/tests/runtime/test_connector.py
+++ b/tests/runtime/test_connector.py
@@ -24,7 +24,7 @@
 from leadseam.runtime.connector import LoopConnector
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.sidecar.platform import watch_platform
-from leadseam.sidecar.upstream import Upstream, UpstreamAddress
+from leadseam.sidecar.upstream import UpstreamAddress, UpstreamClient
 from tests.descriptors import assert_closed_once
 from tools.platform.operator import Operator, tell
 from tools.ports import LOOPBACK
@@ -38,7 +38,7 @@
 async def probe(port: int) -> None:
     clock = SystemClock()
     address = UpstreamAddress(LOOPBACK, port, engine=True)
-    upstream = Upstream(address, clock, Timeouts(clock))
+    upstream = UpstreamClient(address, clock, Timeouts(clock))
     try:
         await upstream.probe()
     finally:
