--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -9,7 +9,7 @@
 from leadseam.clock import Clock, Millis, sleep
 from leadseam.control.configuration import Configuration
 from leadseam.entry.queue import QueueKey, WaitingQueue
-from leadseam.entry.request import Waiting
+from leadseam.entry.request import WaitingRequest
 from leadseam.entry.sidecars import SidecarLink
 from leadseam.fairness.merge import ServiceMerge
 from leadseam.outcome import NotRun, Reason
@@ -92,12 +92,12 @@
         """Whether every sidecar has been reached, or was found to be unreachable."""
         return all(link.tried for link in self._links.values())
 
-    def submit(self, req: CallerRequest) -> Waiting | NotRun:
+    def submit(self, req: CallerRequest) -> WaitingRequest | NotRun:
         """Queue a request, or refuse it at once."""
         if not any(link.usable for link in self._pool_links(req.pool)):
             return NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER)
         self._last_seq += 1
-        item = Waiting(req, self._last_seq)
+        item = WaitingRequest(req, self._last_seq)
         account = self._configuration.accounts.get(req.account)
         max_waiting = account.max_waiting if account is not None else 1
         now = self._clock.now()
@@ -107,20 +107,20 @@
         self._touch(req, urgent=True)
         return item
 
-    def requeue(self, item: Waiting) -> None:
+    def requeue(self, item: WaitingRequest) -> None:
         """Queue a request again for another attempt."""
         if self._usable(item.req.pool) <= item.avoid:
             item.avoid.clear()
         self.queue.put_back(item)
         self._touch(item.req, urgent=True)
 
-    def withdraw(self, item: Waiting) -> None:
+    def withdraw(self, item: WaitingRequest) -> None:
         """Take a request out of the queue, if it still waits."""
         if item.queued:
             self.queue.remove(item)
             self._touch(item.req, urgent=False)
 
-    def take(self, key: QueueKey, link: SidecarLink) -> Waiting | None:
+    def take(self, key: QueueKey, link: SidecarLink) -> WaitingRequest | None:
         """Take the next request for a granted slot."""
         item = self.queue.take(key, upstream=link.upstream.name, now=self.now())
         if item is not None:
--- a/src/leadseam/entry/queue.py
+++ b/src/leadseam/entry/queue.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from leadseam.clock import Millis
-    from leadseam.entry.request import Waiting
+    from leadseam.entry.request import WaitingRequest
 
 MIN_RETRY_AFTER: Millis = 1_000
 MAX_RETRY_AFTER: Millis = 60_000
@@ -58,7 +58,7 @@
     def __init__(self, *, max_bytes: int) -> None:
         self._max_bytes = max_bytes
         self._bytes = 0
-        self._queues: dict[QueueKey, list[Waiting]] = defaultdict(list)
+        self._queues: dict[QueueKey, list[WaitingRequest]] = defaultdict(list)
         self._rates: dict[QueueKey, _DrainRate] = defaultdict(_DrainRate)
 
     def __repr__(self) -> str:
@@ -67,7 +67,9 @@
     def __len__(self) -> int:
         return sum(map(len, self._queues.values()))
 
-    def offer(self, item: Waiting, *, max_waiting: int, now: Millis) -> NotRun | None:
+    def offer(
+        self, item: WaitingRequest, *, max_waiting: int, now: Millis
+    ) -> NotRun | None:
         """Add a request, or refuse it at once.
 
         Args:
@@ -87,14 +89,16 @@
         self.put_back(item)
         return None
 
-    def put_back(self, item: Waiting) -> None:
+    def put_back(self, item: WaitingRequest) -> None:
         """Add a request without regard to limits, as for a retry."""
         key = QueueKey(item.req.pool, item.req.account)
         bisect.insort(self._queues[key], item, key=lambda other: other.order)
         self._bytes += item.size
         item.queued = True
 
-    def take(self, key: QueueKey, *, upstream: str, now: Millis) -> Waiting | None:
+    def take(
+        self, key: QueueKey, *, upstream: str, now: Millis
+    ) -> WaitingRequest | None:
         """Take the first request that may go to an upstream."""
         queue = self._queues.get(key)
         if not queue:
@@ -107,7 +111,7 @@
         self._rates[key].note(now)
         return item
 
-    def remove(self, item: Waiting) -> None:
+    def remove(self, item: WaitingRequest) -> None:
         """Remove a request that waits."""
         key = QueueKey(item.req.pool, item.req.account)
         queue = self._queues[key]
--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -16,7 +16,7 @@
     Dispatched,
     LinkLost,
     NeverStarted,
-    Waiting,
+    WaitingRequest,
 )
 from leadseam.entry.retry import (
     Deliver,
@@ -106,7 +106,7 @@
             self._dispatcher.withdraw(admitted)
             self._drop_attempt()
 
-    async def _attempt_until_done(self, item: Waiting) -> Outcome:
+    async def _attempt_until_done(self, item: WaitingRequest) -> Outcome:
         while True:
             if not await self._wait_for_grant(item):
                 return NotRun(Reason.DEADLINE_PASSED)
@@ -127,7 +127,7 @@
                         return exhausted(self._req, ending)
                     self._prepare_retry(item, decision)
 
-    async def _wait_for_grant(self, item: Waiting) -> bool:
+    async def _wait_for_grant(self, item: WaitingRequest) -> bool:
         try:
             async with self._dispatcher.timeouts.until(self._req.deadline):
                 event = await item.events.get()
@@ -142,7 +142,7 @@
         self._attempts += 1
         return True
 
-    async def _first_sign(self, item: Waiting) -> Ending:
+    async def _first_sign(self, item: WaitingRequest) -> Ending:
         """Wait until the attempt has a head, or has ended without one."""
         while True:
             event = await self._next_event(item)
@@ -157,7 +157,7 @@
                 case _:
                     raise AssertionError(f"unexpected {event!r}")
 
-    async def _hold(self, item: Waiting, head: Head) -> Final | LinkLost | None:
+    async def _hold(self, item: WaitingRequest, head: Head) -> Final | LinkLost | None:
         """Wait for the end of a small answer before the caller gets a byte of it.
 
         Until then a lost answer can be tried again, or be reported in full. Event
@@ -186,11 +186,11 @@
                     raise AssertionError(f"unexpected {event!r}")
         return None
 
-    async def _next_event(self, item: Waiting) -> AttemptEvent:
+    async def _next_event(self, item: WaitingRequest) -> AttemptEvent:
         """Return the next event, those held first."""
         return self._held.popleft() if self._held else await self._receive(item)
 
-    async def _receive(self, item: Waiting) -> AttemptEvent:
+    async def _receive(self, item: WaitingRequest) -> AttemptEvent:
         """Wait for an event; a deadline counts as a lost answer."""
         limit = max(self._req.deadline, self._clock.now()) + DEADLINE_GRACE
         try:
@@ -215,7 +215,7 @@
             self._metrics.retries_denied.inc({"reason": retry.reason})
         return allowed
 
-    def _prepare_retry(self, item: Waiting, retry: Retry) -> None:
+    def _prepare_retry(self, item: WaitingRequest, retry: Retry) -> None:
         self._metrics.retries.inc({"reason": retry.reason})
         if retry.avoid and self._last_sidecar:
             item.avoid.add(self._last_sidecar)
@@ -230,7 +230,7 @@
 
     # The response
 
-    async def _deliver(self, item: Waiting, ending: Ending) -> Outcome:
+    async def _deliver(self, item: WaitingRequest, ending: Ending) -> Outcome:
         assert isinstance(ending, Head)
         response = web.StreamResponse(status=ending.status)
         for name, value in ending.headers:
@@ -239,7 +239,9 @@
         self.content_type = response.headers.get("Content-Type", "")
         return await self._stream(item, response)
 
-    async def _stream(self, item: Waiting, response: web.StreamResponse) -> Outcome:
+    async def _stream(
+        self, item: WaitingRequest, response: web.StreamResponse
+    ) -> Outcome:
         await self._towards_caller(response.prepare(self._http))
         chunks = 0
         size = 0
--- a/src/leadseam/entry/request.py
+++ b/src/leadseam/entry/request.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingRequest:
     """A request in the entry's queue, and the mailbox of its handler.
 
     Args:
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -8,7 +8,7 @@
 
 from leadseam.clock import Millis, seconds, sleep
 from leadseam.entry.queue import QueueKey
-from leadseam.entry.request import Dispatched, LinkLost, NeverStarted, Waiting
+from leadseam.entry.request import Dispatched, LinkLost, NeverStarted, WaitingRequest
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.backoff import Backoff
 from leadseam.wire.dispatch import (
@@ -64,8 +64,8 @@
         self._link: Link | None = None
         self._incarnation = 0
         self._backoff = Backoff()
-        self._attempts: dict[int, tuple[Waiting, bool]] = {}
-        self._lost: dict[int, tuple[Waiting, int]] = {}
+        self._attempts: dict[int, tuple[WaitingRequest, bool]] = {}
+        self._lost: dict[int, tuple[WaitingRequest, int]] = {}
         self._announced: dict[str, int] = {}
         self._dirty: set[str] = set()
         self._flush_task: asyncio.Task[None] | None = None
@@ -176,7 +176,7 @@
 
     # Attempts whose link broke
 
-    def _lose(self, attempt: int, item: Waiting, accepted: bool) -> None:
+    def _lose(self, attempt: int, item: WaitingRequest, accepted: bool) -> None:
         if accepted or item.req.repeatable:
             item.events.put_nowait(LinkLost())
             return
@@ -253,7 +253,7 @@
         self._link.send(self._dispatch(attempt, grant.grant, item))
         self._forget_announced(grant.account)
 
-    def _dispatch(self, attempt: int, grant: int, item: Waiting) -> Dispatch:
+    def _dispatch(self, attempt: int, grant: int, item: WaitingRequest) -> Dispatch:
         req = item.req
         return Dispatch(
             attempt=attempt,
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -13,7 +13,7 @@
 from leadseam.control.routes import EngineProfile
 from leadseam.control.state import Change, Claims, ControlState
 from leadseam.entry.queue import WaitingQueue
-from leadseam.entry.request import CallerRequest, Priority, Waiting
+from leadseam.entry.request import CallerRequest, Priority, WaitingRequest
 from leadseam.fairness.ledger import Ledger
 from leadseam.fairness.merge import ServiceMerge
 from leadseam.fairness.picker import Picker
@@ -207,7 +207,7 @@
             repeatable=True,
             arrived=number,
         )
-        queue.put_back(Waiting(req, number))
+        queue.put_back(WaitingRequest(req, number))
     return queue
 
 
