--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -111,7 +111,7 @@
         """Queue a request again for another attempt."""
         if self._usable(item.req.pool) <= item.avoid:
             item.avoid.clear()
-        self.queue.put_back(item)
+        self.queue.enqueue(item)
         self._touch(item.req, urgent=True)
 
     def withdraw(self, item: WaitingRequest) -> None:
--- a/src/leadseam/entry/queue.py
+++ b/src/leadseam/entry/queue.py
@@ -86,10 +86,10 @@
             return NotRun(Reason.ACCOUNT_QUEUE_FULL, self._retry_after(key, now))
         if self._bytes + item.size > self._max_bytes:
             return NotRun(Reason.MEMORY_FULL, self._retry_after(key, now))
-        self.put_back(item)
+        self.enqueue(item)
         return None
 
-    def put_back(self, item: WaitingRequest) -> None:
+    def enqueue(self, item: WaitingRequest) -> None:
         """Add a request without regard to limits, as for a retry."""
         key = QueueKey(item.req.pool, item.req.account)
         bisect.insort(self._queues[key], item, key=lambda other: other.order)
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -207,7 +207,7 @@
             repeatable=True,
             arrived=number,
         )
-        queue.put_back(WaitingRequest(req, number))
+        queue.enqueue(WaitingRequest(req, number))
     return queue
 
 
