--- a/src/leadseam/entry/answers.py
+++ b/src/leadseam/entry/answers.py
@@ -113,10 +113,10 @@
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
         headers["Retry-After"] = str(_whole_seconds(outcome.retry_after))
     body = error_body(outcome)
-    return web.json_response(body, status=status_of(outcome), headers=headers)
+    return web.json_response(body, status=http_status(outcome), headers=headers)
 
 
-def status_of(outcome: NotRun | Failed | Unknown) -> int:
+def http_status(outcome: NotRun | Failed | Unknown) -> int:
     """Return the status; callers may believe 503 that a request has not run."""
     status = STATUS[outcome.reason]
     if isinstance(outcome, NotRun) and status == BAD_GATEWAY:
--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, cast
 
-from leadseam.entry.answers import error_body, status_of
+from leadseam.entry.answers import error_body, http_status
 from leadseam.platform import names
 from leadseam.platform.headers import read_key, read_parts, read_tokens
 from leadseam.routing.dialect import Sender
@@ -100,7 +100,7 @@
 def encode_refusal(refusal: NotRun) -> bytes:
     """Return the whole HTTP response of a refusal, which ends the connection."""
     body = json.dumps(error_body(refusal)).encode()
-    status = status_of(refusal)
+    status = http_status(refusal)
     lines = [
         f"HTTP/1.1 {status} {REASONS.get(status, '')}",
         "Content-Type: application/json; charset=utf-8",
