--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -11,7 +11,7 @@
 
 from leadseam.clock import Clock
 from leadseam.control.claims import MAX_STORED_BODY, Verdict
-from leadseam.entry.answers import error_response, outcome_name
+from leadseam.entry.error_responses import error_response, outcome_name
 from leadseam.entry.intake import (
     Admitted,
     admit,
--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from leadseam.clock import Clock, Millis
-from leadseam.entry.answers import error_event
+from leadseam.entry.error_responses import error_event
 from leadseam.entry.request import (
     CallerRequest,
     Dispatched,
--- a/src/leadseam/platform/first_bytes.py
+++ b/src/leadseam/platform/first_bytes.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, cast
 
-from leadseam.entry.answers import error_body, http_status
+from leadseam.entry.error_responses import error_body, http_status
 from leadseam.platform import names
 from leadseam.platform.headers import read_key, read_parts, read_tokens
 from leadseam.routing.dialect import Sender
--- a/src/leadseam/routing/gateway.py
+++ b/src/leadseam/routing/gateway.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from leadseam.entry.answers import error_response
+from leadseam.entry.error_responses import error_response
 from leadseam.outcome import NotRun, Reason
 from leadseam.routing.admitted import AdmittedRequest
 from leadseam.routing.attempt import (
--- a/src/leadseam/routing/request_log.py
+++ b/src/leadseam/routing/request_log.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from leadseam.entry.answers import outcome_name
+from leadseam.entry.error_responses import outcome_name
 from leadseam.outcome import Answered, NotRun, Outcome
 from leadseam.routing.attempt import FIRST_SERVER_ERROR, Broken, Streaming, Whole
 from leadseam.routing.balance import own_tokens
--- a/tests/test_answers.py
+++ b/tests/test_error_responses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leadseam.entry.answers import MESSAGES, STATUS, error_response
+from leadseam.entry.error_responses import MESSAGES, STATUS, error_response
 from leadseam.outcome import Failed, NotRun, Reason, Unknown
 
 
