--- a/src/leadseam/entry/error_responses.py
+++ b/src/leadseam/entry/error_responses.py
@@ -16,7 +16,7 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 
-STATUS = {
+STATUS_CODES = {
     Reason.NO_KEY: 401,
     Reason.WRONG_KEY: 401,
     Reason.MALFORMED_BODY: 400,
@@ -111,14 +111,14 @@
     """Return the HTTP response for an outcome."""
     headers = {"X-Leadseam-Outcome": outcome_name(outcome)}
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
-        headers["Retry-After"] = str(_whole_seconds(outcome.retry_after))
+        headers["Retry-After"] = str(_ceil_seconds(outcome.retry_after))
     body = error_body(outcome)
     return web.json_response(body, status=http_status(outcome), headers=headers)
 
 
 def http_status(outcome: NotRun | Failed | Unknown) -> int:
     """Return the status; callers may believe 503 that a request has not run."""
-    status = STATUS[outcome.reason]
+    status = STATUS_CODES[outcome.reason]
     if isinstance(outcome, NotRun) and status == BAD_GATEWAY:
         return UNAVAILABLE
     return status
@@ -129,5 +129,5 @@
     return b"event: error\ndata: " + json.dumps(error_body(outcome)).encode() + b"\n\n"
 
 
-def _whole_seconds(millis: Millis) -> int:
+def _ceil_seconds(millis: Millis) -> int:
     return -(-millis // MILLIS_PER_SECOND)
--- a/tests/test_error_responses.py
+++ b/tests/test_error_responses.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from leadseam.entry.error_responses import MESSAGES, STATUS, error_response
+from leadseam.entry.error_responses import MESSAGES, STATUS_CODES, error_response
 from leadseam.outcome import Failed, NotRun, Reason, Unknown
 
 
 @pytest.mark.parametrize("reason", Reason)
 def test_each_reason_has_a_status_and_a_message(reason: Reason) -> None:
-    assert 400 <= STATUS[reason] < 600
+    assert 400 <= STATUS_CODES[reason] < 600
     assert MESSAGES[reason]
     for outcome in (Failed(reason), Unknown(reason)):
-        assert error_response(outcome).status == STATUS[reason]
-    not_run = 503 if STATUS[reason] == 502 else STATUS[reason]
+        assert error_response(outcome).status == STATUS_CODES[reason]
+    not_run = 503 if STATUS_CODES[reason] == 502 else STATUS_CODES[reason]
     assert error_response(NotRun(reason)).status == not_run
 
 
