--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -73,7 +73,7 @@
             await sleep(REPORT_INTERVAL)
             for link in self._links.values():
                 link.report_others()
-            self._show()
+            self._update_gauges()
 
     def configure(self, configuration: Configuration) -> None:
         """Put a configuration in force: open and close links."""
@@ -104,27 +104,27 @@
         refusal = self.queue.offer(item, max_waiting=max_waiting, now=now)
         if refusal is not None:
             return refusal
-        self._touch(req, urgent=True)
+        self._mark_backlog_changed(req, urgent=True)
         return item
 
     def requeue(self, item: WaitingRequest) -> None:
         """Queue a request again for another attempt."""
-        if self._usable(item.req.pool) <= item.avoid:
+        if self._usable_upstreams(item.req.pool) <= item.avoid:
             item.avoid.clear()
         self.queue.enqueue(item)
-        self._touch(item.req, urgent=True)
+        self._mark_backlog_changed(item.req, urgent=True)
 
     def withdraw(self, item: WaitingRequest) -> None:
         """Take a request out of the queue, if it still waits."""
         if item.queued:
             self.queue.remove(item)
-            self._touch(item.req, urgent=False)
+            self._mark_backlog_changed(item.req, urgent=False)
 
     def take(self, key: QueueKey, link: SidecarLink) -> WaitingRequest | None:
         """Take the next request for a granted slot."""
         item = self.queue.take(key, upstream=link.upstream.name, now=self.now())
         if item is not None:
-            self._touch(item.req, urgent=not self.queue.count(key))
+            self._mark_backlog_changed(item.req, urgent=not self.queue.count(key))
         return item
 
     def next_attempt(self) -> int:
@@ -144,17 +144,17 @@
         """Return the time."""
         return self._clock.now()
 
-    def note_health(self) -> None:
+    def on_health_change(self) -> None:
         """Requests whose only alternatives vanished may use any upstream again."""
         for pool in {link.upstream.pool for link in self._links.values()}:
-            self.queue.forget_avoided(pool, self._usable(pool))
+            self.queue.clear_avoided(pool, self._usable_upstreams(pool))
 
-    def _show(self) -> None:
+    def _update_gauges(self) -> None:
         self.metrics.waiting.set({}, len(self.queue))
         for name, link in self._links.items():
             self.metrics.usable.set({"upstream": name}, int(link.usable))
 
-    def _usable(self, pool: str) -> set[str]:
+    def _usable_upstreams(self, pool: str) -> set[str]:
         return {link.upstream.name for link in self._pool_links(pool) if link.usable}
 
     def _pool_links(self, pool: str) -> list[SidecarLink]:
@@ -169,6 +169,6 @@
         del self._links[name]
         self._tasks.pop(name).cancel()
 
-    def _touch(self, req: CallerRequest, *, urgent: bool) -> None:
+    def _mark_backlog_changed(self, req: CallerRequest, *, urgent: bool) -> None:
         for link in self._pool_links(req.pool):
-            link.touch(req.account, urgent=urgent)
+            link.mark_backlog_changed(req.account, urgent=urgent)
--- a/src/leadseam/entry/queue.py
+++ b/src/leadseam/entry/queue.py
@@ -132,7 +132,7 @@
         queue = self._queues.get(key, ())
         return sum(upstream not in item.avoid for item in queue)
 
-    def forget_avoided(self, pool: str, usable: set[str]) -> None:
+    def clear_avoided(self, pool: str, usable: set[str]) -> None:
         """Let requests that avoid every usable upstream go anywhere."""
         for key in self.keys(pool):
             for item in self._queues[key]:
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -97,7 +97,7 @@
             self.tried = True
             await self._backoff.wait()
 
-    def touch(self, account: str, *, urgent: bool) -> None:
+    def mark_backlog_changed(self, account: str, *, urgent: bool) -> None:
         """Note that an account's backlog changed.
 
         A row that rises or ends is urgent: the one starts idle slots, the other keeps
@@ -215,13 +215,13 @@
             case SlotStatus(healthy=healthy):
                 self.healthy = healthy
                 self.tried = True
-                self._dispatcher.note_health()
+                self._dispatcher.on_health_change()
             case Service(rows=rows):
                 merge = self._dispatcher.merge(self.upstream.pool)
                 merge.update(self.upstream.name, rows)
             case Leaving():
                 self.leaving = True
-                self._dispatcher.note_health()
+                self._dispatcher.on_health_change()
             case QueryReply(attempt=attempt, started=started):
                 self._end_lost(attempt, started=started)
             case _:
