--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -81,9 +81,11 @@
         ]
 
     @web.middleware
-    async def count(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def count_in_flight(
+        self, request: web.Request, handler: Handler
+    ) -> web.StreamResponse:
         """Have a planned stop wait for a request from its first line on."""
-        with self._counted():
+        with self._track_in_flight():
             return await handler(request)
 
     async def on_prepare(self, _: web.Request, response: web.StreamResponse) -> None:
@@ -103,7 +105,7 @@
         return web.json_response({"object": "list", "data": data})
 
     async def _completion(self, http: web.Request) -> web.StreamResponse:
-        body = await self._read(http)
+        body = await self._read_body(http)
         if isinstance(body, NotRun):
             return self._refuse(body)
         account = self._account(http)
@@ -113,7 +115,7 @@
         return await self._handle(http, account, pool, http.path, body)
 
     async def _service(self, http: web.Request) -> web.StreamResponse:
-        body = await self._read(http)
+        body = await self._read_body(http)
         if isinstance(body, NotRun):
             return self._refuse(body)
         account = self._account(http)
@@ -129,7 +131,7 @@
             return NotRun(Reason.NO_CONFIGURATION, CLAIM_RETRY_AFTER)
         return authenticate(self._feed.configuration, http.headers)
 
-    async def _read(self, http: web.Request) -> bytes | NotRun:
+    async def _read_body(self, http: web.Request) -> bytes | NotRun:
         try:
             return await http.read()
         except web.HTTPRequestEntityTooLarge:
@@ -158,17 +160,19 @@
         )
         if isinstance(admitted, NotRun):
             return self._refuse(admitted)
-        return await self._carry(http, admitted)
+        return await self._relay_request(http, admitted)
 
-    async def _carry(self, http: web.Request, admitted: Admitted) -> web.StreamResponse:
+    async def _relay_request(
+        self, http: web.Request, admitted: Admitted
+    ) -> web.StreamResponse:
         if admitted.key and not admitted.req.repeatable:
-            return await self._carry_claimed(http, admitted)
-        relay = self._relay(http, admitted)
-        with self._counted():
+            return await self._relay_claimed(http, admitted)
+        relay = self._new_relay(http, admitted)
+        with self._track_in_flight():
             outcome = await self._run(relay)
         return self._finish(relay, outcome)
 
-    async def _carry_claimed(
+    async def _relay_claimed(
         self, http: web.Request, admitted: Admitted
     ) -> web.StreamResponse:
         """Run a request only under the claim on its Idempotency-Key.
@@ -180,7 +184,7 @@
     async def _run_claimed(
         self, http: web.Request, admitted: Admitted
     ) -> web.StreamResponse:
-        with self._counted():
+        with self._track_in_flight():
             return await self._claim_and_run(http, admitted)
 
     async def _claim_and_run(
@@ -204,7 +208,7 @@
                 self._feed.claims.release(ClaimRelease(account, admitted.key, owner))
                 refusal = NotRun(Reason.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER)
                 return self._refuse(refusal)
-        relay = self._relay(http, admitted, outlives_caller=True)
+        relay = self._new_relay(http, admitted, outlives_caller=True)
         outcome: Outcome = Unknown(Reason.LINK_LOST)
         try:
             outcome = await self._run(relay)
@@ -233,7 +237,7 @@
             headers["Content-Type"] = reply.content_type
         return web.Response(status=reply.status, body=reply.body, headers=headers)
 
-    def _relay(
+    def _new_relay(
         self, http: web.Request, admitted: Admitted, *, outlives_caller: bool = False
     ) -> Relay:
         return Relay(
@@ -248,7 +252,7 @@
         )
 
     @contextlib.contextmanager
-    def _counted(self) -> Iterator[None]:
+    def _track_in_flight(self) -> Iterator[None]:
         """Have a planned stop wait for what happens inside."""
         self.in_flight += 1
         try:
@@ -269,14 +273,14 @@
             assert relay.response is not None
             return relay.response
         if relay.response is not None:
-            self._count(outcome)
+            self._count_refusal(outcome)
             return relay.response
         return self._refuse(outcome)
 
     def _refuse(self, outcome: NotRun | Failed | Unknown) -> web.Response:
-        self._count(outcome)
+        self._count_refusal(outcome)
         return error_response(outcome)
 
-    def _count(self, outcome: NotRun | Failed | Unknown) -> None:
+    def _count_refusal(self, outcome: NotRun | Failed | Unknown) -> None:
         self._metrics.requests.inc({"outcome": outcome_name(outcome)})
         self._metrics.refusals.inc({"reason": outcome.reason.value})
