--- a/src/leadseam/entry/intake.py
+++ b/src/leadseam/entry/admission.py
@@ -27,7 +27,7 @@
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 255
 MAX_DEADLINE: Millis = 24 * 3_600 * 1_000
-VERSION_MARK = ":"
+VERSION_SEPARATOR = ":"
 
 _DROPPED_HEADERS = frozenset(
     {
@@ -47,7 +47,7 @@
         REPEATABLE_HEADER.lower(),
     }
 )
-_CLASSES = {
+_PRIORITIES = {
     "interactive": Priority.INTERACTIVE,
     "normal": Priority.NORMAL,
     "bulk": Priority.BULK,
@@ -91,10 +91,10 @@
     The body's `model` is `NAME` or `NAME:VERSION`; without a version, the allowed pool
     of the highest version is chosen.
     """
-    model = _model_of(body)
+    model = _requested_model(body)
     if model is None:
         return NotRun(Reason.MALFORMED_BODY)
-    name, _, version = model.partition(VERSION_MARK)
+    name, _, version = model.partition(VERSION_SEPARATOR)
     pools = [
         pool
         for pool in configuration.pools.values()
@@ -157,18 +157,18 @@
         default_deadline: Milliseconds for callers that name none.
     """
     deadline = _deadline(headers, default_deadline)
-    priority = _CLASSES.get(headers.get(CLASS_HEADER, "normal").lower())
-    marked = headers.get(REPEATABLE_HEADER, "yes").lower()
+    priority = _PRIORITIES.get(headers.get(CLASS_HEADER, "normal").lower())
+    repeatable_header = headers.get(REPEATABLE_HEADER, "yes").lower()
     key = headers.get(KEY_HEADER, "")
     if (
-        not _is_text(path, *headers.values())
+        not _is_encodable(path, *headers.values())
         or deadline is None
         or priority is None
-        or marked not in ("yes", "no")
+        or repeatable_header not in ("yes", "no")
         or len(key) > MAX_KEY_LENGTH
     ):
         return NotRun(Reason.MALFORMED_HEADER)
-    ruled = configuration.must_not_repeat(account.name, pool.name, path)
+    never_repeat = configuration.must_not_repeat(account.name, pool.name, path)
     req = CallerRequest(
         account=account.name,
         pool=pool.name,
@@ -178,13 +178,13 @@
         body=body,
         priority=priority,
         deadline=now + deadline,
-        repeatable=marked == "yes" and not ruled,
+        repeatable=repeatable_header == "yes" and not never_repeat,
         arrived=now,
     )
     return Admitted(req, key, _digest(pool.name, method, path, body))
 
 
-def _model_of(body: bytes) -> str | None:
+def _requested_model(body: bytes) -> str | None:
     try:
         parsed = json.loads(body)
     except (ValueError, RecursionError):
@@ -202,7 +202,7 @@
     return min(int(text), MAX_DEADLINE)
 
 
-def _is_text(*values: str) -> bool:
+def _is_encodable(*values: str) -> bool:
     """Tell whether values can be encoded: an HTTP library may let odd bytes in."""
     try:
         "".join(values).encode()
--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -11,8 +11,7 @@
 
 from leadseam.clock import Clock
 from leadseam.control.claims import MAX_STORED_BODY, Verdict
-from leadseam.entry.error_responses import error_response, outcome_name
-from leadseam.entry.intake import (
+from leadseam.entry.admission import (
     Admitted,
     admit,
     authenticate,
@@ -20,6 +19,7 @@
     route_model,
     route_service,
 )
+from leadseam.entry.error_responses import error_response, outcome_name
 from leadseam.entry.relay import CallerGoneError, Relay
 from leadseam.entry.retry import RetryBudget
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
