--- a/src/leadseam/entry/queue.py
+++ b/src/leadseam/entry/queue.py
@@ -29,23 +29,23 @@
 class _DrainRate:
     """How fast a queue empties, as a decaying count."""
 
-    taken: float = 0.0
-    at: Millis = 0
+    count_taken: float = 0.0
+    updated: Millis = 0
 
-    def note(self, now: Millis) -> None:
-        self.taken = self._decayed(now) + 1
-        self.at = now
+    def record(self, now: Millis) -> None:
+        self.count_taken = self._decayed(now) + 1
+        self.updated = now
 
-    def millis_for(self, count: int, now: Millis) -> Millis:
+    def estimate_time(self, count: int, now: Millis) -> Millis:
         """Estimate how long `count` requests take."""
-        taken = self._decayed(now)
-        if taken < 1:
+        count_taken = self._decayed(now)
+        if count_taken < 1:
             return MAX_RETRY_AFTER
-        return round(count * RATE_WINDOW / taken)
+        return round(count * RATE_WINDOW / count_taken)
 
     def _decayed(self, now: Millis) -> float:
-        left = max(0.0, 1 - (now - self.at) / RATE_WINDOW)
-        return self.taken * left
+        left = max(0.0, 1 - (now - self.updated) / RATE_WINDOW)
+        return self.count_taken * left
 
 
 class WaitingQueue:
@@ -108,7 +108,7 @@
         if item is None:
             return None
         self.remove(item)
-        self._rates[key].note(now)
+        self._rates[key].record(now)
         return item
 
     def remove(self, item: WaitingRequest) -> None:
@@ -127,7 +127,7 @@
         """Return the number of waiting requests of a queue."""
         return len(self._queues.get(key, ()))
 
-    def count_for(self, key: QueueKey, upstream: str) -> int:
+    def count_allowed(self, key: QueueKey, upstream: str) -> int:
         """Return how many of them may go to an upstream."""
         queue = self._queues.get(key, ())
         return sum(upstream not in item.avoid for item in queue)
@@ -145,7 +145,7 @@
             len(queue) for key, queue in self._queues.items() if key.account == account
         )
 
-    def oldest(self, key: QueueKey) -> Millis:
+    def oldest_arrival(self, key: QueueKey) -> Millis:
         """Return when the oldest request of a non-empty queue arrived."""
         return min(item.req.arrived for item in self._queues[key])
 
@@ -154,5 +154,5 @@
         return [key for key in self._queues if key.pool == pool]
 
     def _retry_after(self, key: QueueKey, now: Millis) -> Millis:
-        estimate = self._rates[key].millis_for(self.count(key), now)
+        estimate = self._rates[key].estimate_time(self.count(key), now)
         return min(max(estimate, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecars.py
@@ -312,9 +312,9 @@
     def _row(self, account: str) -> BacklogRow | None:
         queue = self._dispatcher.queue
         key = QueueKey(self.upstream.pool, account)
-        waiting = queue.count_for(key, self.upstream.name)
+        waiting = queue.count_allowed(key, self.upstream.name)
         if waiting == self._announced.get(account, 0):
             return None
         self._announced[account] = waiting
-        age = self._dispatcher.now() - queue.oldest(key) if waiting else 0
+        age = self._dispatcher.now() - queue.oldest_arrival(key) if waiting else 0
         return BacklogRow(account, waiting, age)
