--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -223,8 +223,8 @@
         match outcome:
             case NotRun():
                 self._feed.claims.release(ClaimRelease(account, key, owner))
-            case Answered(status=status) if len(relay.kept) <= MAX_STORED_BODY:
-                body = bytes(relay.kept)
+            case Answered(status=status) if len(relay.stored_body) <= MAX_STORED_BODY:
+                body = bytes(relay.stored_body)
                 done = ClaimDone(account, key, owner, status, relay.content_type, body)
                 self._feed.claims.complete(done)
             case _:
--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -39,8 +39,8 @@
     from leadseam.settings.models import EntryLimits
 
 EVENT_STREAM = "text/event-stream"
-MAX_KEPT_BODY = 4_096
-HELD_BYTES = 64 * 1024
+MAX_STORED_BODY_PART = 4_096
+MAX_HELD_BYTES = 64 * 1024
 DEADLINE_GRACE: Millis = 50
 CREDIT_PARTS = 4
 
@@ -76,7 +76,7 @@
         outlives_caller: bool,
     ) -> None:
         self.response: web.StreamResponse | None = None
-        self.kept = bytearray()
+        self.stored_body = bytearray()
         self.content_type = ""
         self._http = http
         self._req = req
@@ -89,8 +89,8 @@
         self._attempts = 0
         self._outlives_caller = outlives_caller
         self._uncredited = 0
-        self._held: deque[AttemptEvent] = deque()
-        self._last_sidecar = ""
+        self._buffered: deque[AttemptEvent] = deque()
+        self._last_upstream = ""
 
     async def run(self) -> Outcome:
         """Carry the request to its outcome.
@@ -104,16 +104,16 @@
             return await self._attempt_until_done(admitted)
         finally:
             self._dispatcher.withdraw(admitted)
-            self._drop_attempt()
+            self._cancel_attempt()
 
     async def _attempt_until_done(self, item: WaitingRequest) -> Outcome:
         while True:
             if not await self._wait_for_grant(item):
                 return NotRun(Reason.DEADLINE_PASSED)
-            ending = await self._first_sign(item)
+            ending = await self._wait_for_head(item)
             decision = decide(self._req, ending)
             if isinstance(decision, Deliver) and isinstance(ending, Head):
-                broken = await self._hold(item, ending)
+                broken = await self._buffer_small_answer(item, ending)
                 if broken is not None:
                     ending, decision = broken, decide(self._req, broken)
             match decision:
@@ -138,11 +138,11 @@
             event = item.events.get_nowait()
         assert isinstance(event, Dispatched)
         self._dispatched = event
-        self._last_sidecar = event.link.upstream.name
+        self._last_upstream = event.link.upstream.name
         self._attempts += 1
         return True
 
-    async def _first_sign(self, item: WaitingRequest) -> Ending:
+    async def _wait_for_head(self, item: WaitingRequest) -> Ending:
         """Wait until the attempt has a head, or has ended without one."""
         while True:
             event = await self._next_event(item)
@@ -157,7 +157,9 @@
                 case _:
                     raise AssertionError(f"unexpected {event!r}")
 
-    async def _hold(self, item: WaitingRequest, head: Head) -> Final | LinkLost | None:
+    async def _buffer_small_answer(
+        self, item: WaitingRequest, head: Head
+    ) -> Final | LinkLost | None:
         """Wait for the end of a small answer before the caller gets a byte of it.
 
         Until then a lost answer can be tried again, or be reported in full. Event
@@ -169,17 +171,17 @@
         size = 0
         if _content_type(head).startswith(EVENT_STREAM):
             return None
-        while size < HELD_BYTES:
+        while size < MAX_HELD_BYTES:
             event = await self._receive(item)
             match event:
                 case Chunk(data=data):
-                    self._held.append(event)
+                    self._buffered.append(event)
                     size += len(data)
                 case Final(error=""):
-                    self._held.append(event)
+                    self._buffered.append(event)
                     return None
                 case Final() | LinkLost():
-                    self._held.clear()
+                    self._buffered.clear()
                     self._dispatched = None
                     return event
                 case _:
@@ -188,7 +190,7 @@
 
     async def _next_event(self, item: WaitingRequest) -> AttemptEvent:
         """Return the next event, those held first."""
-        return self._held.popleft() if self._held else await self._receive(item)
+        return self._buffered.popleft() if self._buffered else await self._receive(item)
 
     async def _receive(self, item: WaitingRequest) -> AttemptEvent:
         """Wait for an event; a deadline counts as a lost answer."""
@@ -197,7 +199,7 @@
             async with self._dispatcher.timeouts.until(limit):
                 return await item.events.get()
         except TimeoutError:
-            self._drop_attempt()
+            self._cancel_attempt()
             return Final(0, 0, 0, Reason.DEADLINE_PASSED, True)
 
     # Retries
@@ -217,13 +219,13 @@
 
     def _prepare_retry(self, item: WaitingRequest, retry: Retry) -> None:
         self._metrics.retries.inc({"reason": retry.reason})
-        if retry.avoid and self._last_sidecar:
-            item.avoid.add(self._last_sidecar)
-        self._drop_attempt()
+        if retry.avoid and self._last_upstream:
+            item.avoid.add(self._last_upstream)
+        self._cancel_attempt()
         item.events = asyncio.Queue()
         self._dispatcher.requeue(item)
 
-    def _drop_attempt(self) -> None:
+    def _cancel_attempt(self) -> None:
         if self._dispatched is not None:
             self._dispatched.link.cancel(self._dispatched.attempt)
             self._dispatched = None
@@ -242,27 +244,27 @@
     async def _stream(
         self, item: WaitingRequest, response: web.StreamResponse
     ) -> Outcome:
-        await self._towards_caller(response.prepare(self._http))
+        await self._write_to_caller(response.prepare(self._http))
         chunks = 0
         size = 0
         while True:
             event = await self._next_event(item)
             match event:
                 case Chunk(seq=seq, data=data) if seq == chunks:
-                    await self._towards_caller(response.write(data))
-                    self._keep(data)
-                    self._credit(len(data))
+                    await self._write_to_caller(response.write(data))
+                    self._store_body(data)
+                    self._return_credit(len(data))
                     chunks += 1
                     size += len(data)
                 case Final(error="") if (event.chunks, event.size) == (chunks, size):
                     self._dispatched = None
-                    await self._towards_caller(response.write_eof())
+                    await self._write_to_caller(response.write_eof())
                     self._budget.succeeded()
                     return Answered(response.status)
                 case _:
-                    return await self._break_off(response, event)
+                    return await self._abort_response(response, event)
 
-    async def _towards_caller(self, writing: Awaitable[object]) -> None:
+    async def _write_to_caller(self, writing: Awaitable[object]) -> None:
         """Write to the caller.
 
         Raises:
@@ -274,7 +276,7 @@
             if not self._outlives_caller:
                 raise CallerGoneError from exc
 
-    async def _break_off(
+    async def _abort_response(
         self, response: web.StreamResponse, event: AttemptEvent
     ) -> Outcome:
         """End a response so that no caller can take it for a whole one."""
@@ -295,11 +297,11 @@
             self._http.transport.abort()
         return outcome
 
-    def _keep(self, data: bytes) -> None:
-        if len(self.kept) <= MAX_KEPT_BODY:
-            self.kept += data
+    def _store_body(self, data: bytes) -> None:
+        if len(self.stored_body) <= MAX_STORED_BODY_PART:
+            self.stored_body += data
 
-    def _credit(self, size: int) -> None:
+    def _return_credit(self, size: int) -> None:
         """Give credit back in parts of the window, not chunk by chunk."""
         self._uncredited += size
         due = self._uncredited * CREDIT_PARTS >= self._limits.window_bytes
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -101,7 +101,7 @@
     Variant(
         "a broken answer ends like a whole one",
         "entry/relay.py",
-        "                    return await self._break_off(response, event)",
+        "                    return await self._abort_response(response, event)",
         "                    await response.write_eof()\n"
         "                    return Answered(response.status)",
         f"{WHOLE}::test_upstream_cut_in_mid_stream_is_an_explicit_error",
