--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -25,7 +25,7 @@
     Retry,
     RetryBudget,
     decide,
-    exhausted,
+    outcome_without_retry,
 )
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from leadseam.wire.dispatch import Accepted, Chunk, Final, Head, Refused
@@ -120,11 +120,11 @@
                 case Deliver():
                     return await self._deliver(item, ending)
                 case Finish(outcome=outcome):
-                    self._budget.failed()
+                    self._budget.record_failure()
                     return outcome
                 case Retry():
                     if not self._may_retry(decision):
-                        return exhausted(self._req, ending)
+                        return outcome_without_retry(self._req, ending)
                     self._prepare_retry(item, decision)
 
     async def _wait_for_grant(self, item: WaitingRequest) -> bool:
@@ -205,9 +205,9 @@
     # Retries
 
     def _may_retry(self, retry: Retry) -> bool:
-        if not retry.costs:
+        if not retry.uses_budget:
             return self._clock.now() < self._req.deadline
-        self._budget.failed()
+        self._budget.record_failure()
         allowed = (
             self._attempts < self._limits.max_attempts
             and self._budget.allows()
@@ -259,7 +259,7 @@
                 case Final(error="") if (event.chunks, event.size) == (chunks, size):
                     self._dispatched = None
                     await self._write_to_caller(response.write_eof())
-                    self._budget.succeeded()
+                    self._budget.record_success()
                     return Answered(response.status)
                 case _:
                     return await self._abort_response(response, event)
@@ -280,7 +280,7 @@
         self, response: web.StreamResponse, event: AttemptEvent
     ) -> Outcome:
         """End a response so that no caller can take it for a whole one."""
-        self._budget.failed()
+        self._budget.record_failure()
         reason = Reason.UPSTREAM_BROKEN
         match event:
             case Final(error=error) if error:
--- a/src/leadseam/entry/retry.py
+++ b/src/leadseam/entry/retry.py
@@ -28,7 +28,7 @@
 
     reason: str
     avoid: bool
-    costs: bool
+    uses_budget: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,13 +59,13 @@
     """
     match ending:
         case Refused(reason=reason):
-            return Retry(reason, avoid=False, costs=False)
+            return Retry(reason, avoid=False, uses_budget=False)
         case NeverStarted():
-            return Retry("link_lost", avoid=True, costs=False)
+            return Retry("link_lost", avoid=True, uses_budget=False)
         case Final(started=False, error=error):
-            return Retry(error, avoid=True, costs=True)
+            return Retry(error, avoid=True, uses_budget=True)
         case LinkLost():
-            return _ran(req, Reason.LINK_LOST, Unknown(Reason.LINK_LOST))
+            return _decide_after_start(req, Reason.LINK_LOST, Unknown(Reason.LINK_LOST))
         case Final(error=Reason.DEADLINE_PASSED):
             outcome: Outcome = Failed(Reason.DEADLINE_PASSED)
             return Finish(
@@ -74,20 +74,22 @@
         case Final(error=error) if error:
             reason = Reason(error)
             outcome = Failed(reason) if req.repeatable else Unknown(reason)
-            return _ran(req, reason, outcome)
+            return _decide_after_start(req, reason, outcome)
         case Head(status=status) if status in RETRY_STATUSES and req.repeatable:
-            return Retry(f"status_{status}", avoid=True, costs=True)
+            return Retry(f"status_{status}", avoid=True, uses_budget=True)
         case _:
             return Deliver()
 
 
-def _ran(req: CallerRequest, reason: Reason, outcome: Outcome) -> Decision:
+def _decide_after_start(
+    req: CallerRequest, reason: Reason, outcome: Outcome
+) -> Decision:
     if req.repeatable:
-        return Retry(reason.value, avoid=True, costs=True)
+        return Retry(reason.value, avoid=True, uses_budget=True)
     return Finish(outcome)
 
 
-def exhausted(req: CallerRequest, ending: Ending) -> Outcome:
+def outcome_without_retry(req: CallerRequest, ending: Ending) -> Outcome:
     """Return the outcome when a retry is wanted but not allowed."""
     match ending:
         case Refused() | NeverStarted() | Final(started=False):
@@ -121,10 +123,10 @@
         """Tell whether a retry may be made now."""
         return self._tokens > self._size / 2
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note an attempt that ended well."""
         self._tokens = min(self._tokens + self._ratio, self._size)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Note an attempt that failed."""
         self._tokens = max(self._tokens - 1, 0)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -12,7 +12,7 @@
     Retry,
     RetryBudget,
     decide,
-    exhausted,
+    outcome_without_retry,
 )
 from leadseam.outcome import Failed, NotRun, Reason, Unknown
 from leadseam.wire.dispatch import Final, Head, Refused
@@ -52,13 +52,13 @@
 ) -> None:
     req = request(repeatable=repeatable)
     assert isinstance(decide(req, ending), Retry)
-    assert isinstance(exhausted(req, ending), NotRun)
+    assert isinstance(outcome_without_retry(req, ending), NotRun)
 
 
 def test_repeatable_work_is_retried_elsewhere() -> None:
     decision = decide(request(repeatable=True), BROKEN)
-    assert decision == Retry("upstream_broken", avoid=True, costs=True)
-    assert exhausted(request(repeatable=True), BROKEN) == Failed(
+    assert decision == Retry("upstream_broken", avoid=True, uses_budget=True)
+    assert outcome_without_retry(request(repeatable=True), BROKEN) == Failed(
         Reason.RETRIES_EXHAUSTED
     )
 
@@ -74,9 +74,9 @@
     budget = RetryBudget(size=10, ratio=0.5)
     allowed = 0
     for _ in range(100):
-        budget.failed()
+        budget.record_failure()
         allowed += budget.allows()
     assert allowed == 4
     for _ in range(12):
-        budget.succeeded()
+        budget.record_success()
     assert budget.allows()
