--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -10,7 +10,7 @@
 from leadseam.control.configuration import Configuration
 from leadseam.entry.queue import QueueKey, WaitingQueue
 from leadseam.entry.request import WaitingRequest
-from leadseam.entry.sidecars import SidecarLink
+from leadseam.entry.sidecar_link import SidecarLink
 from leadseam.fairness.merge import ServiceMerge
 from leadseam.outcome import NotRun, Reason
 from leadseam.runtime.tasks import spawn
@@ -72,7 +72,7 @@
         while True:
             await sleep(REPORT_INTERVAL)
             for link in self._links.values():
-                link.report_others()
+                link.send_others_service()
             self._update_gauges()
 
     def configure(self, configuration: Configuration) -> None:
--- a/src/leadseam/entry/request.py
+++ b/src/leadseam/entry/request.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from leadseam.clock import Millis
-    from leadseam.entry.sidecars import SidecarLink
+    from leadseam.entry.sidecar_link import SidecarLink
 
 
 class Priority(IntEnum):
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecar_link.py
@@ -40,9 +40,9 @@
     from leadseam.wire.link import Link
     from leadseam.wire.messages import AnyMessage
 
-QUERY_LIMIT: Millis = 2_500
-FALL_INTERVAL: Millis = 50
-RISE_INTERVAL: Millis = 2
+QUERY_TIMEOUT: Millis = 2_500
+FALLING_FLUSH_DELAY: Millis = 50
+MIN_FLUSH_INTERVAL: Millis = 2
 
 _UNKNOWN = -1
 
@@ -66,10 +66,10 @@
         self._backoff = Backoff()
         self._attempts: dict[int, tuple[WaitingRequest, bool]] = {}
         self._lost: dict[int, tuple[WaitingRequest, int]] = {}
-        self._announced: dict[str, int] = {}
+        self._sent_counts: dict[str, int] = {}
         self._dirty: set[str] = set()
         self._flush_task: asyncio.Task[None] | None = None
-        self._flush_soon = asyncio.Event()
+        self._flush_due = asyncio.Event()
         self._flush_timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
@@ -105,11 +105,11 @@
         """
         self._dirty.add(account)
         if urgent:
-            self._flush_soon.set()
+            self._flush_due.set()
         else:
             self._flush_later()
 
-    def report_others(self) -> None:
+    def send_others_service(self) -> None:
         """Tell the sidecar what others gave the accounts that wait here."""
         if self._link is None:
             return
@@ -158,12 +158,12 @@
             self.upstream.name, hello.incarnation
         )
         self._link = link
-        self._announced = {}
+        self._sent_counts = {}
         for key in self._dispatcher.queue.keys(self.upstream.pool):
             self._dirty.add(key.account)
-        self._flush_soon.set()
+        self._flush_due.set()
         self._flush_task = spawn(self._flush_loop(link))
-        self._ask_about_lost(link)
+        self._query_lost_attempts(link)
 
     def _close(self, link: Link) -> None:
         self._link = None
@@ -172,29 +172,31 @@
             self._flush_task.cancel()
         attempts, self._attempts = self._attempts, {}
         for attempt, (item, accepted) in attempts.items():
-            self._lose(attempt, item, accepted)
+            self._on_attempt_lost(attempt, item, accepted)
 
     # Attempts whose link broke
 
-    def _lose(self, attempt: int, item: WaitingRequest, accepted: bool) -> None:
+    def _on_attempt_lost(
+        self, attempt: int, item: WaitingRequest, accepted: bool
+    ) -> None:
         if accepted or item.req.repeatable:
             item.events.put_nowait(LinkLost())
             return
         self._lost[attempt] = (item, self._incarnation)
-        spawn(self._give_up_later(attempt))
+        spawn(self._expire_lost(attempt))
 
-    def _ask_about_lost(self, link: Link) -> None:
+    def _query_lost_attempts(self, link: Link) -> None:
         for attempt, (_, incarnation) in list(self._lost.items()):
             if incarnation == self._incarnation:
                 link.send(Query(attempt))
             else:
-                self._end_lost(attempt, started=True)
+                self._resolve_lost(attempt, started=True)
 
-    async def _give_up_later(self, attempt: int) -> None:
-        await sleep(QUERY_LIMIT)
-        self._end_lost(attempt, started=True)
+    async def _expire_lost(self, attempt: int) -> None:
+        await sleep(QUERY_TIMEOUT)
+        self._resolve_lost(attempt, started=True)
 
-    def _end_lost(self, attempt: int, *, started: bool) -> None:
+    def _resolve_lost(self, attempt: int, *, started: bool) -> None:
         item, _ = self._lost.pop(attempt, (None, 0))
         if item is not None:
             item.events.put_nowait(LinkLost() if started else NeverStarted())
@@ -204,11 +206,11 @@
     def _handle(self, message: AnyMessage) -> None:
         match message:
             case Chunk() | Head():
-                self._pass_on(message.attempt, message)
+                self._forward(message.attempt, message)
             case Accepted(attempt=attempt):
                 self._accept(attempt, message)
             case Final() | Refused():
-                self._pass_on(message.attempt, message)
+                self._forward(message.attempt, message)
                 self._attempts.pop(message.attempt, None)
             case Grant():
                 self._on_grant(message)
@@ -223,7 +225,7 @@
                 self.leaving = True
                 self._dispatcher.on_health_change()
             case QueryReply(attempt=attempt, started=started):
-                self._end_lost(attempt, started=started)
+                self._resolve_lost(attempt, started=started)
             case _:
                 return
 
@@ -233,7 +235,7 @@
             self._attempts[attempt] = (item, True)
             item.events.put_nowait(message)
 
-    def _pass_on(self, attempt: int, message: Chunk | Head | Final | Refused) -> None:
+    def _forward(self, attempt: int, message: Chunk | Head | Final | Refused) -> None:
         if attempt in self._attempts:
             item, _ = self._attempts[attempt]
             item.events.put_nowait(message)
@@ -245,13 +247,13 @@
         if item is None:
             self._dispatcher.metrics.grants_declined.inc({})
             self._link.send(Decline(grant.grant))
-            self._forget_announced(grant.account)
+            self._invalidate_sent_count(grant.account)
             return
         attempt = self._dispatcher.next_attempt()
         self._attempts[attempt] = (item, False)
         item.events.put_nowait(Dispatched(self, attempt))
         self._link.send(self._dispatch(attempt, grant.grant, item))
-        self._forget_announced(grant.account)
+        self._invalidate_sent_count(grant.account)
 
     def _dispatch(self, attempt: int, grant: int, item: WaitingRequest) -> Dispatch:
         req = item.req
@@ -271,31 +273,31 @@
 
     # Backlog
 
-    def _forget_announced(self, account: str) -> None:
+    def _invalidate_sent_count(self, account: str) -> None:
         """Have a row sent even if the count is as last announced.
 
         The sidecar counts a used or declined grant off its own copy of the row.
         """
-        self._announced[account] = _UNKNOWN
+        self._sent_counts[account] = _UNKNOWN
         self._dirty.add(account)
         self._flush_later()
 
     def _flush_later(self) -> None:
         if self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            delay = seconds(FALL_INTERVAL)
-            self._flush_timer = loop.call_later(delay, self._flush_soon.set)
+            delay = seconds(FALLING_FLUSH_DELAY)
+            self._flush_timer = loop.call_later(delay, self._flush_due.set)
 
     async def _flush_loop(self, link: Link) -> None:
         """Send changed rows: urgent ones at once, the others now and then."""
         while True:
-            await self._flush_soon.wait()
-            self._flush_soon.clear()
+            await self._flush_due.wait()
+            self._flush_due.clear()
             if self._flush_timer is not None:
                 self._flush_timer.cancel()
                 self._flush_timer = None
             self._flush(link)
-            await sleep(RISE_INTERVAL)
+            await sleep(MIN_FLUSH_INTERVAL)
 
     def _flush(self, link: Link) -> None:
         dirty, self._dirty = self._dirty, set()
@@ -304,17 +306,17 @@
             # A sidecar judges a new account by what the others gave it.
             accounts = [row.account for row in rows if row.waiting]
             merge = self._dispatcher.merge(self.upstream.pool)
-            news = merge.report_unsent(self.upstream.name, accounts)
-            if news:
-                link.send(OthersService(news))
+            unsent = merge.report_unsent(self.upstream.name, accounts)
+            if unsent:
+                link.send(OthersService(unsent))
             link.send(Backlog(tuple(rows)))
 
     def _row(self, account: str) -> BacklogRow | None:
         queue = self._dispatcher.queue
         key = QueueKey(self.upstream.pool, account)
         waiting = queue.count_allowed(key, self.upstream.name)
-        if waiting == self._announced.get(account, 0):
+        if waiting == self._sent_counts.get(account, 0):
             return None
-        self._announced[account] = waiting
+        self._sent_counts[account] = waiting
         age = self._dispatcher.now() - queue.oldest_arrival(key) if waiting else 0
         return BacklogRow(account, waiting, age)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -48,7 +48,7 @@
     ),
     Variant(
         "a lost link counts as not run",
-        "entry/sidecars.py",
+        "entry/sidecar_link.py",
         "item.events.put_nowait(LinkLost() if started else NeverStarted())",
         "item.events.put_nowait(NeverStarted())",
         f"{AT_MOST_ONCE}::test_signs_of_a_started_call_are_held_back",
