--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -89,7 +89,7 @@
         self._gate = Gate()
         self._attempts = AttemptTable()
         self._peers: dict[str, EntryPeer] = {}
-        self._last_free: SlotStatus | None = None
+        self._last_slot_status: SlotStatus | None = None
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -185,7 +185,7 @@
         self._peers[peer.hello.node] = peer
         peer.link.send(Hello(self._node, self._incarnation))
         peer.link.send(Service(self._ledger.all_rows()))
-        peer.link.send(self._free())
+        peer.link.send(self._slot_status())
         if self.leaving:
             peer.link.send(Leaving())
 
@@ -219,7 +219,7 @@
                 if (running := peer.running.get(attempt)) is not None:
                     self._abandon(running)
             case Query(attempt=attempt):
-                started = self._attempts.has_started(self._key(peer, attempt))
+                started = self._attempts.has_started(self._attempt_key(peer, attempt))
                 peer.link.send(QueryReply(attempt, started))
             case _:
                 return
@@ -228,7 +228,7 @@
 
     def _dispatch(self, peer: EntryPeer, req: Dispatch) -> None:
         lease = self._scheduler.start(peer.hello.node, req.grant, req.account)
-        key = self._key(peer, req.attempt)
+        key = self._attempt_key(peer, req.attempt)
         refusal = self._refusal(lease, key)
         if refusal is not None:
             self._refuse(peer, req, key, refusal)
@@ -244,7 +244,7 @@
         running.task = spawn(self._run(peer, running))
         # A task cancelled before its first step never enters its own `finally`.
         running.task.add_done_callback(
-            lambda task: self._end(peer, running, key, final_of(running, task))
+            lambda task: self._end_attempt(peer, running, key, final_of(running, task))
         )
 
     def _refusal(self, lease: Lease | None, key: AttemptKey) -> RefusalReason | None:
@@ -283,7 +283,7 @@
                 running.req, window=running.window, send=send, charge=charge
             )
 
-    def _end(
+    def _end_attempt(
         self,
         peer: EntryPeer,
         running: RunningAttempt,
@@ -299,7 +299,7 @@
         self._metrics.attempts.inc({"ending": ending})
         if final is not None:
             peer.link.send(final)
-            self._note_health(final)
+            self._record_health(final)
         self._grant()
         if self._scheduler.is_idle():
             self._idle.set()
@@ -325,7 +325,7 @@
         elif running.task is not None:
             running.task.cancel()
 
-    def _note_health(self, final: Final) -> None:
+    def _record_health(self, final: Final) -> None:
         match final.error:
             case "":
                 self.breaker.request_succeeded()
@@ -351,14 +351,14 @@
         self._scheduler.slots = slots
         self._gate.resize(slots)
         self._scheduler.open = not (self.leaving or draining)
-        free = self._free()
-        if free != self._last_free:
-            self._last_free = free
+        slot_status = self._slot_status()
+        if slot_status != self._last_slot_status:
+            self._last_slot_status = slot_status
             for peer in self._peers.values():
-                peer.link.send(free)
+                peer.link.send(slot_status)
         self._grant()
 
-    def _free(self) -> SlotStatus:
+    def _slot_status(self) -> SlotStatus:
         healthy = self._scheduler.open and self._scheduler.slots > 0
         return SlotStatus(self._scheduler.slots, healthy)
 
@@ -366,7 +366,7 @@
         row = self._configuration.accounts.get(account)
         return row.share if row is not None else 1
 
-    def _key(self, peer: EntryPeer, attempt: int) -> AttemptKey:
+    def _attempt_key(self, peer: EntryPeer, attempt: int) -> AttemptKey:
         return AttemptKey(peer.hello.node, peer.hello.incarnation, attempt)
 
     # Periodic work
