--- a/src/leadseam/sidecar/breaker.py
+++ b/src/leadseam/sidecar/breaker.py
@@ -54,7 +54,7 @@
         """Note that the upstream failed a request."""
         self._failures += 1
         if self.health is Health.TRIAL or self._failures >= MAX_FAILURES:
-            self._take_out(now)
+            self._take_out_of_service(now)
 
     def probe_succeeded(self, now: Millis) -> None:
         """Note a good probe: after the pause, one request may try."""
@@ -67,9 +67,9 @@
         """Note a failed probe; two in a row take the upstream out."""
         self._failures += 1
         if self._failures >= MAX_FAILURES - 1:
-            self._take_out(now)
+            self._take_out_of_service(now)
 
-    def _take_out(self, now: Millis) -> None:
+    def _take_out_of_service(self, now: Millis) -> None:
         if self.health is Health.OUT:
             return
         self.health = Health.OUT
