--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -16,9 +16,9 @@
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.sidecar.attempts import AttemptKey, AttemptState, AttemptTable
 from leadseam.sidecar.breaker import Breaker, Health
-from leadseam.sidecar.gate import Gate
-from leadseam.sidecar.running import EntryPeer, RunningAttempt, final_of
+from leadseam.sidecar.running_attempt import EntryPeer, RunningAttempt, final_message
 from leadseam.sidecar.scheduler import Scheduler
+from leadseam.sidecar.semaphore import ResizableSemaphore
 from leadseam.sidecar.upstream import UpstreamAddress, UpstreamClient, Window
 from leadseam.wire.dispatch import (
     Accepted,
@@ -86,7 +86,7 @@
         self._timeouts = Timeouts(clock)
         self._ledger = Ledger()
         self._scheduler = Scheduler(self._ledger, Picker(self._ledger), self._share_of)
-        self._gate = Gate()
+        self._slot_semaphore = ResizableSemaphore()
         self._attempts = AttemptTable()
         self._peers: dict[str, EntryPeer] = {}
         self._last_slot_status: SlotStatus | None = None
@@ -199,7 +199,7 @@
         self._grant()
 
     def _handle(self, peer: EntryPeer, message: AnyMessage) -> None:
-        self._scheduler.heard(peer.hello.node)
+        self._scheduler.mark_responsive(peer.hello.node)
         match message:
             case Backlog(rows=rows):
                 for row in rows:
@@ -214,7 +214,7 @@
                 self._scheduler.decline(peer.hello.node, grant)
             case Credit(attempt=attempt, size=size):
                 if (running := peer.running.get(attempt)) is not None:
-                    running.window.give(size)
+                    running.window.add_credit(size)
             case Cancel(attempt=attempt):
                 if (running := peer.running.get(attempt)) is not None:
                     self._abandon(running)
@@ -244,7 +244,9 @@
         running.task = spawn(self._run(peer, running))
         # A task cancelled before its first step never enters its own `finally`.
         running.task.add_done_callback(
-            lambda task: self._end_attempt(peer, running, key, final_of(running, task))
+            lambda task: self._end_attempt(
+                peer, running, key, final_message(running, task)
+            )
         )
 
     def _refusal(self, lease: Lease | None, key: AttemptKey) -> RefusalReason | None:
@@ -277,8 +279,8 @@
         def charge(service: int) -> None:
             self._charge(running, service)
 
-        async with self._gate:
-            running.entered = True
+        async with self._slot_semaphore:
+            running.may_have_started = True
             return await self._upstream.run(
                 running.req, window=running.window, send=send, charge=charge
             )
@@ -321,7 +323,7 @@
     def _abandon(self, running: RunningAttempt) -> None:
         """Stop work that nobody waits for, unless it must run to its end."""
         if not running.req.repeatable:
-            running.window.open()
+            running.window.remove_limit()
         elif running.task is not None:
             running.task.cancel()
 
@@ -349,7 +351,7 @@
         slots = self.breaker.allowed_slots(row.slots) if row is not None else 0
         draining = row is None or row.draining
         self._scheduler.slots = slots
-        self._gate.resize(slots)
+        self._slot_semaphore.resize(slots)
         self._scheduler.open = not (self.leaving or draining)
         slot_status = self._slot_status()
         if slot_status != self._last_slot_status:
@@ -415,9 +417,9 @@
         """
         for peer in self._peers.values():
             for running in peer.running.values():
-                may_end = running.req.repeatable or not running.entered
+                may_end = running.req.repeatable or not running.may_have_started
                 if may_end and running.task is not None:
-                    running.broken = True
+                    running.ended_as_hanging = True
                     running.task.cancel()
 
     async def _retire(self, upstream: UpstreamClient) -> None:
--- a/src/leadseam/sidecar/meter.py
+++ b/src/leadseam/sidecar/meter.py
@@ -59,7 +59,7 @@
     """Charges a streamed completion by its events, corrected by its usage record."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
         self._events = 0
         self._usage: int | None = None
         self._done = False
@@ -71,8 +71,8 @@
 
     def feed(self, data: bytes, now: Millis) -> int:
         """Charge one output token for each event."""
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()[-MAX_LINE:]
+        lines = (self._partial_line + data).split(b"\n")
+        self._partial_line = lines.pop()[-MAX_LINE:]
         events = sum(self._is_event(line) for line in lines)
         self._events += events
         return events * OUTPUT_TOKEN
--- a/src/leadseam/sidecar/running.py
+++ b/src/leadseam/sidecar/running_attempt.py
@@ -53,16 +53,16 @@
     window: Window
     service: int = 0
     released: int = 0
-    entered: bool = False
-    broken: bool = False
+    may_have_started: bool = False
+    ended_as_hanging: bool = False
     task: asyncio.Task[Final] | None = None
 
 
-def final_of(running: RunningAttempt, task: asyncio.Task[Final]) -> Final | None:
+def final_message(running: RunningAttempt, task: asyncio.Task[Final]) -> Final | None:
     """Return what to tell the entry, or None if nobody wants to know."""
     if not task.cancelled() and task.exception() is None:
         return task.result()
-    if task.cancelled() and not running.broken:
+    if task.cancelled() and not running.ended_as_hanging:
         return None
     reason = Reason.UPSTREAM_BROKEN
-    return Final(running.req.attempt, 0, 0, reason, started=running.entered)
+    return Final(running.req.attempt, 0, 0, reason, started=running.may_have_started)
--- a/src/leadseam/sidecar/scheduler.py
+++ b/src/leadseam/sidecar/scheduler.py
@@ -15,9 +15,9 @@
     from leadseam.fairness.picker import Picker
     from leadseam.wire.dispatch import BacklogRow
 
-GRANT_LEASE: Millis = 500
-FIRST_ESTIMATE = 200
-AHEAD = 1
+LEASE_DURATION: Millis = 500
+INITIAL_ESTIMATE = 200
+PREFETCHED = 1
 ESTIMATE_WEIGHT = 0.2
 
 
@@ -51,9 +51,9 @@
 class _AccountState:
     queues: dict[str, _Queue] = field(default_factory=dict)
     running: int = 0
-    estimate: float = FIRST_ESTIMATE
+    estimate: float = INITIAL_ESTIMATE
 
-    def open_queues(self, silent: set[str]) -> list[tuple[Millis, str]]:
+    def open_queues(self, unresponsive: set[str]) -> list[tuple[Millis, str]]:
         """List entries with a request that no grant covers, by age of their oldest.
 
         Args:
@@ -62,7 +62,7 @@
         return [
             (queue.since, entry)
             for entry, queue in self.queues.items()
-            if queue.waiting > queue.granted and entry not in silent
+            if queue.waiting > queue.granted and entry not in unresponsive
         ]
 
 
@@ -86,7 +86,7 @@
         self._share_of = share_of
         self._accounts: dict[str, _AccountState] = {}
         self._leases: dict[int, Lease] = {}
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
         self._next_grant = 0
 
     def __repr__(self) -> str:
@@ -95,7 +95,7 @@
     @property
     def capacity(self) -> int:
         """Slots, and the requests fetched ahead so that none idles for a round trip."""
-        return self.slots + AHEAD if self.slots > 1 else self.slots
+        return self.slots + PREFETCHED if self.slots > 1 else self.slots
 
     @property
     def busy(self) -> int:
@@ -117,13 +117,13 @@
         due = [lease for lease in self._leases.values() if lease.expires <= now]
         for lease in due:
             # Its entry may be cut off: no more slots for it until it is heard.
-            self._silent.add(lease.entry)
-            self._end(lease)
+            self._unresponsive.add(lease.entry)
+            self._end_lease(lease)
         return due
 
-    def heard(self, entry: str) -> None:
+    def mark_responsive(self, entry: str) -> None:
         """Note that an entry has sent something."""
-        self._silent.discard(entry)
+        self._unresponsive.discard(entry)
 
     def set_backlog(self, entry: str, row: BacklogRow, now: Millis) -> None:
         """Take one row of an entry's backlog."""
@@ -145,7 +145,7 @@
     def drop_entry(self, entry: str) -> None:
         """Forget an entry whose link is lost, with its leases."""
         for lease in [held for held in self._leases.values() if held.entry == entry]:
-            self._end(lease)
+            self._end_lease(lease)
         for state in self._accounts.values():
             state.queues.pop(entry, None)
 
@@ -158,7 +158,7 @@
         if queue is not None:
             # The row that led to this grant was out of date.
             queue.waiting = min(queue.waiting, queue.granted - 1)
-        self._end(lease)
+        self._end_lease(lease)
 
     def start(self, entry: str, grant: int, account: str) -> Lease | None:
         """Turn a lease into a running request.
@@ -198,22 +198,22 @@
         return self.busy == 0
 
     def _eligible(self) -> list[str]:
-        silent = self._silent
+        unresponsive = self._unresponsive
         accounts = self._accounts.items()
-        return [name for name, state in accounts if state.open_queues(silent)]
+        return [name for name, state in accounts if state.open_queues(unresponsive)]
 
     def _grant(self, account: str, now: Millis) -> Lease:
         state = self._accounts[account]
-        _, entry = min(state.open_queues(self._silent))
+        _, entry = min(state.open_queues(self._unresponsive))
         state.queues[entry].granted += 1
         self._next_grant += 1
         reserved = normalise(round(state.estimate), self._share_of(account))
-        lease = Lease(self._next_grant, entry, account, reserved, now + GRANT_LEASE)
+        lease = Lease(self._next_grant, entry, account, reserved, now + LEASE_DURATION)
         self._leases[lease.grant] = lease
         self._ledger.reserve(account, reserved)
         return lease
 
-    def _end(self, lease: Lease) -> None:
+    def _end_lease(self, lease: Lease) -> None:
         del self._leases[lease.grant]
         self._ledger.reserve(lease.account, -lease.reserved)
         state = self._accounts[lease.account]
--- a/src/leadseam/sidecar/gate.py
+++ b/src/leadseam/sidecar/semaphore.py
@@ -10,26 +10,27 @@
     from types import TracebackType
 
 
-class Gate:
+class ResizableSemaphore:
     """A semaphore whose size may change while it is in use."""
 
     def __init__(self) -> None:
         self._size = 0
-        self._inside = 0
+        self._acquired = 0
         self._waiting: deque[asyncio.Future[None]] = deque()
 
     def __repr__(self) -> str:
-        return f"Gate({self._inside}/{self._size}, waiting={len(self._waiting)})"
+        waiting = len(self._waiting)
+        return f"ResizableSemaphore({self._acquired}/{self._size}, waiting={waiting})"
 
     def resize(self, size: int) -> None:
         """Set how many may be inside; those inside stay."""
         self._size = size
-        self._admit()
+        self._wake_waiters()
 
     async def __aenter__(self) -> None:
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(fut)
-        self._admit()
+        self._wake_waiters()
         try:
             await fut
         except asyncio.CancelledError:
@@ -42,21 +43,21 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._leave()
+        self._release()
 
-    def _admit(self) -> None:
-        while self._waiting and self._inside < self._size:
+    def _wake_waiters(self) -> None:
+        while self._waiting and self._acquired < self._size:
             fut = self._waiting.popleft()
             if not fut.done():
-                self._inside += 1
+                self._acquired += 1
                 fut.set_result(None)
 
     def _withdraw(self, fut: asyncio.Future[None]) -> None:
         if fut.done() and not fut.cancelled():
-            self._leave()
+            self._release()
         elif fut in self._waiting:
             self._waiting.remove(fut)
 
-    def _leave(self) -> None:
-        self._inside -= 1
-        self._admit()
+    def _release(self) -> None:
+        self._acquired -= 1
+        self._wake_waiters()
--- a/src/leadseam/sidecar/upstream.py
+++ b/src/leadseam/sidecar/upstream.py
@@ -73,20 +73,20 @@
         self._open = asyncio.Event()
         self._open.set()
 
-    async def take(self, size: int) -> None:
+    async def consume(self, size: int) -> None:
         """Wait for a positive window, then use some of it."""
         await self._open.wait()
         self._left -= size
         if self._left <= 0 and not self._unlimited:
             self._open.clear()
 
-    def give(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Add credit."""
         self._left += size
         if self._left > 0:
             self._open.set()
 
-    def open(self) -> None:
+    def remove_limit(self) -> None:
         """Take away the limit, as nobody reads what is sent."""
         self._unlimited = True
         self._open.set()
@@ -256,7 +256,7 @@
         self._charge(self._meter.feed(data, self._upstream.now()))
         for start in range(0, len(data), READ_SIZE):
             part = data[start : start + READ_SIZE]
-            await self._window.take(len(part))
+            await self._window.consume(len(part))
             self._send(Chunk(self._req.attempt, self._chunks, part))
             self._chunks += 1
             self._size += len(part)
--- a/src/leadseam/standin/engine.py
+++ b/src/leadseam/standin/engine.py
@@ -30,7 +30,7 @@
         self.started = 0
         self._busy = 0
         self._busy_time: Millis = 0
-        self._changed: Millis = 0
+        self._busy_changed: Millis = 0
         self._clock = SystemClock()
         self.cancelled = 0
         self._batch = asyncio.Semaphore(slots)
@@ -52,7 +52,7 @@
         return web.json_response({}, status=503 if self.mode == "dead" else 200)
 
     async def _show(self, _: web.Request) -> web.Response:
-        self._note_busy(0)
+        self._add_busy_time(0)
         values = {
             "started": self.started,
             "cancelled": self.cancelled,
@@ -79,20 +79,20 @@
                 return web.json_response({"error": "dead"}, status=503)
         try:
             async with self._batch:
-                self._note_busy(1)
+                self._add_busy_time(1)
                 try:
                     return await self._answer(http, body)
                 finally:
-                    self._note_busy(-1)
+                    self._add_busy_time(-1)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
 
-    def _note_busy(self, change: int) -> None:
+    def _add_busy_time(self, change: int) -> None:
         """Add up the milliseconds that slots were busy."""
         now = self._clock.now()
-        self._busy_time += self._busy * (now - self._changed)
-        self._changed = now
+        self._busy_time += self._busy * (now - self._busy_changed)
+        self._busy_changed = now
         self._busy += change
 
     async def _answer(
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -37,7 +37,7 @@
         fleet.add_entry(f"entry-{number}")
 
 
-async def print_slip(
+async def call_outcome(
     fleet: Fleet, entry: str, name: str, headers: dict[str, str] | None = None
 ) -> str:
     """Send one call and return its outcome, as the caller was told."""
@@ -54,11 +54,11 @@
     return outcome
 
 
-async def check(fleet: Fleet, told: dict[str, list[str]]) -> None:
+async def check(fleet: Fleet, reported: dict[str, list[str]]) -> None:
     """Hold every caller's outcomes against what truly ran."""
     runs = await fleet.runs()
     assert max(runs.values()) == 1
-    for name, outcomes in told.items():
+    for name, outcomes in reported.items():
         ran = runs.get(name, 0)
         if set(outcomes) == {"not_run"}:
             assert ran == 0, f"{name} was told not_run, but ran"
@@ -70,16 +70,16 @@
     fleet: Fleet, count: int, *, parallel: int, entries: int
 ) -> dict[str, list[str]]:
     """Send many calls, each once, and return what each caller was told."""
-    told: dict[str, list[str]] = {}
+    reported: dict[str, list[str]] = {}
     numbers = iter(range(count))
 
     async def caller() -> None:
         for number in numbers:
             entry = f"entry-{number % entries + 1}"
-            told[f"n{number}"] = [await print_slip(fleet, entry, f"n{number}")]
+            reported[f"n{number}"] = [await call_outcome(fleet, entry, f"n{number}")]
 
     await asyncio.gather(*(caller() for _ in range(parallel)))
-    return told
+    return reported
 
 
 async def test_links_cut_again_and_again(fleet: Fleet) -> None:
@@ -92,9 +92,9 @@
         await links[cuts % 2].cut()
         cuts += 1
         await asyncio.sleep(0.15)
-    told = await calls
-    await check(fleet, told)
-    counts = Counter(outcome for outcomes in told.values() for outcome in outcomes)
+    reported = await calls
+    await check(fleet, reported)
+    counts = Counter(outcome for outcomes in reported.values() for outcome in outcomes)
     assert counts["answered"] > 0
     assert BROKEN not in counts
 
@@ -133,7 +133,7 @@
     await until(lambda: some_ran(fleet, 1), "the call runs")
     fleet.nodes["entry-1"].kill()
     await asyncio.gather(call, return_exceptions=True)
-    assert await print_slip(fleet, "entry-2", "b") == "answered"
+    assert await call_outcome(fleet, "entry-2", "b") == "answered"
     assert await fleet.runs() == {"a": 1, "b": 1}
 
 
@@ -144,7 +144,7 @@
     calls = asyncio.create_task(run_calls(fleet, 60, parallel=8, entries=1))
     await until(lambda: some_ran(fleet, 5), "calls run")
     sidecar.signal(signal.SIGSTOP)
-    await until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
+    await until(lambda: is_unusable(fleet, "slips-1"), "the entry gave the link up")
     sidecar.signal(signal.SIGCONT)
     await check(fleet, await calls)
 
@@ -159,7 +159,7 @@
     link.hold(towards=True, back=False)
     await asyncio.sleep(HELD_DISPATCHES)
     link.hold(towards=False, back=True)
-    await until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
+    await until(lambda: is_unusable(fleet, "slips-1"), "the entry gave the link up")
     link.release()
     await check(fleet, await calls)
 
@@ -196,28 +196,28 @@
 async def test_two_resends_at_once_run_once(fleet: Fleet) -> None:
     describe(fleet)
     await fleet.start_all()
-    told: dict[str, list[str]] = {}
+    reported: dict[str, list[str]] = {}
     for number in range(100):
         name = f"k{number}"
         headers = {"Idempotency-Key": name}
-        told[name] = list(
+        reported[name] = list(
             await asyncio.gather(
-                print_slip(fleet, "entry-1", name, headers),
-                print_slip(fleet, "entry-2", name, headers),
+                call_outcome(fleet, "entry-1", name, headers),
+                call_outcome(fleet, "entry-2", name, headers),
             )
         )
     runs = await fleet.runs()
     assert set(runs.values()) == {1}
     assert len(runs) == 100
-    assert all("not_run" not in outcomes for outcomes in told.values())
+    assert all("not_run" not in outcomes for outcomes in reported.values())
 
 
 async def test_key_of_another_request_is_refused(fleet: Fleet) -> None:
     describe(fleet, entries=1)
     await fleet.start_all()
     headers = {"Idempotency-Key": "slip-8"}
-    assert await print_slip(fleet, "entry-1", "a", headers) == "answered"
-    assert await print_slip(fleet, "entry-1", "b", headers) == "not_run"
+    assert await call_outcome(fleet, "entry-1", "a", headers) == "answered"
+    assert await call_outcome(fleet, "entry-1", "b", headers) == "not_run"
     assert await fleet.runs() == {"a": 1}
 
 
@@ -227,7 +227,7 @@
     for name in ("control-1", "control-2"):
         fleet.nodes[name].kill()
     headers = {"Idempotency-Key": "slip-9"}
-    assert await print_slip(fleet, "entry-1", "a", headers) == "not_run"
+    assert await call_outcome(fleet, "entry-1", "a", headers) == "not_run"
     assert await fleet.runs() == {}
 
 
@@ -235,7 +235,7 @@
     describe(fleet, upstreams=1, entries=1)
     await fleet.start_all()
     fleet.nodes["slips-1"].kill()
-    outcomes = {await print_slip(fleet, "entry-1", f"u{n}") for n in range(3)}
+    outcomes = {await call_outcome(fleet, "entry-1", f"u{n}") for n in range(3)}
     assert outcomes == {"not_run"}
 
 
@@ -244,7 +244,7 @@
     return len(await fleet.runs()) >= count
 
 
-async def lost_sight(fleet: Fleet, upstream: str) -> bool:
+async def is_unusable(fleet: Fleet, upstream: str) -> bool:
     """Tell whether the first entry sends no more work to an upstream."""
     values = await fleet.metric("entry-1", "sidecar_usable")
     return values[f'upstream="{upstream}"'] == 0.0
--- a/tests/failures/test_suspended.py
+++ b/tests/failures/test_suspended.py
@@ -19,7 +19,7 @@
     from tools.fleet import Fleet
 
 CHAT = "/v1/chat/completions"
-AWAY = 1.0
+SUSPENSION_S = 1.0
 """Seconds for which a process is suspended. Links are given up after 2 s."""
 
 
@@ -50,7 +50,7 @@
 
     first = asyncio.create_task(call("first", 900))
     await until(lambda: _waits(fleet, first), "the first request waits")
-    await fleet.suspend("entry-1", AWAY)
+    await fleet.suspend("entry-1", SUSPENSION_S)
     second = asyncio.create_task(call("second", 400))
     passed = (504, "deadline_passed")
     assert (await first, await second) == (passed, passed)
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -41,7 +41,7 @@
         assert resp.status == 200
 
 
-async def ask(fleet: Fleet, tokens: int) -> tuple[bool, bytes]:
+async def send_chat(fleet: Fleet, tokens: int) -> tuple[bool, bytes]:
     """Send a chat; return whether HTTP itself ended well, and the bytes."""
     data = bytearray()
     body = {"model": MODEL, "max_tokens": tokens, "stream": True, "messages": []}
@@ -75,7 +75,7 @@
     describe(fleet, interval=1)
     await fleet.start_all()
     sizes = [1 + (7 * number) % 90 for number in range(120)]
-    answers = await asyncio.gather(*(ask(fleet, size) for size in sizes))
+    answers = await asyncio.gather(*(send_chat(fleet, size) for size in sizes))
     for size, (whole, data) in zip(sizes, answers, strict=True):
         assert whole
         assert words(data) == expected(size)
@@ -86,11 +86,11 @@
     describe(fleet)
     link = await before_sidecar(fleet, "engine-1")
     await fleet.start_all()
-    asked = asyncio.gather(*(ask(fleet, 40 + number) for number in range(24)))
-    while not asked.done():
+    chats = asyncio.gather(*(send_chat(fleet, 40 + number) for number in range(24)))
+    while not chats.done():
         await link.cut()
         await asyncio.sleep(0.3)
-    for number, (whole, data) in enumerate(await asked):
+    for number, (whole, data) in enumerate(await chats):
         if whole and data.endswith(DONE):
             assert words(data) == expected(40 + number)
         else:
@@ -101,7 +101,7 @@
     describe(fleet)
     await fleet.start_all()
     await set_mode(fleet, "engine-1", "cut")
-    whole, data = await ask(fleet, 30)
+    whole, data = await send_chat(fleet, 30)
     assert not whole
     assert DONE not in data
     assert b"event: error" in data
@@ -112,19 +112,19 @@
     await fleet.start_all()
     await set_mode(fleet, "engine-1", "garbage")
     for _ in range(10):
-        whole, data = await ask(fleet, 5)
+        whole, data = await send_chat(fleet, 5)
         assert whole
         assert words(data) == expected(5)
-    await until(lambda: out_after_asking(fleet), "engine-1 is taken out")
+    await until(lambda: is_out_after_chats(fleet), "engine-1 is taken out")
     await set_mode(fleet, "engine-1", "normal")
-    await until(lambda: is_back(fleet, "engine-1"), "engine-1 is probed back in")
+    await until(lambda: is_in_service(fleet, "engine-1"), "engine-1 is probed back in")
 
 
 async def test_hanging_upstream_is_taken_out_and_its_work_moves(fleet: Fleet) -> None:
     describe(fleet, engines=2)
     await fleet.start_all()
     await set_mode(fleet, "engine-1", "hang")
-    answers = await asyncio.gather(*(ask(fleet, 5) for _ in range(8)))
+    answers = await asyncio.gather(*(send_chat(fleet, 5) for _ in range(8)))
     assert all(whole and words(data) == expected(5) for whole, data in answers)
 
 
@@ -143,7 +143,7 @@
     writer.write(head.encode() + body)
     await reader.readexactly(512)
     for _ in range(20):
-        whole, data = await ask(fleet, 10)
+        whole, data = await send_chat(fleet, 10)
         assert whole
         assert words(data) == expected(10)
     writer.close()
@@ -153,15 +153,15 @@
 async def test_caller_that_goes_away_frees_its_slot(fleet: Fleet) -> None:
     describe(fleet, interval=50)
     await fleet.start_all()
-    task = asyncio.create_task(ask(fleet, 10_000))
+    task = asyncio.create_task(send_chat(fleet, 10_000))
     await until(lambda: is_busy(fleet, "engine-1"), "engine-1 is busy")
     task.cancel()
     await until(lambda: is_idle(fleet, "engine-1"), "the work was cancelled")
 
 
-async def out_after_asking(fleet: Fleet) -> bool:
+async def is_out_after_chats(fleet: Fleet) -> bool:
     """Ask some more; tell whether the first engine gets no more work."""
-    for whole, data in await asyncio.gather(*(ask(fleet, 5) for _ in range(4))):
+    for whole, data in await asyncio.gather(*(send_chat(fleet, 5) for _ in range(4))):
         assert whole
         assert words(data) == expected(5)
     return await is_out(fleet, "engine-1")
@@ -173,7 +173,7 @@
     return values[f'upstream="{engine}"'] == 0.0
 
 
-async def is_back(fleet: Fleet, engine: str) -> bool:
+async def is_in_service(fleet: Fleet, engine: str) -> bool:
     """Tell whether the entry sends work to an engine again."""
     return not await is_out(fleet, engine)
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -15,7 +15,7 @@
 from leadseam.wire.traffic import Traffic
 from tools.ports import LOOPBACK
 
-HANG = 60
+TIMEOUT_S = 60
 
 
 def agent() -> Agent:
@@ -34,7 +34,7 @@
     return made
 
 
-async def grant_of(link: Link) -> int:
+async def request_grant(link: Link) -> int:
     """Ask for a slot and return the grant's number."""
     link.send(Hello("entry", 1))
     link.send(Backlog((BacklogRow("a", 1, 0),)))
@@ -49,8 +49,8 @@
     traffic = Traffic()
     server = await listen(LOOPBACK, 0, made.serve, traffic)
     port = next(iter(server.sockets)).getsockname()[1]
-    async with asyncio.timeout(HANG), dial(LOOPBACK, port, traffic) as link:
-        grant = await grant_of(link)
+    async with asyncio.timeout(TIMEOUT_S), dial(LOOPBACK, port, traffic) as link:
+        grant = await request_grant(link)
         for _ in range(MAX_FAILURES):
             made.breaker.request_failed(0)
         made._update_slots()
@@ -71,8 +71,8 @@
     traffic = Traffic()
     server = await listen(LOOPBACK, 0, made.serve, traffic)
     port = next(iter(server.sockets)).getsockname()[1]
-    async with asyncio.timeout(HANG), dial(LOOPBACK, port, traffic) as link:
-        grant = await grant_of(link)
+    async with asyncio.timeout(TIMEOUT_S), dial(LOOPBACK, port, traffic) as link:
+        grant = await request_grant(link)
         peer = next(iter(made._peers.values()))
         req = Dispatch(1, grant, "a", "POST", "/", (), b"", True, 1, 0, 1_000)
         made._handle(peer, req)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -4,7 +4,7 @@
 
 from leadseam.fairness.ledger import Ledger
 from leadseam.fairness.picker import Picker
-from leadseam.sidecar.scheduler import GRANT_LEASE, Scheduler
+from leadseam.sidecar.scheduler import LEASE_DURATION, Scheduler
 from leadseam.wire.dispatch import BacklogRow
 
 
@@ -21,19 +21,19 @@
     made.set_backlog("cut", BacklogRow("a", 5, 10), 0)
     made.set_backlog("well", BacklogRow("a", 5, 0), 0)
     assert [lease.entry for lease in made.schedule(0)] == ["cut"]
-    assert len(made.expire(GRANT_LEASE)) == 1
-    assert [lease.entry for lease in made.schedule(GRANT_LEASE)] == ["well"]
-    made.expire(2 * GRANT_LEASE)
-    assert made.schedule(2 * GRANT_LEASE) == []
-    made.heard("cut")
-    assert [lease.entry for lease in made.schedule(2 * GRANT_LEASE)] == ["cut"]
+    assert len(made.expire(LEASE_DURATION)) == 1
+    assert [lease.entry for lease in made.schedule(LEASE_DURATION)] == ["well"]
+    made.expire(2 * LEASE_DURATION)
+    assert made.schedule(2 * LEASE_DURATION) == []
+    made.mark_responsive("cut")
+    assert [lease.entry for lease in made.schedule(2 * LEASE_DURATION)] == ["cut"]
 
 
 def test_an_expired_lease_starts_nothing() -> None:
     made = scheduler()
     made.set_backlog("e", BacklogRow("a", 1, 0), 0)
     (lease,) = made.schedule(0)
-    made.expire(GRANT_LEASE)
+    made.expire(LEASE_DURATION)
     assert made.start("e", lease.grant, "a") is None
 
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -56,7 +56,7 @@
     Variant(
         "an answer nobody reads keeps its window",
         "sidecar/agent.py",
-        "            running.window.open()\n",
+        "            running.window.remove_limit()\n",
         "            pass\n",
         f"{AT_MOST_ONCE}::test_large_answer_to_a_dead_entry_frees_its_slot",
     ),
