--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -81,9 +81,7 @@
         ]
 
     @web.middleware
-    async def count_in_flight(
-        self, request: web.Request, handler: Handler
-    ) -> web.StreamResponse:
+    async def count(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         """Have a planned stop wait for a request from its first line on."""
         with self._track_in_flight():
             return await handler(request)
--- a/src/leadseam/entry/program.py
+++ b/src/leadseam/entry/program.py
@@ -73,7 +73,7 @@
         """Bind the socket."""
         app = web.Application(
             client_max_size=self._settings.limits.body_bytes,
-            middlewares=[self._frontend.count_in_flight],
+            middlewares=[self._frontend.count],
         )
         app.add_routes(self._frontend.routes())
         app.add_routes(admin_routes(self._metrics, self._readiness))
