--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -120,7 +120,7 @@
                 case Deliver():
                     return await self._deliver(item, ending)
                 case Finish(outcome=outcome):
-                    self._budget.record_failure()
+                    self._budget.failed()
                     return outcome
                 case Retry():
                     if not self._may_retry(decision):
@@ -207,7 +207,7 @@
     def _may_retry(self, retry: Retry) -> bool:
         if not retry.uses_budget:
             return self._clock.now() < self._req.deadline
-        self._budget.record_failure()
+        self._budget.failed()
         allowed = (
             self._attempts < self._limits.max_attempts
             and self._budget.allows()
@@ -259,7 +259,7 @@
                 case Final(error="") if (event.chunks, event.size) == (chunks, size):
                     self._dispatched = None
                     await self._write_to_caller(response.write_eof())
-                    self._budget.record_success()
+                    self._budget.succeeded()
                     return Answered(response.status)
                 case _:
                     return await self._abort_response(response, event)
@@ -280,7 +280,7 @@
         self, response: web.StreamResponse, event: AttemptEvent
     ) -> Outcome:
         """End a response so that no caller can take it for a whole one."""
-        self._budget.record_failure()
+        self._budget.failed()
         reason = Reason.UPSTREAM_BROKEN
         match event:
             case Final(error=error) if error:
--- a/src/leadseam/entry/retry.py
+++ b/src/leadseam/entry/retry.py
@@ -123,10 +123,10 @@
         """Tell whether a retry may be made now."""
         return self._tokens > self._size / 2
 
-    def record_success(self) -> None:
+    def succeeded(self) -> None:
         """Note an attempt that ended well."""
         self._tokens = min(self._tokens + self._ratio, self._size)
 
-    def record_failure(self) -> None:
+    def failed(self) -> None:
         """Note an attempt that failed."""
         self._tokens = max(self._tokens - 1, 0)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -74,9 +74,9 @@
     budget = RetryBudget(size=10, ratio=0.5)
     allowed = 0
     for _ in range(100):
-        budget.record_failure()
+        budget.failed()
         allowed += budget.allows()
     assert allowed == 4
     for _ in range(12):
-        budget.record_success()
+        budget.succeeded()
     assert budget.allows()
