--- a/src/leadseam/sidecar/semaphore.py
+++ b/src/leadseam/sidecar/semaphore.py
@@ -19,8 +19,10 @@
         self._waiting: deque[asyncio.Future[None]] = deque()
 
     def __repr__(self) -> str:
-        waiting = len(self._waiting)
-        return f"ResizableSemaphore({self._acquired}/{self._size}, waiting={waiting})"
+        return (
+            f"ResizableSemaphore({self._acquired}/{self._size},"
+            f" waiting={len(self._waiting)})"
+        )
 
     def resize(self, size: int) -> None:
         """Set how many may be inside; those inside stay."""
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -86,11 +86,11 @@
     describe(fleet)
     link = await before_sidecar(fleet, "engine-1")
     await fleet.start_all()
-    chats = asyncio.gather(*(send_chat(fleet, 40 + number) for number in range(24)))
-    while not chats.done():
+    asked = asyncio.gather(*(send_chat(fleet, 40 + number) for number in range(24)))
+    while not asked.done():
         await link.cut()
         await asyncio.sleep(0.3)
-    for number, (whole, data) in enumerate(await chats):
+    for number, (whole, data) in enumerate(await asked):
         if whole and data.endswith(DONE):
             assert words(data) == expected(40 + number)
         else:
