--- a/src/leadseam/entry/__init__.py
+++ b/src/leadseam/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process before callers: authentication, waiting requests, whole answers."""
+"""The entry: authenticates callers, queues their requests and relays the answers."""
