--- a/src/leadseam/entry/error_responses.py
+++ b/src/leadseam/entry/error_responses.py
@@ -1,4 +1,4 @@
-"""What callers read when there is no whole answer of an upstream."""
+"""Error responses for requests that got no complete answer from an upstream."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the stable name of an outcome."""
+    """Return the name of an outcome in responses, metrics and logs."""
     match outcome:
         case Answered():
             return "answered"
@@ -95,7 +95,7 @@
 
 
 def error_body(outcome: NotRun | Failed | Unknown) -> dict[str, object]:
-    """Return the JSON that describes an outcome, in the shape of OpenAI's errors."""
+    """Return the JSON body for an outcome, in the format of OpenAI's errors."""
     error: dict[str, object] = {
         "message": MESSAGES[outcome.reason],
         "type": "leadseam_error",
@@ -108,7 +108,7 @@
 
 
 def error_response(outcome: NotRun | Failed | Unknown) -> web.Response:
-    """Return the HTTP response for an outcome."""
+    """Return the complete HTTP error response for an outcome."""
     headers = {"X-Leadseam-Outcome": outcome_name(outcome)}
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
         headers["Retry-After"] = str(_ceil_seconds(outcome.retry_after))
@@ -117,7 +117,10 @@
 
 
 def http_status(outcome: NotRun | Failed | Unknown) -> int:
-    """Return the status; callers may believe 503 that a request has not run."""
+    """Return the HTTP status of an outcome.
+
+    502 doesn't tell whether the request ran, so `NotRun` is reported as 503 instead.
+    """
     status = STATUS_CODES[outcome.reason]
     if isinstance(outcome, NotRun) and status == BAD_GATEWAY:
         return UNAVAILABLE
@@ -125,7 +128,7 @@
 
 
 def error_event(outcome: Failed | Unknown) -> bytes:
-    """Return the event that ends a broken event stream."""
+    """Return the server-sent event that reports an error in a started stream."""
     return b"event: error\ndata: " + json.dumps(error_body(outcome)).encode() + b"\n\n"
 
 
--- a/tests/test_error_responses.py
+++ b/tests/test_error_responses.py
@@ -1,4 +1,4 @@
-"""Answers of an entry's own."""
+"""Statuses and messages of the error responses that an entry creates itself."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
     assert error_response(NotRun(reason)).status == not_run
 
 
-def test_what_has_not_run_is_never_told_as_a_bad_gateway() -> None:
-    # 502 promises nothing, so who must not repeat a request does not come back. Seen on
-    # a recorded day while all engines of a pool were down: four refused connections,
-    # then 502, with the word "not run" in its body only.
+def test_not_run_is_never_reported_as_bad_gateway() -> None:
+    # 502 doesn't tell whether a request ran, so a caller that must not repeat it does
+    # not retry. This happened in a recorded day's traffic while all engines of a pool
+    # were down: after four refused connections the answer was 502, and only its body
+    # said "not run".
     for reason in Reason:
         assert error_response(NotRun(reason)).status != 502
     assert error_response(NotRun(Reason.UPSTREAM_UNREACHABLE, 500)).status == 503
