--- a/src/leadseam/entry/error_responses.py
+++ b/src/leadseam/entry/error_responses.py
@@ -119,7 +119,8 @@
 def http_status(outcome: NotRun | Failed | Unknown) -> int:
     """Return the HTTP status of an outcome.
 
-    502 doesn't tell whether the request ran, so `NotRun` is reported as 503 instead.
+    Callers may take 503 to mean that the request has not run. 502 doesn't tell, so
+    `NotRun` is never reported as 502.
     """
     status = STATUS_CODES[outcome.reason]
     if isinstance(outcome, NotRun) and status == BAD_GATEWAY:
