--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -43,13 +43,13 @@
 
 
 class Frontend:
-    """Handles callers' requests.
+    """Handles the HTTP requests of callers.
 
     Args:
-        dispatcher: Owner of the queue.
-        feed: Configuration and claims.
-        limits: Limits of the entry.
-        metrics: Counters.
+        dispatcher: Queues requests and dispatches them to sidecars.
+        feed: Client for the configuration and for claims.
+        limits: Limits on requests in this entry.
+        metrics: Metrics of this entry.
         clock: Source of time.
     """
 
@@ -72,7 +72,7 @@
         self._budget = RetryBudget()
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the callers' routes."""
+        """Return the HTTP routes for callers."""
         completions = [web.post(path, self._completion) for path in COMPLETIONS]
         return [
             *completions,
@@ -82,12 +82,18 @@
 
     @web.middleware
     async def count(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Have a planned stop wait for a request from its first line on."""
+        """Count a request as in flight before its body has arrived.
+
+        A planned stop waits for the requests in flight.
+        """
         with self._track_in_flight():
             return await handler(request)
 
     async def on_prepare(self, _: web.Request, response: web.StreamResponse) -> None:
-        """Have callers go elsewhere after this response while stopping."""
+        """While stopping, close the connection after this response.
+
+        The caller then sends its next request to another entry.
+        """
         if self.stopping:
             response.force_close()
 
@@ -173,9 +179,10 @@
     async def _relay_claimed(
         self, http: web.Request, admitted: Admitted
     ) -> web.StreamResponse:
-        """Run a request only under the claim on its Idempotency-Key.
+        """Run a request only while holding the claim on its Idempotency-Key.
 
-        It goes on if the caller hangs up, so that a resend gets its answer.
+        The request continues if the caller disconnects, so that a resend with the same
+        key gets its answer.
         """
         return await asyncio.shield(spawn(self._run_claimed(http, admitted)))
 
@@ -251,7 +258,7 @@
 
     @contextlib.contextmanager
     def _track_in_flight(self) -> Iterator[None]:
-        """Have a planned stop wait for what happens inside."""
+        """Count the enclosed work as in flight, so that a planned stop waits for it."""
         self.in_flight += 1
         try:
             yield
