--- a/src/leadseam/entry/admission.py
+++ b/src/leadseam/entry/admission.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked and routed one. No I/O."""
+"""Authenticates, routes and validates HTTP requests. No I/O."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that may wait.
+    """A request that passed all checks and may be queued.
 
     Args:
         req: The request.
         key: The caller's Idempotency-Key, empty if there is none.
-        digest: Hash of what the key stands for.
+        digest: Hash of the request, to detect a key that is reused for another one.
     """
 
     req: CallerRequest
@@ -72,7 +72,7 @@
 def authenticate(
     configuration: Configuration, headers: Mapping[str, str]
 ) -> Account | NotRun:
-    """Find the account of a bearer key."""
+    """Return the account that the bearer key in the headers belongs to."""
     header = headers.get(AUTHORIZATION, "")
     if not header.startswith(BEARER):
         return NotRun(Reason.NO_KEY)
@@ -88,8 +88,8 @@
 ) -> Pool | NotRun:
     """Choose the pool for an OpenAI-style body.
 
-    The body's `model` is `NAME` or `NAME:VERSION`; without a version, the allowed pool
-    of the highest version is chosen.
+    The body's `model` is `NAME` or `NAME:VERSION`. Without a version, the pool with the
+    highest version among those that the account may use is chosen.
     """
     model = _requested_model(body)
     if model is None:
@@ -113,7 +113,7 @@
 def route_service(
     configuration: Configuration, account: Account, name: str
 ) -> Pool | NotRun:
-    """Choose the pool for a plain service."""
+    """Return the pool of a plain service."""
     pool = configuration.pools.get(name)
     if pool is None or pool.kind is not PoolKind.SERVICE:
         return NotRun(Reason.UNKNOWN_SERVICE)
@@ -123,7 +123,7 @@
 
 
 def may_use(account: Account, pool: Pool) -> bool:
-    """Tell whether an account may use an engine pool."""
+    """Return whether an account may use an engine pool."""
     return any(
         grant.model == pool.model
         and (not grant.versions or pool.version in grant.versions)
@@ -143,18 +143,18 @@
     now: Millis,
     default_deadline: Millis,
 ) -> Admitted | NotRun:
-    """Check the headers of a routed request and build it.
+    """Validate the headers of a routed request and build the queued form.
 
     Args:
         configuration: The configuration in force.
-        account: Account that pays.
-        pool: Pool that serves it.
+        account: Account that the service is charged to.
+        pool: Pool that serves the request.
         method: HTTP method.
-        path: Path and query towards the upstream.
+        path: Path and query sent to the upstream.
         headers: The caller's headers.
         body: The caller's body.
         now: Current time.
-        default_deadline: Milliseconds for callers that name none.
+        default_deadline: Milliseconds allowed if the caller sets no deadline.
     """
     deadline = _deadline(headers, default_deadline)
     priority = _PRIORITIES.get(headers.get(CLASS_HEADER, "normal").lower())
@@ -203,7 +203,10 @@
 
 
 def _is_encodable(*values: str) -> bool:
-    """Tell whether values can be encoded: an HTTP library may let odd bytes in."""
+    """Return whether values can be encoded as UTF-8.
+
+    The HTTP library accepts other bytes in headers and decodes them to surrogates.
+    """
     try:
         "".join(values).encode()
     except UnicodeEncodeError:
