--- a/src/leadseam/entry/program.py
+++ b/src/leadseam/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry program: callers' interface, links to sidecars, feed, admin routes."""
+"""The entry program: HTTP interface, links to sidecars, feed and admin routes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class EntryProgram:
-    """One entry and everything it serves.
+    """An entry process with its HTTP server and its clients.
 
     Args:
-        settings: Its settings.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the entry.
+        clock: Source of time. Defaults to the system clock.
     """
 
     def __init__(self, settings: EntrySettings, *, clock: Clock | None = None) -> None:
@@ -70,7 +70,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Bind the socket."""
+        """Start the HTTP server."""
         app = web.Application(
             client_max_size=self._settings.limits.body_bytes,
             middlewares=[self._frontend.count],
@@ -89,7 +89,7 @@
             group.create_task(self._suspension.run())
 
     async def drain(self) -> None:
-        """Fail the readiness check, then wait for the last response."""
+        """Fail the readiness check, stop accepting, and wait for requests in flight."""
         self._frontend.stopping = True
         await sleep(self._settings.drain_delay)
         assert self._runner is not None
@@ -98,11 +98,12 @@
         quiet = 0
         while quiet < QUIET_POLLS:
             await sleep(DRAIN_POLL)
-            # A connection accepted last may not have sent its request yet.
+            # A connection accepted just before may not have sent its request yet, so
+            # several polls in a row must find no request in flight.
             quiet = 0 if self._frontend.in_flight else quiet + 1
 
     async def stop(self) -> None:
-        """Release the socket."""
+        """Stop the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
