--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -1,4 +1,4 @@
-"""One request's way: attempts until it is answered, refused or given up."""
+"""Relays one request: attempts it until it is answered, refused or fails."""
 
 from __future__ import annotations
 
@@ -46,21 +46,22 @@
 
 
 class CallerGoneError(ConnectionError):
-    """The caller closed its connection."""
+    """The caller closed the connection before the response was complete."""
 
 
 class Relay:
-    """Carries one request and writes its response.
+    """Attempts one request and writes its response.
 
     Args:
         http: The caller's HTTP request.
-        req: What it asks for.
-        dispatcher: Owner of the queue.
+        req: The validated request.
+        dispatcher: Queues the request and dispatches it to sidecars.
         budget: Retry budget of the entry.
-        limits: Limits of the entry.
-        metrics: Counters.
+        limits: Limits on attempts and flow control in this entry.
+        metrics: Metrics of this entry.
         clock: Source of time.
-        outlives_caller: Whether the answer is wanted even if the caller has gone.
+        outlives_caller: Whether to continue after the caller has disconnected, because
+            the answer is stored for resends.
     """
 
     def __init__(
@@ -93,9 +94,9 @@
         self._last_upstream = ""
 
     async def run(self) -> Outcome:
-        """Carry the request to its outcome.
+        """Attempt the request until it has an outcome.
 
-        A response has been written in full only if the outcome is `Answered`.
+        The response has been written in full only if the outcome is `Answered`.
         """
         admitted = self._dispatcher.submit(self._req)
         if isinstance(admitted, NotRun):
@@ -143,7 +144,7 @@
         return True
 
     async def _wait_for_head(self, item: WaitingRequest) -> Ending:
-        """Wait until the attempt has a head, or has ended without one."""
+        """Wait for the head of the response, or for the attempt's end without one."""
         while True:
             event = await self._next_event(item)
             match event:
@@ -160,13 +161,13 @@
     async def _buffer_small_answer(
         self, item: WaitingRequest, head: Head
     ) -> Final | LinkLost | None:
-        """Wait for the end of a small answer before the caller gets a byte of it.
+        """Buffer the answer up to `MAX_HELD_BYTES` before sending any to the caller.
 
-        Until then a lost answer can be tried again, or be reported in full. Event
-        streams are never held.
+        While nothing has been sent, a failed attempt can be retried, or reported with a
+        complete error response. Event streams are never buffered.
 
         Returns:
-            How the attempt ended badly, or None if the answer may be delivered.
+            The end of the attempt if it failed, or None if the answer may be delivered.
         """
         size = 0
         if _content_type(head).startswith(EVENT_STREAM):
@@ -189,11 +190,15 @@
         return None
 
     async def _next_event(self, item: WaitingRequest) -> AttemptEvent:
-        """Return the next event, those held first."""
+        """Return the next event, starting with the buffered ones."""
         return self._buffered.popleft() if self._buffered else await self._receive(item)
 
     async def _receive(self, item: WaitingRequest) -> AttemptEvent:
-        """Wait for an event; a deadline counts as a lost answer."""
+        """Wait for the next event of the attempt.
+
+        Shortly after the request's deadline, the attempt is cancelled and a `Final`
+        with the reason `DEADLINE_PASSED` returned instead.
+        """
         limit = max(self._req.deadline, self._clock.now()) + DEADLINE_GRACE
         try:
             async with self._dispatcher.timeouts.until(limit):
@@ -265,10 +270,10 @@
                     return await self._abort_response(response, event)
 
     async def _write_to_caller(self, writing: Awaitable[object]) -> None:
-        """Write to the caller.
+        """Await a write to the caller, ignoring a lost caller if the relay outlives it.
 
         Raises:
-            CallerGoneError: If it has gone and nothing else wants the answer.
+            CallerGoneError: If the caller has disconnected and the relay ends with it.
         """
         try:
             await writing
@@ -279,7 +284,7 @@
     async def _abort_response(
         self, response: web.StreamResponse, event: AttemptEvent
     ) -> Outcome:
-        """End a response so that no caller can take it for a whole one."""
+        """Abort a started response so that it can't be mistaken for a complete one."""
         self._budget.failed()
         reason = Reason.UPSTREAM_BROKEN
         match event:
@@ -302,7 +307,7 @@
             self.stored_body += data
 
     def _return_credit(self, size: int) -> None:
-        """Give credit back in parts of the window, not chunk by chunk."""
+        """Return credit once a fraction of the window is used, not for each chunk."""
         self._uncredited += size
         due = self._uncredited * CREDIT_PARTS >= self._limits.window_bytes
         if due and self._dispatched is not None:
