--- a/src/leadseam/entry/request.py
+++ b/src/leadseam/entry/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry holds it."""
+"""A caller's request in the entry, and the events of its attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Priority(IntEnum):
-    """Classes within one account; also passed to engines as their priority."""
+    """Priority of a request within its account; also passed on to engines."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """What a caller asked for, checked and routed.
+    """A validated and routed request of a caller.
 
     Args:
-        account: Client account that pays.
-        pool: Pool that serves it.
-        method: HTTP method towards the upstream.
-        path: Path and query towards the upstream.
+        account: Client account that the service is charged to.
+        pool: Pool that serves the request.
+        method: HTTP method sent to the upstream.
+        path: Path and query sent to the upstream.
         headers: End-to-end headers.
         body: Body, unchanged.
-        priority: Class within the account.
-        deadline: Time at which the caller gives up.
-        repeatable: Whether it may run more than once.
-        arrived: When it arrived.
+        priority: Priority within the account.
+        deadline: Time until which the caller waits for an answer.
+        repeatable: Whether the request may run more than once.
+        arrived: Time of arrival.
     """
 
     account: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatched:
-    """The request was sent to a sidecar under a grant."""
+    """The request was sent to a sidecar that had granted a slot."""
 
     link: SidecarLink
     attempt: int
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The link to the sidecar broke while the attempt was open."""
+    """The link to the sidecar was lost, and the attempt may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class NeverStarted:
-    """The sidecar testifies that the attempt did not start and never will."""
+    """The sidecar confirmed that the attempt did not start and never will."""
 
 
 AttemptEvent: TypeAlias = (
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingRequest:
-    """A request in the entry's queue, and the mailbox of its handler.
+    """A request in the entry's queue, with the events that its relay reads.
 
     Args:
         req: The request.
-        seq: Order of arrival.
-        events: What happens to its attempts.
-        avoid: Upstreams that failed it already.
-        queued: Whether it waits now.
+        seq: Sequence number, in order of arrival.
+        events: Events of the current attempt.
+        avoid: Names of upstreams on which an attempt failed already.
+        queued: Whether the request is in the queue now.
     """
 
     req: CallerRequest
@@ -94,10 +94,10 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Order within an account: class, then deadline, then arrival."""
+        """Sort key within an account: priority, then deadline, then arrival."""
         return (self.req.priority, self.req.deadline, self.seq)
 
     @property
     def size(self) -> int:
-        """Bytes that it holds while waiting."""
+        """Bytes of memory that count towards the limit of the queue."""
         return len(self.req.body)
