--- a/src/leadseam/entry/retry.py
+++ b/src/leadseam/entry/retry.py
@@ -1,4 +1,4 @@
-"""Whether an attempt is repeated, and what the caller is told if not. No I/O."""
+"""Decides whether to retry an attempt, or which outcome to report. No I/O."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again.
+    """Retry the request if the limits allow it.
 
     Args:
-        reason: Why, for the counter.
+        reason: Reason for the retry, as a metric label.
         avoid: Whether to avoid the same upstream.
-        costs: Whether it uses up the retry budget.
+        uses_budget: Whether the retry counts against the retry budget.
     """
 
     reason: str
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Pass the upstream's own answer on."""
+    """Relay the upstream's answer to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Tell the caller how it ended."""
+    """Report an outcome to the caller without another attempt."""
 
     outcome: Outcome
 
@@ -48,14 +48,15 @@
 
 
 def decide(req: CallerRequest, ending: Ending) -> Decision:
-    """Decide after an attempt that has given the caller no byte.
+    """Decide what follows an attempt of which the caller has received nothing yet.
 
     Args:
         req: The request.
-        ending: How the attempt ended; a `Head` stands for its status.
+        ending: How the attempt ended, or the `Head` of its response.
 
     Returns:
-        A retry where that is safe, subject to budget and limit of attempts.
+        A retry where that is safe. Whether it takes place also depends on the retry
+        budget, the limit of attempts and the deadline.
     """
     match ending:
         case Refused(reason=reason):
@@ -90,7 +91,7 @@
 
 
 def outcome_without_retry(req: CallerRequest, ending: Ending) -> Outcome:
-    """Return the outcome when a retry is wanted but not allowed."""
+    """Return the outcome if a retry would be safe but isn't allowed."""
     match ending:
         case Refused() | NeverStarted() | Final(started=False):
             return NotRun(Reason.RETRIES_EXHAUSTED, RETRY_AFTER_BROKEN)
@@ -101,14 +102,14 @@
 
 
 class RetryBudget:
-    """Token bucket that bounds retries to a part of the requests.
+    """Token bucket that limits retries to a fraction of the requests.
 
-    A success adds `ratio` tokens and a failure takes one; a retry is allowed while
-    more than half of the bucket is left (Related paper: tRPC-Go slime, "Throttle").
+    A success adds `ratio` tokens and a failure removes one. Retries are allowed while
+    the bucket is more than half full (see "Throttle" in tRPC-Go's slime).
 
     Args:
-        size: Tokens of a full bucket.
-        ratio: Tokens that a success adds.
+        size: Capacity of the bucket in tokens.
+        ratio: Tokens added by a success.
     """
 
     def __init__(self, *, size: float = 20, ratio: float = 0.1) -> None:
@@ -120,13 +121,13 @@
         return f"RetryBudget({self._tokens:.1f}/{self._size})"
 
     def allows(self) -> bool:
-        """Tell whether a retry may be made now."""
+        """Return whether a retry is allowed now."""
         return self._tokens > self._size / 2
 
     def succeeded(self) -> None:
-        """Note an attempt that ended well."""
+        """Record an attempt that succeeded."""
         self._tokens = min(self._tokens + self._ratio, self._size)
 
     def failed(self) -> None:
-        """Note an attempt that failed."""
+        """Record an attempt that failed."""
         self._tokens = max(self._tokens - 1, 0)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that ended badly."""
+"""Decisions after failed attempts, and the retry budget."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def request(*, repeatable: bool) -> CallerRequest:
-    """Return a request."""
+    """Return a request that may or must not be repeated."""
     return CallerRequest(
         account="a",
         pool="p",
@@ -39,7 +39,9 @@
 
 
 @pytest.mark.parametrize("ending", [LinkLost(), BROKEN])
-def test_what_may_have_run_is_unknown_and_not_repeated(ending: Ending) -> None:
+def test_non_repeatable_request_that_may_have_run_is_reported_as_unknown(
+    ending: Ending,
+) -> None:
     decision = decide(request(repeatable=False), ending)
     assert isinstance(decision, Finish)
     assert isinstance(decision.outcome, Unknown)
@@ -47,7 +49,7 @@
 
 @pytest.mark.parametrize("ending", [NeverStarted(), UNREACHED, Refused(1, "leaving")])
 @pytest.mark.parametrize("repeatable", [True, False])
-def test_what_truly_did_not_run_may_be_sent_again(
+def test_attempt_that_did_not_run_may_be_retried(
     ending: Ending, repeatable: bool
 ) -> None:
     req = request(repeatable=repeatable)
@@ -70,7 +72,7 @@
     assert isinstance(decide(request(repeatable=True), head), Retry)
 
 
-def test_budget_ends_a_storm_and_recovers() -> None:
+def test_budget_stops_retries_after_many_failures_and_recovers() -> None:
     budget = RetryBudget(size=10, ratio=0.5)
     allowed = 0
     for _ in range(100):
