--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""The entry's waiting requests and the sidecars that take them."""
+"""Dispatches an entry's waiting requests to the sidecars that grant slots."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class Dispatcher:
-    """Holds what waits and hands it out as sidecars grant slots.
+    """Queues requests and hands them to sidecars as these grant slots.
 
     Args:
         node: Name of this process.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of this process.
         clock: Source of time.
-        limits: Limits of the entry.
-        metrics: Counters.
-        traffic: Bytes on inner links.
+        limits: Limits on memory and flow control in this entry.
+        metrics: Metrics of this entry.
+        traffic: Counts the bytes sent and received on links to sidecars.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         return f"Dispatcher({self.queue!r}, sidecars={len(self._links)})"
 
     async def run(self) -> None:
-        """Report merged service until cancelled."""
+        """Report service to sidecars and update gauges until cancelled."""
         while True:
             await sleep(REPORT_INTERVAL)
             for link in self._links.values():
@@ -76,7 +76,7 @@
             self._update_gauges()
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force: open and close links."""
+        """Apply a configuration, opening and closing links to sidecars."""
         self._configuration = configuration
         for name, link in list(self._links.items()):
             if configuration.upstreams.get(name) != link.upstream:
@@ -89,11 +89,11 @@
 
     @property
     def connected(self) -> bool:
-        """Whether every sidecar has been reached, or was found to be unreachable."""
+        """Whether each sidecar has reported its status or failed to connect once."""
         return all(link.tried for link in self._links.values())
 
     def submit(self, req: CallerRequest) -> WaitingRequest | NotRun:
-        """Queue a request, or refuse it at once."""
+        """Queue a request, or refuse it immediately."""
         if not any(link.usable for link in self._pool_links(req.pool)):
             return NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER)
         self._last_seq += 1
@@ -108,44 +108,47 @@
         return item
 
     def requeue(self, item: WaitingRequest) -> None:
-        """Queue a request again for another attempt."""
+        """Queue a request again for another attempt.
+
+        If every usable upstream of its pool is to be avoided, it may use any of them.
+        """
         if self._usable_upstreams(item.req.pool) <= item.avoid:
             item.avoid.clear()
         self.queue.enqueue(item)
         self._mark_backlog_changed(item.req, urgent=True)
 
     def withdraw(self, item: WaitingRequest) -> None:
-        """Take a request out of the queue, if it still waits."""
+        """Remove a request from the queue if it is still waiting."""
         if item.queued:
             self.queue.remove(item)
             self._mark_backlog_changed(item.req, urgent=False)
 
     def take(self, key: QueueKey, link: SidecarLink) -> WaitingRequest | None:
-        """Take the next request for a granted slot."""
+        """Remove and return the next request for a granted slot, or None."""
         item = self.queue.take(key, upstream=link.upstream.name, now=self.now())
         if item is not None:
             self._mark_backlog_changed(item.req, urgent=not self.queue.count(key))
         return item
 
     def next_attempt(self) -> int:
-        """Return a number for a new attempt, from 1."""
+        """Return the number of a new attempt; numbers start at 1."""
         self._last_attempt += 1
         return self._last_attempt
 
     def hello(self) -> Hello:
-        """Return the first message of a link."""
+        """Return the first message to send on a link."""
         return Hello(self._node, self._incarnation)
 
     def merge(self, pool: str) -> ServiceMerge:
-        """Return the service counters of a pool."""
+        """Return the merged service counters of a pool."""
         return self._merges[pool]
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
     def on_health_change(self) -> None:
-        """Requests whose only alternatives vanished may use any upstream again."""
+        """Let requests that avoid every upstream still usable go to any of them."""
         for pool in {link.upstream.pool for link in self._links.values()}:
             self.queue.clear_avoided(pool, self._usable_upstreams(pool))
 
