--- a/src/leadseam/entry/queue.py
+++ b/src/leadseam/entry/queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests of an entry, with their limits. No I/O."""
+"""Queue of an entry's waiting requests, limited in count and size. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class QueueKey(NamedTuple):
-    """A queue: requests of one account for one pool."""
+    """Identifies the queue for the requests of one account to one pool."""
 
     pool: str
     account: str
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _DrainRate:
-    """How fast a queue empties, as a decaying count."""
+    """How fast a queue drains, as a count that decays over `RATE_WINDOW`."""
 
     count_taken: float = 0.0
     updated: Millis = 0
@@ -37,7 +37,7 @@
         self.updated = now
 
     def estimate_time(self, count: int, now: Millis) -> Millis:
-        """Estimate how long `count` requests take."""
+        """Estimate how many milliseconds the queue takes to drain `count` requests."""
         count_taken = self._decayed(now)
         if count_taken < 1:
             return MAX_RETRY_AFTER
@@ -49,10 +49,10 @@
 
 
 class WaitingQueue:
-    """All waiting requests, ordered within each account and pool.
+    """All waiting requests of an entry, ordered within each account and pool.
 
     Args:
-        max_bytes: Limit of the bodies held together.
+        max_bytes: Limit on the total size of all waiting bodies.
     """
 
     def __init__(self, *, max_bytes: int) -> None:
@@ -70,15 +70,15 @@
     def offer(
         self, item: WaitingRequest, *, max_waiting: int, now: Millis
     ) -> NotRun | None:
-        """Add a request, or refuse it at once.
+        """Add a request, or refuse it immediately.
 
         Args:
             item: The request.
-            max_waiting: Requests that the account may have waiting here.
+            max_waiting: Limit on the account's waiting requests at this entry.
             now: Current time.
 
         Returns:
-            None if it waits now, else the refusal.
+            None if the request was queued, else the refusal.
         """
         key = QueueKey(item.req.pool, item.req.account)
         waiting = self.account_waiting(key.account)
@@ -90,7 +90,7 @@
         return None
 
     def enqueue(self, item: WaitingRequest) -> None:
-        """Add a request without regard to limits, as for a retry."""
+        """Add a request without checking the limits, for example for a retry."""
         key = QueueKey(item.req.pool, item.req.account)
         bisect.insort(self._queues[key], item, key=lambda other: other.order)
         self._bytes += item.size
@@ -99,7 +99,7 @@
     def take(
         self, key: QueueKey, *, upstream: str, now: Millis
     ) -> WaitingRequest | None:
-        """Take the first request that may go to an upstream."""
+        """Remove and return the first request that may go to an upstream, or None."""
         queue = self._queues.get(key)
         if not queue:
             return None
@@ -112,7 +112,7 @@
         return item
 
     def remove(self, item: WaitingRequest) -> None:
-        """Remove a request that waits."""
+        """Remove a waiting request."""
         key = QueueKey(item.req.pool, item.req.account)
         queue = self._queues[key]
         position = bisect.bisect_left(queue, item.order, key=lambda other: other.order)
@@ -124,33 +124,33 @@
             del self._queues[key]
 
     def count(self, key: QueueKey) -> int:
-        """Return the number of waiting requests of a queue."""
+        """Return the number of waiting requests in a queue."""
         return len(self._queues.get(key, ()))
 
     def count_allowed(self, key: QueueKey, upstream: str) -> int:
-        """Return how many of them may go to an upstream."""
+        """Return how many waiting requests in a queue may go to an upstream."""
         queue = self._queues.get(key, ())
         return sum(upstream not in item.avoid for item in queue)
 
     def clear_avoided(self, pool: str, usable: set[str]) -> None:
-        """Let requests that avoid every usable upstream go anywhere."""
+        """Let requests of a pool that avoid all usable upstreams go to any of them."""
         for key in self.keys(pool):
             for item in self._queues[key]:
                 if item.avoid and usable <= item.avoid:
                     item.avoid.clear()
 
     def account_waiting(self, account: str) -> int:
-        """Return the number of waiting requests of an account over all pools."""
+        """Return the number of an account's waiting requests over all pools."""
         return sum(
             len(queue) for key, queue in self._queues.items() if key.account == account
         )
 
     def oldest_arrival(self, key: QueueKey) -> Millis:
-        """Return when the oldest request of a non-empty queue arrived."""
+        """Return the arrival time of the oldest request in a non-empty queue."""
         return min(item.req.arrived for item in self._queues[key])
 
     def keys(self, pool: str) -> list[QueueKey]:
-        """List the non-empty queues of a pool."""
+        """Return the keys of a pool's non-empty queues."""
         return [key for key in self._queues if key.pool == pool]
 
     def _retry_after(self, key: QueueKey, now: Millis) -> Millis:
