--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they are told; and what processes may open."""
+"""Refusals that callers receive, and the descriptors and children of processes."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     headers: dict[str, str] | None = None,
     account: str = "tellers",
 ) -> tuple[int, str, str]:
-    """Send a request that is refused; return status, code and outcome."""
+    """Send a request that will be refused; return status, code and outcome."""
     status, answer = await fleet.post("entry-1", path, account, body, headers)
     error = json.loads(answer)["error"]
     return status, error["code"], error["outcome"]
 
 
 def chat(model: Any) -> bytes:
-    """Return a chat body."""
+    """Return the body of a chat request for a model."""
     return json.dumps({"model": model, "messages": []}).encode()
 
 
@@ -63,7 +63,7 @@
     assert await fleet.runs() == {}
 
 
-async def test_odd_bytes_in_a_header_harm_nobody_else(fleet: Fleet) -> None:
+async def test_undecodable_header_does_not_affect_other_requests(fleet: Fleet) -> None:
     fleet.add_control()
     fleet.add_pool("rates-1", model="rates")
     fleet.add_upstream("engine-1", pool="rates-1", kind="engine", token_interval=20)
@@ -103,7 +103,7 @@
     assert status == 200
 
 
-async def test_limits_refuse_at_once_with_a_time_to_come_back(fleet: Fleet) -> None:
+async def test_limits_refuse_immediately_with_a_retry_time(fleet: Fleet) -> None:
     fleet.add_control()
     fleet.add_pool("rates-1", model="rates")
     fleet.add_upstream(
@@ -125,8 +125,9 @@
     for task in flood:
         task.cancel()
     await until(lambda: nothing_waits(fleet), "the flood is gone")
-    # Its last run may still hold the slot, and give it to whoever waits when it ends.
-    await until(lambda: engine_idle(fleet), "the flood's last run is gone")
+    # The last cancelled request may still occupy the slot, which would go to the next
+    # waiting request when it ends.
+    await until(lambda: engine_idle(fleet), "the flood's last request has ended")
     slow = asyncio.create_task(fleet.chat("entry-1", "menus", "rates", tokens=60))
     await until(lambda: engine_busy(fleet), "the engine is busy")
     passed = await refusal(fleet, CHAT, chat("rates"), deadline, account="menus")
@@ -134,7 +135,7 @@
     slow.cancel()
 
 
-async def test_no_upstream_is_said_at_once(small_fleet: Fleet) -> None:
+async def test_missing_upstream_is_reported_immediately(small_fleet: Fleet) -> None:
     fleet = small_fleet
     fleet.nodes["sidecar-engine-1"].kill()
     await until(lambda: sees_no_engine(fleet), "the entry lost the sidecar")
@@ -157,23 +158,23 @@
 
 
 async def nothing_waits(fleet: Fleet) -> bool:
-    """Tell whether no request waits at the entry."""
+    """Return whether no request waits at the entry."""
     values = await fleet.metric("entry-1", "waiting_requests")
     return values[""] == 0.0
 
 
 async def engine_busy(fleet: Fleet) -> bool:
-    """Tell whether the engine works."""
+    """Return whether the engine is processing a request."""
     async with fleet.http.get(fleet.url("engine-1", "/standin")) as resp:
         return bool((await resp.json())["busy"])
 
 
 async def engine_idle(fleet: Fleet) -> bool:
-    """Tell whether the engine has nothing to do."""
+    """Return whether the engine processes no request."""
     return not await engine_busy(fleet)
 
 
 async def sees_no_engine(fleet: Fleet) -> bool:
-    """Tell whether the entry sends no work to the engine."""
+    """Return whether the entry considers the engine's sidecar unusable."""
     values = await fleet.metric("entry-1", "sidecar_usable")
     return values['upstream="engine-1"'] == 0.0
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: operator, control, entry, sidecar, upstream."""
+"""End-to-end requests through real processes, from the operator to the upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     from tools.fleet import Fleet
 
 
-async def test_chat_comes_back_whole(small_fleet: Fleet) -> None:
+async def test_chat_answer_is_relayed_unchanged(small_fleet: Fleet) -> None:
     body = {"model": "rates", "max_tokens": 20, "stream": True, "messages": []}
     data = json.dumps(body).encode()
     direct_url = small_fleet.url("engine-1", "/v1/chat/completions")
