--- a/src/leadseam/sidecar/__init__.py
+++ b/src/leadseam/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each upstream: slots, grants, attempts, metering, health."""
+"""The sidecar of an upstream: slots, attempts, metering and health checks."""
--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -1,4 +1,4 @@
-"""The sidecar's decisions put to work: links of entries, grants, attempts."""
+"""The sidecar's agent: serves links of entries, grants slots and runs attempts."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 
 
 class Agent:
-    """Owns the slots of one upstream.
+    """Grants the slots of one upstream and runs the attempts on it.
 
     Args:
         node: Name of this process.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of this process.
         upstream_name: Name of the upstream in the configuration.
         clock: Source of time.
-        metrics: Counters.
+        metrics: Metrics of this sidecar.
     """
 
     def __init__(
@@ -98,15 +98,15 @@
 
     @property
     def scheduler(self) -> Scheduler:
-        """The slots, for reading."""
+        """The scheduler of the slots; callers must not modify it."""
         return self._scheduler
 
     @property
     def ready(self) -> bool:
-        """Whether the configuration names this upstream."""
+        """Whether the upstream has been configured."""
         return self._upstream is not None
 
-    # Life of the process
+    # Lifecycle
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -116,7 +116,7 @@
             group.create_task(self._probe())
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._configuration = configuration
         row = configuration.upstreams.get(self._upstream_name)
         if row is None:
@@ -132,13 +132,13 @@
         self._update_slots()
 
     def resumed(self) -> None:
-        """Look at all that may be due after the box was suspended."""
+        """Check timeouts and drop idle connections after the box was suspended."""
         self._timeouts.look()
         if self._upstream is not None:
             self._upstream.drop_idle()
 
     def leave(self, reason: str) -> None:
-        """Take no new work in this incarnation, for good."""
+        """Stop taking new work for the rest of this incarnation, and notify entries."""
         if self.leaving:
             return
         self.leaving = True
@@ -148,13 +148,13 @@
             peer.link.send(Leaving())
 
     async def wait_idle(self) -> None:
-        """Wait until nothing runs and nothing is granted."""
+        """Wait until no attempt runs and no grant is outstanding."""
         while not self._scheduler.is_idle():
             self._idle.clear()
             await self._idle.wait()
 
     async def close(self) -> None:
-        """Send what is queued for entries, then release all connections."""
+        """Send the messages queued for entries, then close all connections."""
         links = [peer.link for peer in self._peers.values()]
         await asyncio.gather(*(link.close() for link in links))
         if self._upstream is not None:
@@ -163,7 +163,7 @@
     # Links
 
     async def serve(self, link: Link) -> None:
-        """Handle the link of one entry."""
+        """Handle the link of one entry until it closes."""
         messages = link.messages()
         hello = await anext(messages, None)
         if not isinstance(hello, Hello):
@@ -242,7 +242,8 @@
         running = RunningAttempt(lease, req, Window(req.window))
         peer.running[req.attempt] = running
         running.task = spawn(self._run(peer, running))
-        # A task cancelled before its first step never enters its own `finally`.
+        # A `finally` in the coroutine would not run if the task is cancelled before its
+        # first step.
         running.task.add_done_callback(
             lambda task: self._end_attempt(
                 peer, running, key, final_message(running, task)
@@ -292,7 +293,7 @@
         key: AttemptKey,
         final: Final | None,
     ) -> None:
-        """Free the slot and tell the entry, however the attempt ended."""
+        """Free the slot and notify the entry, however the attempt ended."""
         peer.running.pop(running.req.attempt, None)
         self._attempts.end(key)
         self._release(running, running.lease.reserved)
@@ -307,7 +308,7 @@
             self._idle.set()
 
     def _charge(self, running: RunningAttempt, service: int) -> None:
-        """Charge measured service, and release as much of what was reserved."""
+        """Charge measured service, and release as much of the reservation."""
         running.service += service
         account = running.req.account
         self._metrics.service.add({"account": account}, max(service, 0))
@@ -321,7 +322,10 @@
         running.released = target
 
     def _abandon(self, running: RunningAttempt) -> None:
-        """Stop work that nobody waits for, unless it must run to its end."""
+        """Cancel an attempt whose answer isn't needed any more.
+
+        One that must not be repeated runs to its end, without flow control.
+        """
         if not running.req.repeatable:
             running.window.remove_limit()
         elif running.task is not None:
@@ -411,9 +415,10 @@
         self._update_slots()
 
     def _abort_hanging(self) -> None:
-        """End attempts that a dead upstream would hold for ever.
+        """Cancel attempts that would wait forever for a hanging upstream.
 
-        One that must not repeat is ended only if it has not reached the upstream.
+        An attempt that must not be repeated is cancelled only if it has not reached the
+        upstream.
         """
         for peer in self._peers.values():
             for running in peer.running.values():
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The sidecar's agent: a slot is freed however its attempt ends."""
+"""The sidecar's agent frees a slot however its attempt ends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def agent() -> Agent:
-    """Return an agent of a configured upstream that nobody serves."""
+    """Return an agent for a configured upstream on whose port nothing listens."""
     made = Agent(
         node="sidecar",
         incarnation=1,
@@ -35,7 +35,7 @@
 
 
 async def request_grant(link: Link) -> int:
-    """Ask for a slot and return the grant's number."""
+    """Request a slot and return the number of the grant."""
     link.send(Hello("entry", 1))
     link.send(Backlog((BacklogRow("a", 1, 0),)))
     async for message in link.messages():
