--- a/src/leadseam/entry/sidecar_link.py
+++ b/src/leadseam/entry/sidecar_link.py
@@ -1,4 +1,4 @@
-"""The entry's links to sidecars: backlog out, grants in, attempts in flight."""
+"""An entry's link to one sidecar: backlog, grants and attempts."""
 
 from __future__ import annotations
 
@@ -48,11 +48,11 @@
 
 
 class SidecarLink:
-    """One sidecar as seen by an entry.
+    """The connection to one sidecar, its state and the attempts sent over it.
 
     Args:
-        upstream: Its row in the configuration.
-        dispatcher: Owner of the queue.
+        upstream: Configuration of the sidecar's upstream.
+        dispatcher: Holds the queue that grants are served from.
     """
 
     def __init__(self, upstream: Upstream, dispatcher: Dispatcher) -> None:
@@ -77,11 +77,11 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new work may come to run there."""
+        """Whether the sidecar is connected, healthy and not leaving."""
         return self._link is not None and self.healthy and not self.leaving
 
     def same_address(self, row: Upstream) -> bool:
-        """Tell whether a changed row leads to the same sidecar and pool."""
+        """Return whether a new configuration has the same sidecar address and pool."""
         old = self.upstream
         return (old.sidecar_ip, old.sidecar_port, old.pool) == (
             row.sidecar_ip,
@@ -90,7 +90,7 @@
         )
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Connect, and reconnect with backoff, until cancelled."""
         while True:
             with contextlib.suppress(*LINK_ERRORS):
                 await self._connect()
@@ -98,10 +98,10 @@
             await self._backoff.wait()
 
     def mark_backlog_changed(self, account: str, *, urgent: bool) -> None:
-        """Note that an account's backlog changed.
+        """Schedule the sending of an account's changed backlog.
 
-        A row that rises or ends is urgent: the one starts idle slots, the other keeps
-        them from being granted in vain.
+        An increase and a fall to zero are urgent: the first lets idle slots be granted,
+        the second prevents grants that would be declined.
         """
         self._dirty.add(account)
         if urgent:
@@ -110,7 +110,7 @@
             self._flush_later()
 
     def send_others_service(self) -> None:
-        """Tell the sidecar what others gave the accounts that wait here."""
+        """Send the service that waiting accounts received from other sidecars."""
         if self._link is None:
             return
         keys = self._dispatcher.queue.keys(self.upstream.pool)
@@ -121,12 +121,12 @@
             self._link.send(OthersService(rows))
 
     def credit(self, attempt: int, size: int) -> None:
-        """Let the sidecar send more of an attempt."""
+        """Allow the sidecar to send further bytes of an attempt's response."""
         if self._link is not None:
             self._link.send(Credit(attempt, size))
 
     def cancel(self, attempt: int) -> None:
-        """Stop caring for an attempt."""
+        """Cancel an attempt and ignore its further messages."""
         self._attempts.pop(attempt, None)
         self._lost.pop(attempt, None)
         if self._link is not None:
@@ -174,7 +174,7 @@
         for attempt, (item, accepted) in attempts.items():
             self._on_attempt_lost(attempt, item, accepted)
 
-    # Attempts whose link broke
+    # Attempts whose link was lost
 
     def _on_attempt_lost(
         self, attempt: int, item: WaitingRequest, accepted: bool
@@ -274,9 +274,10 @@
     # Backlog
 
     def _invalidate_sent_count(self, account: str) -> None:
-        """Have a row sent even if the count is as last announced.
+        """Have an account's backlog sent even if its count equals the one sent last.
 
-        The sidecar counts a used or declined grant off its own copy of the row.
+        The sidecar subtracts each used or declined grant from its copy of the count, so
+        the two may differ.
         """
         self._sent_counts[account] = _UNKNOWN
         self._dirty.add(account)
@@ -289,7 +290,7 @@
             self._flush_timer = loop.call_later(delay, self._flush_due.set)
 
     async def _flush_loop(self, link: Link) -> None:
-        """Send changed rows: urgent ones at once, the others now and then."""
+        """Send changed backlog rows, urgent ones immediately and others delayed."""
         while True:
             await self._flush_due.wait()
             self._flush_due.clear()
@@ -303,7 +304,8 @@
         dirty, self._dirty = self._dirty, set()
         rows = [row for account in sorted(dirty) if (row := self._row(account))]
         if rows:
-            # A sidecar judges a new account by what the others gave it.
+            # The sidecar needs the service given elsewhere to rank a new account, so it
+            # is sent before the backlog.
             accounts = [row.account for row in rows if row.waiting]
             merge = self._dispatcher.merge(self.upstream.pool)
             unsent = merge.report_unsent(self.upstream.name, accounts)
