--- a/src/leadseam/sidecar/attempts.py
+++ b/src/leadseam/sidecar/attempts.py
@@ -1,4 +1,4 @@
-"""What became of each attempt; the base of every "not run". No I/O."""
+"""Records of each attempt's state, on which every "not run" is based. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptState(IntEnum):
-    """States of an attempt; none is ever left for a lower one."""
+    """States of an attempt; its value never decreases."""
 
     NEVER = 0
     STARTED = 1
@@ -18,7 +18,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt of one incarnation of an entry."""
+    """Identifies an attempt by the entry, its incarnation and a number."""
 
     entry: str
     incarnation: int
@@ -26,11 +26,11 @@
 
 
 class AttemptTable:
-    """Remembers attempts so that a question is answered the same way for ever.
+    """Records attempts so that repeated queries get the same answer.
 
     Args:
-        capacity: Attempts remembered; of a forgotten one it is never said that it
-            did not start. Defaults to `MAX_REMEMBERED`.
+        capacity: Number of attempts recorded. Attempts evicted beyond it are reported
+            as started, never as not started. Defaults to `MAX_REMEMBERED`.
     """
 
     def __init__(self, *, capacity: int = MAX_REMEMBERED) -> None:
@@ -42,10 +42,10 @@
         return f"AttemptTable({len(self._states)})"
 
     def start(self, key: AttemptKey) -> AttemptState | None:
-        """Record that an attempt starts.
+        """Record the start of an attempt, if it is allowed.
 
         Returns:
-            None if it may start now, else the state that forbids it.
+            None if the attempt may start now, else the state that prevents it.
         """
         state = self._states.get(key)
         if state is None and not self._is_forgotten(key):
@@ -59,12 +59,12 @@
             self._states[key] = AttemptState.ENDED
 
     def refuse(self, key: AttemptKey) -> None:
-        """Record that an attempt which has not started never will."""
+        """Record that an attempt never starts, unless it has started already."""
         if key not in self._states and not self._is_forgotten(key):
             self._remember(key, AttemptState.NEVER)
 
     def has_started(self, key: AttemptKey) -> bool:
-        """Answer a question, and from then on stand by the answer."""
+        """Return whether an attempt has started; if not, prevent it from starting."""
         self.refuse(key)
         return self._states.get(key, AttemptState.ENDED) is not AttemptState.NEVER
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts: a "not run" is final, and nothing starts twice."""
+"""The attempt table: "not run" is final, and no attempt starts twice."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptMachine(RuleBasedStateMachine):
-    """Dispatches, questions and ends in any order, with a table that forgets."""
+    """Dispatches, queries and ends in any order, with a table that evicts attempts."""
 
     def __init__(self) -> None:
         super().__init__()
