--- a/src/leadseam/sidecar/breaker.py
+++ b/src/leadseam/sidecar/breaker.py
@@ -1,4 +1,4 @@
-"""Whether an upstream takes work: out after failures, back by a trial. No I/O."""
+"""Circuit breaker for an upstream, with a trial request before recovery. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Health(StrEnum):
-    """States of an upstream."""
+    """State of an upstream: in service, out of service, or tried with one request."""
 
     UP = "up"
     OUT = "out"
@@ -22,7 +22,11 @@
 
 
 class Breaker:
-    """Counts failures of requests and probes."""
+    """Takes an upstream out of service after failed requests or probes.
+
+    The pause before the next trial starts at `FIRST_PAUSE` and doubles up to
+    `MAX_PAUSE`. A successful request resets it.
+    """
 
     def __init__(self) -> None:
         self.health = Health.OUT
@@ -34,7 +38,7 @@
         return f"Breaker({self.health}, failures={self._failures})"
 
     def allowed_slots(self, slots: int) -> int:
-        """Return how many of the slots may be used now."""
+        """Return how many of the upstream's slots may be used in the current state."""
         match self.health:
             case Health.UP:
                 return slots
@@ -44,27 +48,30 @@
                 return 0
 
     def request_succeeded(self) -> None:
-        """Note that the upstream answered a request."""
+        """Record a request that succeeded."""
         self._failures = 0
         if self.health is not Health.OUT:
             self.health = Health.UP
             self._pause = FIRST_PAUSE
 
     def request_failed(self, now: Millis) -> None:
-        """Note that the upstream failed a request."""
+        """Record a request that failed because of the upstream."""
         self._failures += 1
         if self.health is Health.TRIAL or self._failures >= MAX_FAILURES:
             self._take_out_of_service(now)
 
     def probe_succeeded(self, now: Millis) -> None:
-        """Note a good probe: after the pause, one request may try."""
+        """Record a successful probe, which allows a trial once the pause is over.
+
+        The first one puts the upstream in service without a trial.
+        """
         if self.health is Health.OUT and now >= self._out_until:
             first = self._out_until == 0
             self.health = Health.UP if first else Health.TRIAL
             self._failures = 0
 
     def probe_failed(self, now: Millis) -> None:
-        """Note a failed probe; two in a row take the upstream out."""
+        """Record a failed probe; two in a row take the upstream out of service."""
         self._failures += 1
         if self._failures >= MAX_FAILURES - 1:
             self._take_out_of_service(now)
