--- a/src/leadseam/sidecar/semaphore.py
+++ b/src/leadseam/sidecar/semaphore.py
@@ -1,4 +1,4 @@
-"""Admission of fetched requests to the upstream's slots, in order."""
+"""Semaphore that admits prefetched requests to the upstream's slots in FIFO order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ResizableSemaphore:
-    """A semaphore whose size may change while it is in use."""
+    """FIFO semaphore whose size may change while it is in use."""
 
     def __init__(self) -> None:
         self._size = 0
@@ -25,7 +25,7 @@
         )
 
     def resize(self, size: int) -> None:
-        """Set how many may be inside; those inside stay."""
+        """Set the number of permits; those already acquired stay valid."""
         self._size = size
         self._wake_waiters()
 
