--- a/src/leadseam/sidecar/platform.py
+++ b/src/leadseam/sidecar/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving boxes, as a sidecar reads it."""
+"""Polls the platform's list of live and leaving boxes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class BoxList(msgspec.Struct, frozen=True):
-    """The list: state by box, `live` or `leaving`."""
+    """The platform's list: the state, `live` or `leaving`, by name of the box."""
 
     boxes: dict[str, str] = {}
 
@@ -27,13 +27,13 @@
 async def watch_platform(url: str, box: str, on_leaving: Callable[[], None]) -> None:
     """Poll the list until the box is listed as leaving.
 
-    The list lags and may show the box as live again later; leaving is final, so the
-    watch ends there. A list that cannot be read changes nothing.
+    The list may be out of date and show the box as live again later. Leaving is final,
+    so polling ends then. A list that can't be read is ignored.
 
     Args:
-        url: Where the list is.
-        box: Box to look for.
-        on_leaving: Called once.
+        url: URL of the list.
+        box: Name of the box to look up.
+        on_leaving: Called once, when the box is leaving.
     """
     timeout = aiohttp.ClientTimeout(total=seconds(FETCH_TIMEOUT))
     async with aiohttp.ClientSession(
