--- a/src/leadseam/sidecar/program.py
+++ b/src/leadseam/sidecar/program.py
@@ -1,4 +1,4 @@
-"""The sidecar program: agent, links of entries, feed and admin routes."""
+"""The sidecar program: agent, server for entries' links, feed and admin routes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class SidecarProgram:
-    """One sidecar and everything it serves.
+    """A sidecar process with its servers and clients.
 
     Args:
-        settings: Its settings.
-        clock: Source of time. Defaults to the machine's.
+        settings: Settings of the sidecar.
+        clock: Source of time. Defaults to the system clock.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._admin: AppRunner | None = None
 
     async def start(self) -> None:
-        """Bind all sockets."""
+        """Start the server for entries' links and the admin server."""
         settings = self._settings
         self._links = await listen(
             settings.listen.ip,
@@ -93,13 +93,13 @@
         )
 
     async def drain(self) -> None:
-        """Leave, and wait for what runs."""
+        """Announce the leaving, then wait for running attempts and grants."""
         self.agent.leave("stop requested")
         await sleep(self._settings.leave_delay)
         await self.agent.wait_idle()
 
     async def stop(self) -> None:
-        """Release all sockets."""
+        """Close all connections and stop the servers."""
         await self.agent.close()
         if self._links is not None:
             self._links.close()
