--- a/src/leadseam/sidecar/running_attempt.py
+++ b/src/leadseam/sidecar/running_attempt.py
@@ -1,4 +1,4 @@
-"""Entries that are connected to a sidecar, and the attempts that run for them."""
+"""Entries connected to a sidecar, and the attempts that run for them."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """A connected entry.
 
     Args:
-        hello: Who it is.
-        link: The link it dialled.
-        running: Its attempts that run here now.
+        hello: Name and incarnation of the entry.
+        link: Link that the entry opened.
+        running: Running attempts of the entry, by number.
     """
 
     hello: Hello
@@ -35,17 +35,17 @@
 
 @dataclass(slots=True)
 class RunningAttempt:
-    """An attempt that holds a slot.
+    """An attempt that was accepted and runs, or waits for one of the slots.
 
     Args:
-        lease: The lease that it used.
-        req: The request.
-        window: Flow control of its response.
+        lease: Lease under which the attempt was accepted.
+        req: Message that dispatched the request.
+        window: Flow control of the response.
         service: Service measured so far, not normalised.
-        released: Reserved service given back so far.
-        entered: Whether it may have reached the upstream.
-        broken: Whether it was ended because the upstream hangs.
-        task: The task that runs it.
+        released: Part of the reserved service released so far.
+        may_have_started: Whether the request may have reached the upstream.
+        ended_as_hanging: Whether the attempt was cancelled because the upstream hangs.
+        task: Task that runs the attempt.
     """
 
     lease: Lease
@@ -59,7 +59,7 @@
 
 
 def final_message(running: RunningAttempt, task: asyncio.Task[Final]) -> Final | None:
-    """Return what to tell the entry, or None if nobody wants to know."""
+    """Return the message that ends the attempt, or None if the entry abandoned it."""
     if not task.cancelled() and task.exception() is None:
         return task.result()
     if task.cancelled() and not running.ended_as_hanging:
