--- a/src/leadseam/sidecar/scheduler.py
+++ b/src/leadseam/sidecar/scheduler.py
@@ -1,4 +1,4 @@
-"""Slots of one upstream and the grants on them. No I/O."""
+"""Grants the slots of one upstream to waiting requests. No I/O."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A slot promised to an entry for one request of an account.
+    """A slot granted to an entry for one request of an account.
 
     Args:
-        grant: Its number.
-        entry: Entry that holds it.
-        account: Account that it is for.
-        reserved: Normalised service put aside for it.
-        expires: When it ends unused.
+        grant: Number of the grant.
+        entry: Entry that holds the lease.
+        account: Account that the slot is granted for.
+        reserved: Normalised service reserved for the request.
+        expires: Time at which the lease ends if unused.
     """
 
     grant: int
@@ -54,10 +54,13 @@
     estimate: float = INITIAL_ESTIMATE
 
     def open_queues(self, unresponsive: set[str]) -> list[tuple[Millis, str]]:
-        """List entries with a request that no grant covers, by age of their oldest.
+        """List entries with more waiting requests than grants.
 
         Args:
-            silent: Entries to leave out.
+            unresponsive: Entries to exclude.
+
+        Returns:
+            Pairs of the oldest request's arrival and the name of the entry.
         """
         return [
             (queue.since, entry)
@@ -67,11 +70,11 @@
 
 
 class Scheduler:
-    """Decides which account at which entry gets a free slot.
+    """Decides which account at which entry is granted a free slot.
 
     Args:
-        ledger: Service counters.
-        picker: Chooses among accounts.
+        ledger: Service counters of the accounts.
+        picker: Chooses the next account.
         share_of: Returns the share of an account.
     """
 
@@ -94,16 +97,20 @@
 
     @property
     def capacity(self) -> int:
-        """Slots, and the requests fetched ahead so that none idles for a round trip."""
+        """Limit of running and granted requests, including `PREFETCHED` ones.
+
+        A prefetched request takes over a slot that becomes free, which would otherwise
+        be idle for a round trip. With a single slot, none is prefetched.
+        """
         return self.slots + PREFETCHED if self.slots > 1 else self.slots
 
     @property
     def busy(self) -> int:
-        """Requests that run, are fetched ahead or granted."""
+        """Number of running, prefetched and granted requests."""
         return self.running + len(self._leases)
 
     def schedule(self, now: Millis) -> list[Lease]:
-        """Grant every free slot for which work waits."""
+        """Grant free slots as long as requests are waiting."""
         leases = []
         while self.open and self.busy < self.capacity:
             account = self._picker.pick(self._eligible())
@@ -113,20 +120,21 @@
         return leases
 
     def expire(self, now: Millis) -> list[Lease]:
-        """End the leases whose time is over and return them."""
+        """End the expired leases and return them."""
         due = [lease for lease in self._leases.values() if lease.expires <= now]
         for lease in due:
-            # Its entry may be cut off: no more slots for it until it is heard.
+            # The entry may be disconnected, so it gets no more slots until it sends a
+            # message.
             self._unresponsive.add(lease.entry)
             self._end_lease(lease)
         return due
 
     def mark_responsive(self, entry: str) -> None:
-        """Note that an entry has sent something."""
+        """Record that an entry has sent a message, so it may get slots again."""
         self._unresponsive.discard(entry)
 
     def set_backlog(self, entry: str, row: BacklogRow, now: Millis) -> None:
-        """Take one row of an entry's backlog."""
+        """Update the number and age of an account's waiting requests at an entry."""
         state = self._accounts.get(row.account)
         if state is None:
             if not row.waiting:
@@ -143,20 +151,20 @@
             self._drop_queue(state, entry)
 
     def drop_entry(self, entry: str) -> None:
-        """Forget an entry whose link is lost, with its leases."""
+        """Remove the backlog and the leases of an entry whose link is lost."""
         for lease in [held for held in self._leases.values() if held.entry == entry]:
             self._end_lease(lease)
         for state in self._accounts.values():
             state.queues.pop(entry, None)
 
     def decline(self, entry: str, grant: int) -> None:
-        """Take a lease back that its entry has no use for."""
+        """End a lease that its entry declined."""
         lease = self._leases.get(grant)
         if lease is None or lease.entry != entry:
             return
         queue = self._accounts[lease.account].queues.get(entry)
         if queue is not None:
-            # The row that led to this grant was out of date.
+            # The backlog row that led to this grant was out of date.
             queue.waiting = min(queue.waiting, queue.granted - 1)
         self._end_lease(lease)
 
@@ -164,7 +172,7 @@
         """Turn a lease into a running request.
 
         Returns:
-            The lease, or None if it is not held any more.
+            The lease, or None if it has ended or belongs to another entry or account.
         """
         lease = self._leases.get(grant)
         if lease is None or (lease.entry, lease.account) != (entry, account):
@@ -184,8 +192,8 @@
         """Free the slot of a running request.
 
         Args:
-            account: Its account.
-            service: Measured service, or None if it never started.
+            account: Account of the request.
+            service: Measured service, or None if the request never started.
         """
         state = self._accounts[account]
         state.running -= 1
@@ -194,7 +202,7 @@
             state.estimate += ESTIMATE_WEIGHT * (service - state.estimate)
 
     def is_idle(self) -> bool:
-        """Tell whether nothing runs and nothing is granted."""
+        """Return whether no request is running and no grant is outstanding."""
         return self.busy == 0
 
     def _eligible(self) -> list[str]:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Slots and grants of one upstream."""
+"""The scheduler's grants, leases and backlog."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return made
 
 
-def test_an_expired_lease_silences_its_entry_until_it_is_heard() -> None:
+def test_entry_of_an_expired_lease_gets_no_slot_until_it_sends_a_message() -> None:
     made = scheduler()
     made.set_backlog("cut", BacklogRow("a", 5, 10), 0)
     made.set_backlog("well", BacklogRow("a", 5, 0), 0)
@@ -44,13 +44,13 @@
     assert made.schedule(0) == []
 
 
-def test_one_request_is_fetched_ahead_of_several_slots() -> None:
+def test_one_request_is_prefetched_with_several_slots() -> None:
     made = scheduler(slots=4)
     made.set_backlog("e", BacklogRow("a", 9, 0), 0)
     assert len(made.schedule(0)) == 5
 
 
-def test_a_declined_grant_corrects_the_row() -> None:
+def test_a_declined_grant_corrects_the_backlog() -> None:
     made = scheduler()
     made.set_backlog("e", BacklogRow("a", 3, 0), 0)
     (lease,) = made.schedule(0)
