--- a/src/leadseam/standin/__init__.py
+++ b/src/leadseam/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the systems around leadseam; for tests and the demo only."""
+"""Fakes of the systems around leadseam, for tests and the demo only."""
--- a/src/leadseam/standin/engine.py
+++ b/src/leadseam/standin/engine.py
@@ -1,4 +1,4 @@
-"""A fake model engine: OpenAI-style completions, tokens at a set rate, batch slots."""
+"""A fake model engine with OpenAI-style completions, a token rate and batch slots."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class EngineStandin:
-    """Answers with `t0 t1 ...`, as many tokens as `max_tokens` says.
+    """Answers each request with `max_tokens` tokens, `t0 t1 ...`.
 
     Args:
-        slots: Requests that run at once; more wait inside.
+        slots: Number of requests that run concurrently; further ones wait.
         token_interval: Milliseconds between tokens.
     """
 
@@ -37,7 +37,7 @@
         self._token_interval = token_interval
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the engine's routes."""
+        """Return the HTTP routes of the engine."""
         return [
             web.post("/v1/chat/completions", self._complete),
             web.post("/v1/completions", self._complete),
@@ -89,7 +89,7 @@
             raise
 
     def _add_busy_time(self, change: int) -> None:
-        """Add up the milliseconds that slots were busy."""
+        """Add the busy time since the last change, then change the busy slots."""
         now = self._clock.now()
         self._busy_time += self._busy * (now - self._busy_changed)
         self._busy_changed = now
--- a/src/leadseam/standin/platform.py
+++ b/src/leadseam/standin/platform.py
@@ -6,13 +6,13 @@
 
 
 class PlatformStandin:
-    """Serves `GET /boxes`, which a test sets by `PUT /boxes/{name}/{state}`."""
+    """Serves the list at `GET /boxes`; tests edit it by `PUT /boxes/{name}/{state}`."""
 
     def __init__(self) -> None:
         self._boxes: dict[str, str] = {}
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the platform's routes."""
+        """Return the HTTP routes of the platform."""
         return [
             web.get("/boxes", self._show),
             web.put("/boxes/{name}/{state}", self._set),
--- a/src/leadseam/standin/program.py
+++ b/src/leadseam/standin/program.py
@@ -1,4 +1,4 @@
-"""The stand-in program."""
+"""The stand-in program, which runs one fake engine, service or platform."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class StandinProgram:
-    """Serves one stand-in.
+    """A stand-in process with its HTTP server.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the stand-in.
     """
 
     def __init__(self, settings: StandinSettings) -> None:
@@ -44,7 +44,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Bind the socket."""
+        """Start the HTTP server."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.add_routes(_routes(self._settings))
         listen = self._settings.listen
@@ -55,9 +55,9 @@
         await asyncio.Event().wait()
 
     async def drain(self) -> None:
-        """A stand-in ends at once."""
+        """Do nothing; a stand-in stops without draining."""
 
     async def stop(self) -> None:
-        """Release the socket."""
+        """Stop the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/src/leadseam/standin/service.py
+++ b/src/leadseam/standin/service.py
@@ -1,4 +1,4 @@
-"""A fake transaction service that counts how often each request ran."""
+"""A fake transaction service that counts the executions of each request."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
 
 
 class ServiceStandin:
-    """Runs `POST /run/{name}` and counts by name; `?padding=N` lengthens the answer.
+    """Executes `POST /run/{name}` and counts executions by name.
+
+    The query `?padding=N` lengthens the answer by N characters.
 
     Args:
-        service_time: Milliseconds that a call takes.
+        service_time: Milliseconds that an execution takes.
     """
 
     def __init__(self, *, service_time: Millis) -> None:
@@ -21,7 +23,7 @@
         self._runs: Counter[str] = Counter()
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the service's routes."""
+        """Return the HTTP routes of the service."""
         return [
             web.post("/run/{name}", self._run),
             web.get("/runs", self._show),
@@ -30,7 +32,7 @@
 
     async def _run(self, http: web.Request) -> web.Response:
         name = http.match_info["name"]
-        # It counts before it works, as a real one commits before it answers.
+        # Count before the work, as a real service commits before it answers.
         self._runs[name] += 1
         body = await http.read()
         await sleep(self._service_time)
