--- a/src/leadseam/sidecar/meter.py
+++ b/src/leadseam/sidecar/meter.py
@@ -1,4 +1,4 @@
-"""Metering of a response as it streams by. No I/O."""
+"""Measures the service of a response while it is streamed. No I/O."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class Meter(Protocol):
-    """Turns what an upstream sends into service."""
+    """Computes the service to charge for a response."""
 
     def feed(self, data: bytes, now: Millis) -> int:
-        """Take body bytes and return the service that they add."""
+        """Process body bytes and return the service to charge for them."""
 
     def finish(self, now: Millis) -> int:
-        """Return the service still to be charged at the end; may be negative."""
+        """Return the final correction to the service charged; may be negative."""
 
     @property
     def complete(self) -> bool:
-        """Whether the body ended the way its format demands."""
+        """Whether the body is complete according to its format."""
 
 
 class SlotTimeMeter:
-    """Charges plain services by the milliseconds of their slot.
+    """Charges a plain service for the milliseconds that it occupies a slot.
 
     Args:
-        start: When the slot was taken.
+        start: Time at which the slot was occupied.
     """
 
     def __init__(self, start: Millis) -> None:
@@ -42,7 +42,7 @@
 
     @property
     def complete(self) -> bool:
-        """Always true: HTTP itself marks the end."""
+        """Always true, because HTTP itself delimits the body."""
         return True
 
     def feed(self, data: bytes, now: Millis) -> int:
@@ -56,7 +56,7 @@
 
 
 class EventStreamMeter:
-    """Charges a streamed completion by its events, corrected by its usage record."""
+    """Charges a streamed completion per event, then corrects to the reported usage."""
 
     def __init__(self) -> None:
         self._partial_line = b""
@@ -66,7 +66,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the closing event was seen."""
+        """Whether the closing `[DONE]` event was received."""
         return self._done
 
     def feed(self, data: bytes, now: Millis) -> int:
@@ -78,7 +78,7 @@
         return events * OUTPUT_TOKEN
 
     def finish(self, now: Millis) -> int:
-        """Return the difference to the usage that the engine reported, if any."""
+        """Return the difference to the usage that the engine reported, else 0."""
         if self._usage is None:
             return 0
         return self._usage - self._events * OUTPUT_TOKEN
@@ -96,36 +96,36 @@
 
 
 class BodyMeter:
-    """Charges a whole completion by the usage in its JSON body."""
+    """Charges a completion that isn't streamed by the usage in its JSON body."""
 
     def __init__(self) -> None:
         self._body = bytearray()
 
     @property
     def complete(self) -> bool:
-        """Always true: HTTP itself marks the end."""
+        """Always true, because HTTP itself delimits the body."""
         return True
 
     def feed(self, data: bytes, now: Millis) -> int:
-        """Collect; nothing is known before the end."""
+        """Collect the body; the usage is only known at the end."""
         if len(self._body) < MAX_LINE:
             self._body += data
         return 0
 
     def finish(self, now: Millis) -> int:
-        """Return the service of the reported usage, at least one token."""
+        """Return the service of the reported usage; without one, that of one token."""
         usage = parse_usage(bytes(self._body))
         return usage if usage is not None else OUTPUT_TOKEN
 
 
 def parse_usage(data: bytes) -> int | None:
-    """Return the service in an OpenAI-style `usage` record.
+    """Return the service that an OpenAI-style `usage` record amounts to.
 
     Args:
-        data: JSON of a completion or of a chunk.
+        data: JSON of a completion or of one event.
 
     Returns:
-        Service, or None if the record is missing or malformed.
+        The service, or None if the record is missing or malformed.
     """
     try:
         usage = json.loads(data)["usage"]
@@ -143,9 +143,9 @@
     """Choose the meter for a response.
 
     Args:
-        engine: Whether a model engine answers.
+        engine: Whether the upstream is a model engine.
         content_type: Content type of the response.
-        start: When the slot was taken.
+        start: Time at which the slot was occupied.
     """
     if not engine:
         return SlotTimeMeter(start)
