--- a/src/leadseam/sidecar/upstream.py
+++ b/src/leadseam/sidecar/upstream.py
@@ -1,4 +1,4 @@
-"""The only conversation with the upstream: requests and probes over HTTP."""
+"""HTTP client for the upstream: all requests and health probes go through it."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAddress:
-    """Where an upstream listens, and what it is.
+    """Address and kind of an upstream.
 
     Args:
-        ip: IP number.
+        ip: IP address.
         port: Port.
-        engine: Whether it is a model engine.
+        engine: Whether the upstream is a model engine, not a plain service.
     """
 
     ip: str
@@ -61,10 +61,10 @@
 
 
 class Window:
-    """Bytes that may still be sent to an entry ahead of its credit.
+    """Flow-control window: bytes that may be sent to an entry before it adds credit.
 
     Args:
-        size: Initial window.
+        size: Initial size in bytes.
     """
 
     def __init__(self, size: int) -> None:
@@ -74,31 +74,34 @@
         self._open.set()
 
     async def consume(self, size: int) -> None:
-        """Wait for a positive window, then use some of it."""
+        """Wait until the window is positive, then use `size` bytes of it.
+
+        The window may become negative, so a chunk is never split.
+        """
         await self._open.wait()
         self._left -= size
         if self._left <= 0 and not self._unlimited:
             self._open.clear()
 
     def add_credit(self, size: int) -> None:
-        """Add credit."""
+        """Add credit of `size` bytes."""
         self._left += size
         if self._left > 0:
             self._open.set()
 
     def remove_limit(self) -> None:
-        """Take away the limit, as nobody reads what is sent."""
+        """Remove the limit, because the entry no longer reads the response."""
         self._unlimited = True
         self._open.set()
 
 
 class UpstreamClient:
-    """HTTP client of one upstream.
+    """HTTP client for one upstream.
 
     Args:
-        address: Where it is.
+        address: Address and kind of the upstream.
         clock: Source of time.
-        timeouts: Time limits of requests.
+        timeouts: Enforces the time limits of requests.
     """
 
     def __init__(
@@ -112,7 +115,8 @@
         )
         self._connector = LoopConnector(keepalive=KEEPALIVE_S)
         self._pooled = self._session(self._connector)
-        # A reused connection may make the client library send a request twice.
+        # On a reused connection the client library may send a request twice, so
+        # requests that must not be repeated get a new connection.
         self._single_use = self._session(LoopConnector())
 
     async def close(self) -> None:
@@ -121,11 +125,11 @@
         await self._single_use.close()
 
     def drop_idle(self) -> int:
-        """Close idle connections, which may be dead; return their number."""
+        """Close idle connections, which may be broken, and return their number."""
         return self._connector.drop_idle()
 
     async def probe(self) -> bool:
-        """Ask whether the upstream works."""
+        """Return whether the health check succeeds without a server error."""
         timeout = aiohttp.ClientTimeout(total=seconds(PROBE_TIMEOUT))
         try:
             async with self._single_use.get(
@@ -143,16 +147,16 @@
         send: Callable[[Head | Chunk], None],
         charge: Callable[[int], None],
     ) -> Final:
-        """Run a request to its end.
+        """Send a request to the upstream and forward its response.
 
         Args:
             req: The request.
-            window: Flow control towards the entry.
-            send: Takes the head and the chunks.
-            charge: Takes service as it is measured.
+            window: Flow-control window of the entry.
+            send: Called with the head and each chunk of the response.
+            charge: Called with service as it is measured.
 
         Returns:
-            The end of the response, with an error if it is not whole.
+            The end of the response, with an error if the response is incomplete.
         """
         stream = _Stream(self, req, window, send, charge)
         try:
@@ -169,7 +173,7 @@
         return stream.final("")
 
     def open(self, req: Dispatch) -> aiohttp.client._RequestContextManager:
-        """Start the HTTP request of a dispatch."""
+        """Start the HTTP request for a dispatched request."""
         session = self._pooled if req.repeatable else self._single_use
         return session.request(
             req.method,
@@ -180,7 +184,7 @@
         )
 
     def new_meter(self, content_type: str) -> Meter:
-        """Return a meter for a response."""
+        """Return a new meter for a response of a content type."""
         return meter_for(
             engine=self.address.engine,
             content_type=content_type,
@@ -188,11 +192,14 @@
         )
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
     def _time_limit(self, req: Dispatch) -> Millis | None:
-        """Return when a request may be cut off, or None."""
+        """Return when a request times out, or None.
+
+        A request without a deadline, or that must not be repeated, has no time limit.
+        """
         if not (req.deadline and req.repeatable):
             return None
         return self._clock.now() + req.deadline
@@ -212,7 +219,7 @@
 
 
 class _Stream:
-    """One response on its way to an entry."""
+    """Streams one response from the upstream to an entry."""
 
     def __init__(
         self,
@@ -227,7 +234,8 @@
         self._window = window
         self._send = send
         self._charge = charge
-        # Until the head shows otherwise, the time in the slot is what is known.
+        # Until the head gives the content type, a plain service is charged for its
+        # slot time and an engine for one token.
         self._meter: Meter = upstream.new_meter("")
         self._chunks = 0
         self._size = 0
@@ -235,7 +243,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the body ended the way its format demands."""
+        """Whether the body is complete according to its format."""
         return self._status >= FIRST_SERVER_ERROR or self._meter.complete
 
     async def run(self) -> None:
@@ -269,6 +277,6 @@
         (str(name), str(value)) for name, value in items if name.lower() not in kept
     ]
     for pair in pairs:
-        # Raises UnicodeEncodeError, a ValueError, for bytes that are no text.
+        # Raises UnicodeEncodeError, a ValueError, for bytes that aren't UTF-8.
         "".join(pair).encode()
     return tuple(pairs)
