--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -29,13 +29,17 @@
     def dispatch(self, key: AttemptKey) -> None:
         if self.table.start(key) is None:
             assert key not in self.started, "started twice"
-            assert key not in self.denied, "started after it was said it never will"
+            assert key not in self.denied, (
+                "started after it was reported as not started"
+            )
             self.started.add(key)
 
     @rule(key=keys)
     def question(self, key: AttemptKey) -> None:
         if not self.table.has_started(key):
-            assert key not in self.started, "said not started, but it had"
+            assert key not in self.started, (
+                "reported as not started, but it had started"
+            )
             self.denied.add(key)
 
     @rule(key=keys)
