--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -1,6 +1,7 @@
-"""Not-repeatable requests run at most once, and "not run" is true.
+"""Requests that must not be repeated run at most once, and "not run" is true.
 
-The judge is the transaction stand-in's own count of executions.
+The outcomes reported to callers are compared with the executions that the stand-in of
+the transaction service counts itself.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 def describe(fleet: Fleet, *, upstreams: int = 2, entries: int = 2) -> None:
-    """Describe a fleet of plain services."""
+    """Configure a fleet with a pool of plain services."""
     fleet.add_control()
     fleet.add_pool("slips")
     for number in range(1, upstreams + 1):
@@ -40,7 +41,7 @@
 async def call_outcome(
     fleet: Fleet, entry: str, name: str, headers: dict[str, str] | None = None
 ) -> str:
-    """Send one call and return its outcome, as the caller was told."""
+    """Send one call and return the outcome reported to the caller."""
     path = f"/services/slips/run/{name}"
     try:
         status, body = await fleet.post(
@@ -55,21 +56,21 @@
 
 
 async def check(fleet: Fleet, reported: dict[str, list[str]]) -> None:
-    """Hold every caller's outcomes against what truly ran."""
+    """Compare the reported outcomes of every call with its actual executions."""
     runs = await fleet.runs()
     assert max(runs.values()) == 1
     for name, outcomes in reported.items():
         ran = runs.get(name, 0)
         if set(outcomes) == {"not_run"}:
-            assert ran == 0, f"{name} was told not_run, but ran"
+            assert ran == 0, f"{name} was reported as not_run, but ran"
         if "answered" in outcomes:
-            assert ran == 1, f"{name} was told answered, but did not run"
+            assert ran == 1, f"{name} was reported as answered, but did not run"
 
 
 async def run_calls(
     fleet: Fleet, count: int, *, parallel: int, entries: int
 ) -> dict[str, list[str]]:
-    """Send many calls, each once, and return what each caller was told."""
+    """Send many calls, each once, and return the outcome reported for each."""
     reported: dict[str, list[str]] = {}
     numbers = iter(range(count))
 
@@ -82,7 +83,7 @@
     return reported
 
 
-async def test_links_cut_again_and_again(fleet: Fleet) -> None:
+async def test_links_cut_repeatedly(fleet: Fleet) -> None:
     describe(fleet)
     links = [await before_sidecar(fleet, f"slips-{number}") for number in (1, 2)]
     await fleet.start_all()
@@ -137,29 +138,29 @@
     assert await fleet.runs() == {"a": 1, "b": 1}
 
 
-async def test_sidecar_frozen_and_woken(fleet: Fleet) -> None:
+async def test_sidecar_suspended_and_resumed(fleet: Fleet) -> None:
     describe(fleet, upstreams=1, entries=1)
     await fleet.start_all()
     sidecar = fleet.nodes["sidecar-slips-1"]
     calls = asyncio.create_task(run_calls(fleet, 60, parallel=8, entries=1))
     await until(lambda: some_ran(fleet, 5), "calls run")
     sidecar.signal(signal.SIGSTOP)
-    await until(lambda: is_unusable(fleet, "slips-1"), "the entry gave the link up")
+    await until(lambda: is_unusable(fleet, "slips-1"), "the entry has closed the link")
     sidecar.signal(signal.SIGCONT)
     await check(fleet, await calls)
 
 
-async def test_signs_of_a_started_call_are_held_back(fleet: Fleet) -> None:
+async def test_replies_of_a_started_call_are_delayed(fleet: Fleet) -> None:
     describe(fleet, upstreams=1, entries=1)
     link = await before_sidecar(fleet, "slips-1")
     await fleet.start_all()
     calls = asyncio.create_task(run_calls(fleet, 80, parallel=12, entries=1))
     await until(lambda: some_ran(fleet, 10), "calls run")
-    # First the dispatches wait in the proxy, then only what the sidecar answers.
+    # The proxy first delays the dispatches, then only the sidecar's replies.
     link.hold(towards=True, back=False)
     await asyncio.sleep(HELD_DISPATCHES)
     link.hold(towards=False, back=True)
-    await until(lambda: is_unusable(fleet, "slips-1"), "the entry gave the link up")
+    await until(lambda: is_unusable(fleet, "slips-1"), "the entry has closed the link")
     link.release()
     await check(fleet, await calls)
 
@@ -177,7 +178,7 @@
     assert await fleet.runs() == {"a": 1}
 
 
-async def test_a_caller_that_hung_up_gets_its_answer_by_a_resend(fleet: Fleet) -> None:
+async def test_a_disconnected_caller_gets_its_answer_by_a_resend(fleet: Fleet) -> None:
     describe(fleet, upstreams=1)
     fleet.nodes["slips-1"].settings["service_time"] = 500
     await fleet.start_all()
@@ -240,18 +241,18 @@
 
 
 async def some_ran(fleet: Fleet, count: int) -> bool:
-    """Tell whether so many calls have run."""
+    """Return whether at least `count` calls have run."""
     return len(await fleet.runs()) >= count
 
 
 async def is_unusable(fleet: Fleet, upstream: str) -> bool:
-    """Tell whether the first entry sends no more work to an upstream."""
+    """Return whether the first entry considers an upstream's sidecar unusable."""
     values = await fleet.metric("entry-1", "sidecar_usable")
     return values[f'upstream="{upstream}"'] == 0.0
 
 
 async def answer_recorded(fleet: Fleet, first: bytes, key: dict[str, str]) -> bool:
-    """Tell whether a resend through the second entry gets the first answer."""
+    """Return whether a resend through the second entry gets the first answer."""
     status, body = await fleet.post(
         "entry-2", "/services/slips/run/a", "tellers", b"{}", ONCE | key
     )
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -44,14 +44,14 @@
         "entry/retry.py",
         "    if req.repeatable:\n        return Retry(reason.value",
         "    if True:\n        return Retry(reason.value",
-        f"{AT_MOST_ONCE}::test_links_cut_again_and_again",
+        f"{AT_MOST_ONCE}::test_links_cut_repeatedly",
     ),
     Variant(
         "a lost link counts as not run",
         "entry/sidecar_link.py",
         "item.events.put_nowait(LinkLost() if started else NeverStarted())",
         "item.events.put_nowait(NeverStarted())",
-        f"{AT_MOST_ONCE}::test_signs_of_a_started_call_are_held_back",
+        f"{AT_MOST_ONCE}::test_replies_of_a_started_call_are_delayed",
     ),
     Variant(
         "an answer nobody reads keeps its window",
