--- a/tests/failures/test_disk.py
+++ b/tests/failures/test_disk.py
@@ -1,4 +1,4 @@
-"""A disk that fails: the replica steps back, and nothing acknowledged is lost."""
+"""On a disk failure, a replica stops serving and no acknowledged change is lost."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from tools.fleet import Fleet
 
 
-async def test_a_full_disk_makes_a_replica_step_back(fleet: Fleet) -> None:
+async def test_a_full_disk_makes_a_replica_stop_serving(fleet: Fleet) -> None:
     describe(fleet)
     await fleet.start_all()
     code, _ = await change(fleet, 2)
     assert code == 0
     full = await leader(fleet)
-    # The kernel refuses any file of that process to grow, as a full disk would.
+    # Like a full disk, this limit prevents the process from growing any file.
     pid = fleet.nodes[full].pid
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, 0))
     code, reply = await change(fleet, 3)
     if code != 0:
         code, reply = await change(fleet, 3)
     assert (code, reply["status"]) in ((0, "accepted"), (0, "unchanged"))
-    await until(lambda: has_failed(fleet, full), f"{full} says that its disk failed")
+    await until(lambda: has_failed(fleet, full), f"{full} reports that its disk failed")
     assert not await fleet.is_ready(full)
     assert await share_in_force(fleet) == 3
     fleet.nodes[full].kill()
@@ -36,7 +36,9 @@
     assert await share_in_force(fleet) == 3
 
 
-async def test_damage_is_refused_with_a_code(fleet: Fleet) -> None:
+async def test_damaged_journal_ends_the_process_with_an_error_code(
+    fleet: Fleet,
+) -> None:
     describe(fleet)
     await fleet.start_all()
     for share in range(2, 6):
@@ -58,6 +60,6 @@
 
 
 async def has_failed(fleet: Fleet, name: str) -> bool:
-    """Tell whether a replica says that its disk failed."""
+    """Return whether a replica reports that its disk failed."""
     async with fleet.http.get(fleet.url(name, "/readyz")) as resp:
         return str((await resp.json())["reason"]).startswith("storage")
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving upstream gets no new work, and a planned stop cuts nothing."""
+"""A leaving upstream gets no new work, and a planned stop aborts no request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def describe(fleet: Fleet, *, entries: int = 1) -> None:
-    """Describe two engines whose requests take a while."""
+    """Configure two engines whose requests take several hundred milliseconds."""
     fleet.add_control()
     fleet.add_platform()
     fleet.add_pool("rates-1", model=MODEL)
@@ -36,18 +36,18 @@
 
 
 async def started(fleet: Fleet, engine: str) -> int:
-    """Return how many requests an engine has started."""
+    """Return the number of requests that an engine has started."""
     async with fleet.http.get(fleet.url(engine, "/standin")) as resp:
         count: int = (await resp.json())["started"]
         return count
 
 
 class Callers:
-    """Callers that go on until told; each moves to another entry if refused.
+    """Callers that send requests until stopped, each in turn to all ready entries.
 
     Args:
         fleet: The fleet.
-        entries: Names of the entries, as a balancer would use them.
+        entries: Names of the entries among which callers rotate, like a load balancer.
     """
 
     def __init__(self, fleet: Fleet, *, entries: list[str]) -> None:
@@ -58,7 +58,7 @@
         self._tasks = [asyncio.create_task(self._call(n)) for n in range(16)]
 
     async def stop(self) -> None:
-        """End all callers after their last answer."""
+        """Stop all callers once their current requests have ended."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
@@ -99,7 +99,7 @@
 
 
 async def set_box(fleet: Fleet, state: str) -> None:
-    """Have the platform list the first engine's box in a state."""
+    """Set the state of the first engine's box in the platform's list."""
     url = fleet.url("platform", f"/boxes/box-engine-1/{state}")
     async with fleet.http.put(url) as resp:
         assert resp.status == 200
@@ -115,7 +115,7 @@
     await asyncio.sleep(NO_NEW_WORK_AFTER)
     before = await started(fleet, "engine-1")
     other = await started(fleet, "engine-2")
-    # A platform's list that lags may show the box as live again.
+    # A platform's list that is out of date may show the box as live again.
     await set_box(fleet, "live")
     await asyncio.sleep(WATCHED)
     await callers.stop()
@@ -143,5 +143,5 @@
 
 
 async def has_started(fleet: Fleet, engine: str, count: int) -> bool:
-    """Tell whether an engine has started so many requests."""
+    """Return whether an engine has started at least `count` requests."""
     return await started(fleet, engine) >= count
