--- a/tests/failures/test_suspended.py
+++ b/tests/failures/test_suspended.py
@@ -1,9 +1,9 @@
-"""Programs of the path through sidecars that are suspended, as real processes.
+"""Suspended entries on the path through sidecars, with real processes.
 
-The story: an entry is suspended while a request waits for a slot; the loop's timer that
-ends the wait leaves the time away out, so the refusal comes late by all of it.
-The evidence: before the repair, at an entry that was suspended for 1 s a request
-whose deadline had passed was refused after one that had 0.4 s left.
+Guards against late refusals: if an entry is suspended while a request waits for a slot,
+the event loop's timer for the deadline doesn't count the suspension, so the refusal is
+late by its whole duration. Before the fix, an entry suspended for 1 s refused a request
+whose deadline had passed after one that had 0.4 s left.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 CHAT = "/v1/chat/completions"
 SUSPENSION_S = 1.0
-"""Seconds for which a process is suspended. Links are given up after 2 s."""
+"""How long a process is suspended. Must be below 2 s, when links are closed."""
 
 
-async def test_what_is_past_its_deadline_is_refused_before_what_has_time_left(
+async def test_request_past_its_deadline_is_refused_before_one_with_time_left(
     fleet: Fleet,
 ) -> None:
     fleet.add_control()
@@ -60,6 +60,6 @@
 
 
 async def _waits(fleet: Fleet, call: asyncio.Task[tuple[int, str]]) -> bool:
-    """Tell whether a call waits at the entry, or did until its deadline."""
+    """Return whether a call waits at the entry or has already ended."""
     waiting = await fleet.metric("entry-1", "waiting_requests")
     return waiting.get("") == 1 or call.done()
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or an explicit error."""
+"""Each caller gets the complete answer to its own request, or an explicit error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def describe(fleet: Fleet, *, engines: int = 1, interval: int = 3) -> None:
-    """Describe engines behind one entry."""
+    """Configure a pool of engines and one entry."""
     fleet.add_control()
     fleet.add_pool("rates-1", model=MODEL)
     for number in range(1, engines + 1):
@@ -36,13 +36,13 @@
 
 
 async def set_mode(fleet: Fleet, engine: str, mode: str) -> None:
-    """Have an engine behave badly, or `normal` again."""
+    """Set the failure mode of an engine, or `normal`."""
     async with fleet.http.put(fleet.url(engine, f"/standin/mode/{mode}")) as resp:
         assert resp.status == 200
 
 
 async def send_chat(fleet: Fleet, tokens: int) -> tuple[bool, bytes]:
-    """Send a chat; return whether HTTP itself ended well, and the bytes."""
+    """Send a chat; return whether the HTTP response ended normally, and its bytes."""
     data = bytearray()
     body = {"model": MODEL, "max_tokens": tokens, "stream": True, "messages": []}
     url = fleet.url("entry-1", "/v1/chat/completions")
@@ -57,7 +57,7 @@
 
 
 def words(data: bytes) -> list[str]:
-    """Return the words of a streamed answer."""
+    """Extract the words of a streamed answer."""
     found = []
     for line in data.splitlines():
         if line.startswith(b"data: {") and b'"delta"' in line:
@@ -67,11 +67,11 @@
 
 
 def expected(tokens: int) -> list[str]:
-    """Return the words of a whole answer."""
+    """Return the words of a complete answer with so many tokens."""
     return [f"t{number}" for number in range(tokens)]
 
 
-async def test_many_answers_on_one_link_keep_apart(fleet: Fleet) -> None:
+async def test_concurrent_answers_on_one_link_are_not_mixed_up(fleet: Fleet) -> None:
     describe(fleet, interval=1)
     await fleet.start_all()
     sizes = [1 + (7 * number) % 90 for number in range(120)]
@@ -117,7 +117,7 @@
         assert words(data) == expected(5)
     await until(lambda: is_out_after_chats(fleet), "engine-1 is taken out")
     await set_mode(fleet, "engine-1", "normal")
-    await until(lambda: is_in_service(fleet, "engine-1"), "engine-1 is probed back in")
+    await until(lambda: is_in_service(fleet, "engine-1"), "engine-1 is back in service")
 
 
 async def test_hanging_upstream_is_taken_out_and_its_work_moves(fleet: Fleet) -> None:
@@ -150,7 +150,7 @@
     await until(lambda: is_idle(fleet, "engine-1"), "the slow caller's work ended")
 
 
-async def test_caller_that_goes_away_frees_its_slot(fleet: Fleet) -> None:
+async def test_caller_that_disconnects_frees_its_slot(fleet: Fleet) -> None:
     describe(fleet, interval=50)
     await fleet.start_all()
     task = asyncio.create_task(send_chat(fleet, 10_000))
@@ -160,7 +160,7 @@
 
 
 async def is_out_after_chats(fleet: Fleet) -> bool:
-    """Ask some more; tell whether the first engine gets no more work."""
+    """Send further chats; return whether the first engine gets no more work."""
     for whole, data in await asyncio.gather(*(send_chat(fleet, 5) for _ in range(4))):
         assert whole
         assert words(data) == expected(5)
@@ -168,28 +168,28 @@
 
 
 async def is_out(fleet: Fleet, engine: str) -> bool:
-    """Tell whether the entry sends no work to an engine."""
+    """Return whether the entry considers an engine's sidecar unusable."""
     values = await fleet.metric("entry-1", "sidecar_usable")
     return values[f'upstream="{engine}"'] == 0.0
 
 
 async def is_in_service(fleet: Fleet, engine: str) -> bool:
-    """Tell whether the entry sends work to an engine again."""
+    """Return whether the entry considers an engine's sidecar usable again."""
     return not await is_out(fleet, engine)
 
 
 async def busy(fleet: Fleet, engine: str) -> int:
-    """Return the requests in an engine's batch."""
+    """Return the number of requests in an engine's batch."""
     async with fleet.http.get(fleet.url(engine, "/standin")) as resp:
         count: int = (await resp.json())["busy"]
         return count
 
 
 async def is_busy(fleet: Fleet, engine: str) -> bool:
-    """Tell whether an engine works."""
+    """Return whether an engine processes a request."""
     return await busy(fleet, engine) > 0
 
 
 async def is_idle(fleet: Fleet, engine: str) -> bool:
-    """Tell whether an engine does nothing."""
+    """Return whether an engine processes no request."""
     return await busy(fleet, engine) == 0
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -118,7 +118,7 @@
         "sidecar/agent.py",
         "        elif running.task is not None:\n            running.task.cancel()",
         "        elif False:\n            pass",
-        f"{WHOLE}::test_caller_that_goes_away_frees_its_slot",
+        f"{WHOLE}::test_caller_that_disconnects_frees_its_slot",
     ),
     Variant(
         "a stale replica feeds its nodes",
