--- a/tests/failures/test_suspended.py
+++ b/tests/failures/test_suspended.py
@@ -20,7 +20,7 @@
 
 CHAT = "/v1/chat/completions"
 SUSPENSION_S = 1.0
-"""How long a process is suspended. Must be below 2 s, when links are closed."""
+"""Seconds for which a process is suspended. Links are closed after 2 s."""
 
 
 async def test_request_past_its_deadline_is_refused_before_one_with_time_left(
