--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -90,7 +90,7 @@
     @property
     def connected(self) -> bool:
         """Whether each sidecar has reported its status or failed to connect once."""
-        return all(link.tried for link in self._links.values())
+        return all(link.has_connected_or_failed for link in self._links.values())
 
     def submit(self, req: CallerRequest) -> WaitingRequest | NotRun:
         """Queue a request, or refuse it immediately."""
--- a/src/leadseam/entry/program.py
+++ b/src/leadseam/entry/program.py
@@ -22,7 +22,7 @@
 
 INCARNATION_BITS = 53
 DRAIN_POLL: Millis = 50
-QUIET_POLLS = 4
+MIN_IDLE_POLLS = 4
 
 
 class EntryProgram:
@@ -95,12 +95,12 @@
         assert self._runner is not None
         for site in list(self._runner.sites):
             await site.stop()
-        quiet = 0
-        while quiet < QUIET_POLLS:
+        idle_polls = 0
+        while idle_polls < MIN_IDLE_POLLS:
             await sleep(DRAIN_POLL)
             # A connection accepted just before may not have sent its request yet, so
             # several polls in a row must find no request in flight.
-            quiet = 0 if self._frontend.in_flight else quiet + 1
+            idle_polls = 0 if self._frontend.in_flight else idle_polls + 1
 
     async def stop(self) -> None:
         """Stop the HTTP server."""
--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -39,7 +39,7 @@
     from leadseam.settings.models import EntryLimits
 
 EVENT_STREAM = "text/event-stream"
-MAX_STORED_BODY_PART = 4_096
+STORED_BODY_LIMIT = 4_096
 MAX_HELD_BYTES = 64 * 1024
 DEADLINE_GRACE: Millis = 50
 CREDIT_PARTS = 4
@@ -303,7 +303,7 @@
         return outcome
 
     def _store_body(self, data: bytes) -> None:
-        if len(self.stored_body) <= MAX_STORED_BODY_PART:
+        if len(self.stored_body) <= STORED_BODY_LIMIT:
             self.stored_body += data
 
     def _return_credit(self, size: int) -> None:
--- a/src/leadseam/entry/sidecar_link.py
+++ b/src/leadseam/entry/sidecar_link.py
@@ -59,7 +59,7 @@
         self.upstream = upstream
         self.healthy = False
         self.leaving = False
-        self.tried = False
+        self.has_connected_or_failed = False
         self._dispatcher = dispatcher
         self._link: Link | None = None
         self._incarnation = 0
@@ -94,7 +94,7 @@
         while True:
             with contextlib.suppress(*LINK_ERRORS):
                 await self._connect()
-            self.tried = True
+            self.has_connected_or_failed = True
             await self._backoff.wait()
 
     def mark_backlog_changed(self, account: str, *, urgent: bool) -> None:
@@ -216,7 +216,7 @@
                 self._on_grant(message)
             case SlotStatus(healthy=healthy):
                 self.healthy = healthy
-                self.tried = True
+                self.has_connected_or_failed = True
                 self._dispatcher.on_health_change()
             case Service(rows=rows):
                 merge = self._dispatcher.merge(self.upstream.pool)
