--- a/src/leadseam/sidecar/semaphore.py
+++ b/src/leadseam/sidecar/semaphore.py
@@ -1,4 +1,4 @@
-"""Semaphore that admits prefetched requests to the upstream's slots in FIFO order."""
+"""Semaphore that admits accepted attempts to the upstream's slots in FIFO order."""
 
 from __future__ import annotations
 
