--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -22,7 +22,7 @@
 
 ONCE = {"X-Leadseam-Repeatable": "no"}
 BROKEN = "broken"
-HELD_DISPATCHES = 0.2
+DISPATCH_DELAY_S = 0.2
 
 
 def describe(fleet: Fleet, *, upstreams: int = 2, entries: int = 2) -> None:
@@ -158,7 +158,7 @@
     await until(lambda: some_ran(fleet, 10), "calls run")
     # The proxy first delays the dispatches, then only the sidecar's replies.
     link.hold(towards=True, back=False)
-    await asyncio.sleep(HELD_DISPATCHES)
+    await asyncio.sleep(DISPATCH_DELAY_S)
     link.hold(towards=False, back=True)
     await until(lambda: is_unusable(fleet, "slips-1"), "the entry has closed the link")
     link.release()
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -17,8 +17,8 @@
     from tools.fleet import Fleet
 
 MODEL = "rates"
-NO_NEW_WORK_AFTER = 3.0
-WATCHED = 2.0
+SETTLE_S = 3.0
+OBSERVED_S = 2.0
 
 
 def describe(fleet: Fleet, *, entries: int = 1) -> None:
@@ -82,7 +82,7 @@
         return "whole" if whole else f"{status} {body[-200:]!r}"
 
 
-Leave = Callable[["Fleet"], Awaitable[None]]
+LeaveAction = Callable[["Fleet"], Awaitable[None]]
 
 
 async def by_sigterm(fleet: Fleet) -> None:
@@ -106,18 +106,18 @@
 
 
 @pytest.mark.parametrize("leave", [by_sigterm, by_operator, by_platform])
-async def test_no_new_work_and_nothing_cut(fleet: Fleet, leave: Leave) -> None:
+async def test_no_new_work_and_nothing_cut(fleet: Fleet, leave: LeaveAction) -> None:
     describe(fleet)
     await fleet.start_all()
     callers = Callers(fleet, entries=["entry-1"])
     await until(lambda: has_started(fleet, "engine-1", 10), "engine-1 works")
     await leave(fleet)
-    await asyncio.sleep(NO_NEW_WORK_AFTER)
+    await asyncio.sleep(SETTLE_S)
     before = await started(fleet, "engine-1")
     other = await started(fleet, "engine-2")
     # A platform's list that is out of date may show the box as live again.
     await set_box(fleet, "live")
-    await asyncio.sleep(WATCHED)
+    await asyncio.sleep(OBSERVED_S)
     await callers.stop()
     assert await started(fleet, "engine-1") == before
     assert await started(fleet, "engine-2") > other
