--- a/src/leadseam/entry/intake.py
+++ b/src/leadseam/entry/admission.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked and routed one. No I/O."""
+"""Authenticates, routes and validates HTTP requests. No I/O."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 255
 MAX_DEADLINE: Millis = 24 * 3_600 * 1_000
-VERSION_MARK = ":"
+VERSION_SEPARATOR = ":"
 
 _DROPPED_HEADERS = frozenset(
     {
@@ -47,7 +47,7 @@
         REPEATABLE_HEADER.lower(),
     }
 )
-_CLASSES = {
+_PRIORITIES = {
     "interactive": Priority.INTERACTIVE,
     "normal": Priority.NORMAL,
     "bulk": Priority.BULK,
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that may wait.
+    """A request that passed all checks and may be queued.
 
     Args:
         req: The request.
         key: The caller's Idempotency-Key, empty if there is none.
-        digest: Hash of what the key stands for.
+        digest: Hash of the request, to detect a key that is reused for another one.
     """
 
     req: CallerRequest
@@ -72,7 +72,7 @@
 def authenticate(
     configuration: Configuration, headers: Mapping[str, str]
 ) -> Account | NotRun:
-    """Find the account of a bearer key."""
+    """Return the account that the bearer key in the headers belongs to."""
     header = headers.get(AUTHORIZATION, "")
     if not header.startswith(BEARER):
         return NotRun(Reason.NO_KEY)
@@ -88,13 +88,13 @@
 ) -> Pool | NotRun:
     """Choose the pool for an OpenAI-style body.
 
-    The body's `model` is `NAME` or `NAME:VERSION`; without a version, the allowed pool
-    of the highest version is chosen.
+    The body's `model` is `NAME` or `NAME:VERSION`. Without a version, the pool with the
+    highest version among those that the account may use is chosen.
     """
-    model = _model_of(body)
+    model = _requested_model(body)
     if model is None:
         return NotRun(Reason.MALFORMED_BODY)
-    name, _, version = model.partition(VERSION_MARK)
+    name, _, version = model.partition(VERSION_SEPARATOR)
     pools = [
         pool
         for pool in configuration.pools.values()
@@ -113,7 +113,7 @@
 def route_service(
     configuration: Configuration, account: Account, name: str
 ) -> Pool | NotRun:
-    """Choose the pool for a plain service."""
+    """Return the pool of a plain service."""
     pool = configuration.pools.get(name)
     if pool is None or pool.kind is not PoolKind.SERVICE:
         return NotRun(Reason.UNKNOWN_SERVICE)
@@ -123,7 +123,7 @@
 
 
 def may_use(account: Account, pool: Pool) -> bool:
-    """Tell whether an account may use an engine pool."""
+    """Return whether an account may use an engine pool."""
     return any(
         grant.model == pool.model
         and (not grant.versions or pool.version in grant.versions)
@@ -143,32 +143,32 @@
     now: Millis,
     default_deadline: Millis,
 ) -> Admitted | NotRun:
-    """Check the headers of a routed request and build it.
+    """Validate the headers of a routed request and build the queued form.
 
     Args:
         configuration: The configuration in force.
-        account: Account that pays.
-        pool: Pool that serves it.
+        account: Account that the service is charged to.
+        pool: Pool that serves the request.
         method: HTTP method.
-        path: Path and query towards the upstream.
+        path: Path and query sent to the upstream.
         headers: The caller's headers.
         body: The caller's body.
         now: Current time.
-        default_deadline: Milliseconds for callers that name none.
+        default_deadline: Milliseconds allowed if the caller sets no deadline.
     """
     deadline = _deadline(headers, default_deadline)
-    priority = _CLASSES.get(headers.get(CLASS_HEADER, "normal").lower())
-    marked = headers.get(REPEATABLE_HEADER, "yes").lower()
+    priority = _PRIORITIES.get(headers.get(CLASS_HEADER, "normal").lower())
+    repeatable_header = headers.get(REPEATABLE_HEADER, "yes").lower()
     key = headers.get(KEY_HEADER, "")
     if (
-        not _is_text(path, *headers.values())
+        not _is_encodable(path, *headers.values())
         or deadline is None
         or priority is None
-        or marked not in ("yes", "no")
+        or repeatable_header not in ("yes", "no")
         or len(key) > MAX_KEY_LENGTH
     ):
         return NotRun(Reason.MALFORMED_HEADER)
-    ruled = configuration.must_not_repeat(account.name, pool.name, path)
+    never_repeat = configuration.must_not_repeat(account.name, pool.name, path)
     req = CallerRequest(
         account=account.name,
         pool=pool.name,
@@ -178,13 +178,13 @@
         body=body,
         priority=priority,
         deadline=now + deadline,
-        repeatable=marked == "yes" and not ruled,
+        repeatable=repeatable_header == "yes" and not never_repeat,
         arrived=now,
     )
     return Admitted(req, key, _digest(pool.name, method, path, body))
 
 
-def _model_of(body: bytes) -> str | None:
+def _requested_model(body: bytes) -> str | None:
     try:
         parsed = json.loads(body)
     except (ValueError, RecursionError):
@@ -202,8 +202,11 @@
     return min(int(text), MAX_DEADLINE)
 
 
-def _is_text(*values: str) -> bool:
-    """Tell whether values can be encoded: an HTTP library may let odd bytes in."""
+def _is_encodable(*values: str) -> bool:
+    """Return whether values can be encoded as UTF-8.
+
+    The HTTP library accepts other bytes in headers and decodes them to surrogates.
+    """
     try:
         "".join(values).encode()
     except UnicodeEncodeError:
--- a/src/leadseam/entry/dispatcher.py
+++ b/src/leadseam/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""The entry's waiting requests and the sidecars that take them."""
+"""Dispatches an entry's waiting requests to the sidecars that grant slots."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from leadseam.clock import Clock, Millis, sleep
 from leadseam.control.configuration import Configuration
 from leadseam.entry.queue import QueueKey, WaitingQueue
-from leadseam.entry.request import Waiting
-from leadseam.entry.sidecars import SidecarLink
+from leadseam.entry.request import WaitingRequest
+from leadseam.entry.sidecar_link import SidecarLink
 from leadseam.fairness.merge import ServiceMerge
 from leadseam.outcome import NotRun, Reason
 from leadseam.runtime.tasks import spawn
@@ -28,15 +28,15 @@
 
 
 class Dispatcher:
-    """Holds what waits and hands it out as sidecars grant slots.
+    """Queues requests and hands them to sidecars as these grant slots.
 
     Args:
         node: Name of this process.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of this process.
         clock: Source of time.
-        limits: Limits of the entry.
-        metrics: Counters.
-        traffic: Bytes on inner links.
+        limits: Limits on memory and flow control in this entry.
+        metrics: Metrics of this entry.
+        traffic: Counts the bytes sent and received on links to sidecars.
     """
 
     def __init__(
@@ -68,15 +68,15 @@
         return f"Dispatcher({self.queue!r}, sidecars={len(self._links)})"
 
     async def run(self) -> None:
-        """Report merged service until cancelled."""
+        """Report service to sidecars and update gauges until cancelled."""
         while True:
             await sleep(REPORT_INTERVAL)
             for link in self._links.values():
-                link.report_others()
-            self._show()
+                link.send_others_service()
+            self._update_gauges()
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force: open and close links."""
+        """Apply a configuration, opening and closing links to sidecars."""
         self._configuration = configuration
         for name, link in list(self._links.items()):
             if configuration.upstreams.get(name) != link.upstream:
@@ -89,72 +89,75 @@
 
     @property
     def connected(self) -> bool:
-        """Whether every sidecar has been reached, or was found to be unreachable."""
-        return all(link.tried for link in self._links.values())
+        """Whether each sidecar has reported its status or failed to connect once."""
+        return all(link.has_connected_or_failed for link in self._links.values())
 
-    def submit(self, req: CallerRequest) -> Waiting | NotRun:
-        """Queue a request, or refuse it at once."""
+    def submit(self, req: CallerRequest) -> WaitingRequest | NotRun:
+        """Queue a request, or refuse it immediately."""
         if not any(link.usable for link in self._pool_links(req.pool)):
             return NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER)
         self._last_seq += 1
-        item = Waiting(req, self._last_seq)
+        item = WaitingRequest(req, self._last_seq)
         account = self._configuration.accounts.get(req.account)
         max_waiting = account.max_waiting if account is not None else 1
         now = self._clock.now()
         refusal = self.queue.offer(item, max_waiting=max_waiting, now=now)
         if refusal is not None:
             return refusal
-        self._touch(req, urgent=True)
+        self._mark_backlog_changed(req, urgent=True)
         return item
 
-    def requeue(self, item: Waiting) -> None:
-        """Queue a request again for another attempt."""
-        if self._usable(item.req.pool) <= item.avoid:
+    def requeue(self, item: WaitingRequest) -> None:
+        """Queue a request again for another attempt.
+
+        If every usable upstream of its pool is to be avoided, it may use any of them.
+        """
+        if self._usable_upstreams(item.req.pool) <= item.avoid:
             item.avoid.clear()
-        self.queue.put_back(item)
-        self._touch(item.req, urgent=True)
+        self.queue.enqueue(item)
+        self._mark_backlog_changed(item.req, urgent=True)
 
-    def withdraw(self, item: Waiting) -> None:
-        """Take a request out of the queue, if it still waits."""
+    def withdraw(self, item: WaitingRequest) -> None:
+        """Remove a request from the queue if it is still waiting."""
         if item.queued:
             self.queue.remove(item)
-            self._touch(item.req, urgent=False)
+            self._mark_backlog_changed(item.req, urgent=False)
 
-    def take(self, key: QueueKey, link: SidecarLink) -> Waiting | None:
-        """Take the next request for a granted slot."""
+    def take(self, key: QueueKey, link: SidecarLink) -> WaitingRequest | None:
+        """Remove and return the next request for a granted slot, or None."""
         item = self.queue.take(key, upstream=link.upstream.name, now=self.now())
         if item is not None:
-            self._touch(item.req, urgent=not self.queue.count(key))
+            self._mark_backlog_changed(item.req, urgent=not self.queue.count(key))
         return item
 
     def next_attempt(self) -> int:
-        """Return a number for a new attempt, from 1."""
+        """Return the number of a new attempt; numbers start at 1."""
         self._last_attempt += 1
         return self._last_attempt
 
     def hello(self) -> Hello:
-        """Return the first message of a link."""
+        """Return the first message to send on a link."""
         return Hello(self._node, self._incarnation)
 
     def merge(self, pool: str) -> ServiceMerge:
-        """Return the service counters of a pool."""
+        """Return the merged service counters of a pool."""
         return self._merges[pool]
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
-    def note_health(self) -> None:
-        """Requests whose only alternatives vanished may use any upstream again."""
+    def on_health_change(self) -> None:
+        """Let requests that avoid every upstream still usable go to any of them."""
         for pool in {link.upstream.pool for link in self._links.values()}:
-            self.queue.forget_avoided(pool, self._usable(pool))
+            self.queue.clear_avoided(pool, self._usable_upstreams(pool))
 
-    def _show(self) -> None:
+    def _update_gauges(self) -> None:
         self.metrics.waiting.set({}, len(self.queue))
         for name, link in self._links.items():
             self.metrics.usable.set({"upstream": name}, int(link.usable))
 
-    def _usable(self, pool: str) -> set[str]:
+    def _usable_upstreams(self, pool: str) -> set[str]:
         return {link.upstream.name for link in self._pool_links(pool) if link.usable}
 
     def _pool_links(self, pool: str) -> list[SidecarLink]:
@@ -169,6 +172,6 @@
         del self._links[name]
         self._tasks.pop(name).cancel()
 
-    def _touch(self, req: CallerRequest, *, urgent: bool) -> None:
+    def _mark_backlog_changed(self, req: CallerRequest, *, urgent: bool) -> None:
         for link in self._pool_links(req.pool):
-            link.touch(req.account, urgent=urgent)
+            link.mark_backlog_changed(req.account, urgent=urgent)
--- a/src/leadseam/entry/answers.py
+++ b/src/leadseam/entry/error_responses.py
@@ -1,4 +1,4 @@
-"""What callers read when there is no whole answer of an upstream."""
+"""Error responses for requests that got no complete answer from an upstream."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 
-STATUS = {
+STATUS_CODES = {
     Reason.NO_KEY: 401,
     Reason.WRONG_KEY: 401,
     Reason.MALFORMED_BODY: 400,
@@ -82,7 +82,7 @@
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the stable name of an outcome."""
+    """Return the name of an outcome in responses, metrics and logs."""
     match outcome:
         case Answered():
             return "answered"
@@ -95,7 +95,7 @@
 
 
 def error_body(outcome: NotRun | Failed | Unknown) -> dict[str, object]:
-    """Return the JSON that describes an outcome, in the shape of OpenAI's errors."""
+    """Return the JSON body for an outcome, in the format of OpenAI's errors."""
     error: dict[str, object] = {
         "message": MESSAGES[outcome.reason],
         "type": "leadseam_error",
@@ -108,26 +108,30 @@
 
 
 def error_response(outcome: NotRun | Failed | Unknown) -> web.Response:
-    """Return the HTTP response for an outcome."""
+    """Return the complete HTTP error response for an outcome."""
     headers = {"X-Leadseam-Outcome": outcome_name(outcome)}
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
-        headers["Retry-After"] = str(_whole_seconds(outcome.retry_after))
+        headers["Retry-After"] = str(_ceil_seconds(outcome.retry_after))
     body = error_body(outcome)
-    return web.json_response(body, status=status_of(outcome), headers=headers)
+    return web.json_response(body, status=http_status(outcome), headers=headers)
 
 
-def status_of(outcome: NotRun | Failed | Unknown) -> int:
-    """Return the status; callers may believe 503 that a request has not run."""
-    status = STATUS[outcome.reason]
+def http_status(outcome: NotRun | Failed | Unknown) -> int:
+    """Return the HTTP status of an outcome.
+
+    Callers may take 503 to mean that the request has not run. 502 doesn't tell, so
+    `NotRun` is never reported as 502.
+    """
+    status = STATUS_CODES[outcome.reason]
     if isinstance(outcome, NotRun) and status == BAD_GATEWAY:
         return UNAVAILABLE
     return status
 
 
 def error_event(outcome: Failed | Unknown) -> bytes:
-    """Return the event that ends a broken event stream."""
+    """Return the server-sent event that reports an error in a started stream."""
     return b"event: error\ndata: " + json.dumps(error_body(outcome)).encode() + b"\n\n"
 
 
-def _whole_seconds(millis: Millis) -> int:
+def _ceil_seconds(millis: Millis) -> int:
     return -(-millis // MILLIS_PER_SECOND)
--- a/src/leadseam/entry/http.py
+++ b/src/leadseam/entry/http.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,7 @@
 
 from leadseam.clock import Clock
 from leadseam.control.claims import MAX_STORED_BODY, Verdict
-from leadseam.entry.answers import error_response, outcome_name
-from leadseam.entry.intake import (
+from leadseam.entry.admission import (
     Admitted,
     admit,
     authenticate,
@@ -20,6 +19,7 @@
     route_model,
     route_service,
 )
+from leadseam.entry.error_responses import error_response, outcome_name
 from leadseam.entry.relay import CallerGoneError, Relay
 from leadseam.entry.retry import RetryBudget
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
@@ -43,13 +43,13 @@
 
 
 class Frontend:
-    """Handles callers' requests.
+    """Handles the HTTP requests of callers.
 
     Args:
-        dispatcher: Owner of the queue.
-        feed: Configuration and claims.
-        limits: Limits of the entry.
-        metrics: Counters.
+        dispatcher: Queues requests and dispatches them to sidecars.
+        feed: Client for the configuration and for claims.
+        limits: Limits on requests in this entry.
+        metrics: Metrics of this entry.
         clock: Source of time.
     """
 
@@ -72,7 +72,7 @@
         self._budget = RetryBudget()
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the callers' routes."""
+        """Return the HTTP routes for callers."""
         completions = [web.post(path, self._completion) for path in COMPLETIONS]
         return [
             *completions,
@@ -82,12 +82,18 @@
 
     @web.middleware
     async def count(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Have a planned stop wait for a request from its first line on."""
-        with self._counted():
+        """Count a request as in flight before its body has arrived.
+
+        A planned stop waits for the requests in flight.
+        """
+        with self._track_in_flight():
             return await handler(request)
 
     async def on_prepare(self, _: web.Request, response: web.StreamResponse) -> None:
-        """Have callers go elsewhere after this response while stopping."""
+        """While stopping, close the connection after this response.
+
+        The caller then sends its next request to another entry.
+        """
         if self.stopping:
             response.force_close()
 
@@ -103,7 +109,7 @@
         return web.json_response({"object": "list", "data": data})
 
     async def _completion(self, http: web.Request) -> web.StreamResponse:
-        body = await self._read(http)
+        body = await self._read_body(http)
         if isinstance(body, NotRun):
             return self._refuse(body)
         account = self._account(http)
@@ -113,7 +119,7 @@
         return await self._handle(http, account, pool, http.path, body)
 
     async def _service(self, http: web.Request) -> web.StreamResponse:
-        body = await self._read(http)
+        body = await self._read_body(http)
         if isinstance(body, NotRun):
             return self._refuse(body)
         account = self._account(http)
@@ -129,7 +135,7 @@
             return NotRun(Reason.NO_CONFIGURATION, CLAIM_RETRY_AFTER)
         return authenticate(self._feed.configuration, http.headers)
 
-    async def _read(self, http: web.Request) -> bytes | NotRun:
+    async def _read_body(self, http: web.Request) -> bytes | NotRun:
         try:
             return await http.read()
         except web.HTTPRequestEntityTooLarge:
@@ -158,29 +164,32 @@
         )
         if isinstance(admitted, NotRun):
             return self._refuse(admitted)
-        return await self._carry(http, admitted)
+        return await self._relay_request(http, admitted)
 
-    async def _carry(self, http: web.Request, admitted: Admitted) -> web.StreamResponse:
+    async def _relay_request(
+        self, http: web.Request, admitted: Admitted
+    ) -> web.StreamResponse:
         if admitted.key and not admitted.req.repeatable:
-            return await self._carry_claimed(http, admitted)
-        relay = self._relay(http, admitted)
-        with self._counted():
+            return await self._relay_claimed(http, admitted)
+        relay = self._new_relay(http, admitted)
+        with self._track_in_flight():
             outcome = await self._run(relay)
         return self._finish(relay, outcome)
 
-    async def _carry_claimed(
+    async def _relay_claimed(
         self, http: web.Request, admitted: Admitted
     ) -> web.StreamResponse:
-        """Run a request only under the claim on its Idempotency-Key.
+        """Run a request only while holding the claim on its Idempotency-Key.
 
-        It goes on if the caller hangs up, so that a resend gets its answer.
+        The request continues if the caller disconnects, so that a resend with the same
+        key gets its answer.
         """
         return await asyncio.shield(spawn(self._run_claimed(http, admitted)))
 
     async def _run_claimed(
         self, http: web.Request, admitted: Admitted
     ) -> web.StreamResponse:
-        with self._counted():
+        with self._track_in_flight():
             return await self._claim_and_run(http, admitted)
 
     async def _claim_and_run(
@@ -204,7 +213,7 @@
                 self._feed.claims.release(ClaimRelease(account, admitted.key, owner))
                 refusal = NotRun(Reason.CLAIM_UNAVAILABLE, CLAIM_RETRY_AFTER)
                 return self._refuse(refusal)
-        relay = self._relay(http, admitted, outlives_caller=True)
+        relay = self._new_relay(http, admitted, outlives_caller=True)
         outcome: Outcome = Unknown(Reason.LINK_LOST)
         try:
             outcome = await self._run(relay)
@@ -219,8 +228,8 @@
         match outcome:
             case NotRun():
                 self._feed.claims.release(ClaimRelease(account, key, owner))
-            case Answered(status=status) if len(relay.kept) <= MAX_STORED_BODY:
-                body = bytes(relay.kept)
+            case Answered(status=status) if len(relay.stored_body) <= MAX_STORED_BODY:
+                body = bytes(relay.stored_body)
                 done = ClaimDone(account, key, owner, status, relay.content_type, body)
                 self._feed.claims.complete(done)
             case _:
@@ -233,7 +242,7 @@
             headers["Content-Type"] = reply.content_type
         return web.Response(status=reply.status, body=reply.body, headers=headers)
 
-    def _relay(
+    def _new_relay(
         self, http: web.Request, admitted: Admitted, *, outlives_caller: bool = False
     ) -> Relay:
         return Relay(
@@ -248,8 +257,8 @@
         )
 
     @contextlib.contextmanager
-    def _counted(self) -> Iterator[None]:
-        """Have a planned stop wait for what happens inside."""
+    def _track_in_flight(self) -> Iterator[None]:
+        """Count the enclosed work as in flight, so that a planned stop waits for it."""
         self.in_flight += 1
         try:
             yield
@@ -269,14 +278,14 @@
             assert relay.response is not None
             return relay.response
         if relay.response is not None:
-            self._count(outcome)
+            self._count_refusal(outcome)
             return relay.response
         return self._refuse(outcome)
 
     def _refuse(self, outcome: NotRun | Failed | Unknown) -> web.Response:
-        self._count(outcome)
+        self._count_refusal(outcome)
         return error_response(outcome)
 
-    def _count(self, outcome: NotRun | Failed | Unknown) -> None:
+    def _count_refusal(self, outcome: NotRun | Failed | Unknown) -> None:
         self._metrics.requests.inc({"outcome": outcome_name(outcome)})
         self._metrics.refusals.inc({"reason": outcome.reason.value})
--- a/src/leadseam/entry/relay.py
+++ b/src/leadseam/entry/relay.py
@@ -1,4 +1,4 @@
-"""One request's way: attempts until it is answered, refused or given up."""
+"""Relays one request: attempts it until it is answered, refused or fails."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from aiohttp import web
 
 from leadseam.clock import Clock, Millis
-from leadseam.entry.answers import error_event
+from leadseam.entry.error_responses import error_event
 from leadseam.entry.request import (
     CallerRequest,
     Dispatched,
     LinkLost,
     NeverStarted,
-    Waiting,
+    WaitingRequest,
 )
 from leadseam.entry.retry import (
     Deliver,
@@ -25,7 +25,7 @@
     Retry,
     RetryBudget,
     decide,
-    exhausted,
+    outcome_without_retry,
 )
 from leadseam.outcome import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from leadseam.wire.dispatch import Accepted, Chunk, Final, Head, Refused
@@ -39,28 +39,29 @@
     from leadseam.settings.models import EntryLimits
 
 EVENT_STREAM = "text/event-stream"
-MAX_KEPT_BODY = 4_096
-HELD_BYTES = 64 * 1024
+STORED_BODY_LIMIT = 4_096
+MAX_HELD_BYTES = 64 * 1024
 DEADLINE_GRACE: Millis = 50
 CREDIT_PARTS = 4
 
 
 class CallerGoneError(ConnectionError):
-    """The caller closed its connection."""
+    """The caller closed the connection before the response was complete."""
 
 
 class Relay:
-    """Carries one request and writes its response.
+    """Attempts one request and writes its response.
 
     Args:
         http: The caller's HTTP request.
-        req: What it asks for.
-        dispatcher: Owner of the queue.
+        req: The validated request.
+        dispatcher: Queues the request and dispatches it to sidecars.
         budget: Retry budget of the entry.
-        limits: Limits of the entry.
-        metrics: Counters.
+        limits: Limits on attempts and flow control in this entry.
+        metrics: Metrics of this entry.
         clock: Source of time.
-        outlives_caller: Whether the answer is wanted even if the caller has gone.
+        outlives_caller: Whether to continue after the caller has disconnected, because
+            the answer is stored for resends.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         outlives_caller: bool,
     ) -> None:
         self.response: web.StreamResponse | None = None
-        self.kept = bytearray()
+        self.stored_body = bytearray()
         self.content_type = ""
         self._http = http
         self._req = req
@@ -89,13 +90,13 @@
         self._attempts = 0
         self._outlives_caller = outlives_caller
         self._uncredited = 0
-        self._held: deque[AttemptEvent] = deque()
-        self._last_sidecar = ""
+        self._buffered: deque[AttemptEvent] = deque()
+        self._last_upstream = ""
 
     async def run(self) -> Outcome:
-        """Carry the request to its outcome.
+        """Attempt the request until it has an outcome.
 
-        A response has been written in full only if the outcome is `Answered`.
+        The response has been written in full only if the outcome is `Answered`.
         """
         admitted = self._dispatcher.submit(self._req)
         if isinstance(admitted, NotRun):
@@ -104,16 +105,16 @@
             return await self._attempt_until_done(admitted)
         finally:
             self._dispatcher.withdraw(admitted)
-            self._drop_attempt()
+            self._cancel_attempt()
 
-    async def _attempt_until_done(self, item: Waiting) -> Outcome:
+    async def _attempt_until_done(self, item: WaitingRequest) -> Outcome:
         while True:
             if not await self._wait_for_grant(item):
                 return NotRun(Reason.DEADLINE_PASSED)
-            ending = await self._first_sign(item)
+            ending = await self._wait_for_head(item)
             decision = decide(self._req, ending)
             if isinstance(decision, Deliver) and isinstance(ending, Head):
-                broken = await self._hold(item, ending)
+                broken = await self._buffer_small_answer(item, ending)
                 if broken is not None:
                     ending, decision = broken, decide(self._req, broken)
             match decision:
@@ -124,10 +125,10 @@
                     return outcome
                 case Retry():
                     if not self._may_retry(decision):
-                        return exhausted(self._req, ending)
+                        return outcome_without_retry(self._req, ending)
                     self._prepare_retry(item, decision)
 
-    async def _wait_for_grant(self, item: Waiting) -> bool:
+    async def _wait_for_grant(self, item: WaitingRequest) -> bool:
         try:
             async with self._dispatcher.timeouts.until(self._req.deadline):
                 event = await item.events.get()
@@ -138,12 +139,12 @@
             event = item.events.get_nowait()
         assert isinstance(event, Dispatched)
         self._dispatched = event
-        self._last_sidecar = event.link.upstream.name
+        self._last_upstream = event.link.upstream.name
         self._attempts += 1
         return True
 
-    async def _first_sign(self, item: Waiting) -> Ending:
-        """Wait until the attempt has a head, or has ended without one."""
+    async def _wait_for_head(self, item: WaitingRequest) -> Ending:
+        """Wait for the head of the response, or for the attempt's end without one."""
         while True:
             event = await self._next_event(item)
             match event:
@@ -157,53 +158,59 @@
                 case _:
                     raise AssertionError(f"unexpected {event!r}")
 
-    async def _hold(self, item: Waiting, head: Head) -> Final | LinkLost | None:
-        """Wait for the end of a small answer before the caller gets a byte of it.
+    async def _buffer_small_answer(
+        self, item: WaitingRequest, head: Head
+    ) -> Final | LinkLost | None:
+        """Buffer the answer up to `MAX_HELD_BYTES` before sending any to the caller.
 
-        Until then a lost answer can be tried again, or be reported in full. Event
-        streams are never held.
+        While nothing has been sent, a failed attempt can be retried, or reported with a
+        complete error response. Event streams are never buffered.
 
         Returns:
-            How the attempt ended badly, or None if the answer may be delivered.
+            The end of the attempt if it failed, or None if the answer may be delivered.
         """
         size = 0
         if _content_type(head).startswith(EVENT_STREAM):
             return None
-        while size < HELD_BYTES:
+        while size < MAX_HELD_BYTES:
             event = await self._receive(item)
             match event:
                 case Chunk(data=data):
-                    self._held.append(event)
+                    self._buffered.append(event)
                     size += len(data)
                 case Final(error=""):
-                    self._held.append(event)
+                    self._buffered.append(event)
                     return None
                 case Final() | LinkLost():
-                    self._held.clear()
+                    self._buffered.clear()
                     self._dispatched = None
                     return event
                 case _:
                     raise AssertionError(f"unexpected {event!r}")
         return None
 
-    async def _next_event(self, item: Waiting) -> AttemptEvent:
-        """Return the next event, those held first."""
-        return self._held.popleft() if self._held else await self._receive(item)
+    async def _next_event(self, item: WaitingRequest) -> AttemptEvent:
+        """Return the next event, starting with the buffered ones."""
+        return self._buffered.popleft() if self._buffered else await self._receive(item)
 
-    async def _receive(self, item: Waiting) -> AttemptEvent:
-        """Wait for an event; a deadline counts as a lost answer."""
+    async def _receive(self, item: WaitingRequest) -> AttemptEvent:
+        """Wait for the next event of the attempt.
+
+        Shortly after the request's deadline, the attempt is cancelled and a `Final`
+        with the reason `DEADLINE_PASSED` returned instead.
+        """
         limit = max(self._req.deadline, self._clock.now()) + DEADLINE_GRACE
         try:
             async with self._dispatcher.timeouts.until(limit):
                 return await item.events.get()
         except TimeoutError:
-            self._drop_attempt()
+            self._cancel_attempt()
             return Final(0, 0, 0, Reason.DEADLINE_PASSED, True)
 
     # Retries
 
     def _may_retry(self, retry: Retry) -> bool:
-        if not retry.costs:
+        if not retry.uses_budget:
             return self._clock.now() < self._req.deadline
         self._budget.failed()
         allowed = (
@@ -215,22 +222,22 @@
             self._metrics.retries_denied.inc({"reason": retry.reason})
         return allowed
 
-    def _prepare_retry(self, item: Waiting, retry: Retry) -> None:
+    def _prepare_retry(self, item: WaitingRequest, retry: Retry) -> None:
         self._metrics.retries.inc({"reason": retry.reason})
-        if retry.avoid and self._last_sidecar:
-            item.avoid.add(self._last_sidecar)
-        self._drop_attempt()
+        if retry.avoid and self._last_upstream:
+            item.avoid.add(self._last_upstream)
+        self._cancel_attempt()
         item.events = asyncio.Queue()
         self._dispatcher.requeue(item)
 
-    def _drop_attempt(self) -> None:
+    def _cancel_attempt(self) -> None:
         if self._dispatched is not None:
             self._dispatched.link.cancel(self._dispatched.attempt)
             self._dispatched = None
 
     # The response
 
-    async def _deliver(self, item: Waiting, ending: Ending) -> Outcome:
+    async def _deliver(self, item: WaitingRequest, ending: Ending) -> Outcome:
         assert isinstance(ending, Head)
         response = web.StreamResponse(status=ending.status)
         for name, value in ending.headers:
@@ -239,32 +246,34 @@
         self.content_type = response.headers.get("Content-Type", "")
         return await self._stream(item, response)
 
-    async def _stream(self, item: Waiting, response: web.StreamResponse) -> Outcome:
-        await self._towards_caller(response.prepare(self._http))
+    async def _stream(
+        self, item: WaitingRequest, response: web.StreamResponse
+    ) -> Outcome:
+        await self._write_to_caller(response.prepare(self._http))
         chunks = 0
         size = 0
         while True:
             event = await self._next_event(item)
             match event:
                 case Chunk(seq=seq, data=data) if seq == chunks:
-                    await self._towards_caller(response.write(data))
-                    self._keep(data)
-                    self._credit(len(data))
+                    await self._write_to_caller(response.write(data))
+                    self._store_body(data)
+                    self._return_credit(len(data))
                     chunks += 1
                     size += len(data)
                 case Final(error="") if (event.chunks, event.size) == (chunks, size):
                     self._dispatched = None
-                    await self._towards_caller(response.write_eof())
+                    await self._write_to_caller(response.write_eof())
                     self._budget.succeeded()
                     return Answered(response.status)
                 case _:
-                    return await self._break_off(response, event)
+                    return await self._abort_response(response, event)
 
-    async def _towards_caller(self, writing: Awaitable[object]) -> None:
-        """Write to the caller.
+    async def _write_to_caller(self, writing: Awaitable[object]) -> None:
+        """Await a write to the caller, ignoring a lost caller if the relay outlives it.
 
         Raises:
-            CallerGoneError: If it has gone and nothing else wants the answer.
+            CallerGoneError: If the caller has disconnected and the relay ends with it.
         """
         try:
             await writing
@@ -272,10 +281,10 @@
             if not self._outlives_caller:
                 raise CallerGoneError from exc
 
-    async def _break_off(
+    async def _abort_response(
         self, response: web.StreamResponse, event: AttemptEvent
     ) -> Outcome:
-        """End a response so that no caller can take it for a whole one."""
+        """Abort a started response so that it can't be mistaken for a complete one."""
         self._budget.failed()
         reason = Reason.UPSTREAM_BROKEN
         match event:
@@ -293,12 +302,12 @@
             self._http.transport.abort()
         return outcome
 
-    def _keep(self, data: bytes) -> None:
-        if len(self.kept) <= MAX_KEPT_BODY:
-            self.kept += data
+    def _store_body(self, data: bytes) -> None:
+        if len(self.stored_body) <= STORED_BODY_LIMIT:
+            self.stored_body += data
 
-    def _credit(self, size: int) -> None:
-        """Give credit back in parts of the window, not chunk by chunk."""
+    def _return_credit(self, size: int) -> None:
+        """Return credit once a fraction of the window is used, not for each chunk."""
         self._uncredited += size
         due = self._uncredited * CREDIT_PARTS >= self._limits.window_bytes
         if due and self._dispatched is not None:
--- a/src/leadseam/entry/sidecars.py
+++ b/src/leadseam/entry/sidecar_link.py
@@ -1,4 +1,4 @@
-"""The entry's links to sidecars: backlog out, grants in, attempts in flight."""
+"""An entry's link to one sidecar: backlog, grants and attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from leadseam.clock import Millis, seconds, sleep
 from leadseam.entry.queue import QueueKey
-from leadseam.entry.request import Dispatched, LinkLost, NeverStarted, Waiting
+from leadseam.entry.request import Dispatched, LinkLost, NeverStarted, WaitingRequest
 from leadseam.runtime.tasks import spawn
 from leadseam.wire.backoff import Backoff
 from leadseam.wire.dispatch import (
@@ -40,36 +40,36 @@
     from leadseam.wire.link import Link
     from leadseam.wire.messages import AnyMessage
 
-QUERY_LIMIT: Millis = 2_500
-FALL_INTERVAL: Millis = 50
-RISE_INTERVAL: Millis = 2
+QUERY_TIMEOUT: Millis = 2_500
+FALLING_FLUSH_DELAY: Millis = 50
+MIN_FLUSH_INTERVAL: Millis = 2
 
 _UNKNOWN = -1
 
 
 class SidecarLink:
-    """One sidecar as seen by an entry.
+    """The connection to one sidecar, its state and the attempts sent over it.
 
     Args:
-        upstream: Its row in the configuration.
-        dispatcher: Owner of the queue.
+        upstream: Configuration of the sidecar's upstream.
+        dispatcher: Holds the queue that grants are served from.
     """
 
     def __init__(self, upstream: Upstream, dispatcher: Dispatcher) -> None:
         self.upstream = upstream
         self.healthy = False
         self.leaving = False
-        self.tried = False
+        self.has_connected_or_failed = False
         self._dispatcher = dispatcher
         self._link: Link | None = None
         self._incarnation = 0
         self._backoff = Backoff()
-        self._attempts: dict[int, tuple[Waiting, bool]] = {}
-        self._lost: dict[int, tuple[Waiting, int]] = {}
-        self._announced: dict[str, int] = {}
+        self._attempts: dict[int, tuple[WaitingRequest, bool]] = {}
+        self._lost: dict[int, tuple[WaitingRequest, int]] = {}
+        self._sent_counts: dict[str, int] = {}
         self._dirty: set[str] = set()
         self._flush_task: asyncio.Task[None] | None = None
-        self._flush_soon = asyncio.Event()
+        self._flush_due = asyncio.Event()
         self._flush_timer: asyncio.TimerHandle | None = None
 
     def __repr__(self) -> str:
@@ -77,11 +77,11 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new work may come to run there."""
+        """Whether the sidecar is connected, healthy and not leaving."""
         return self._link is not None and self.healthy and not self.leaving
 
     def same_address(self, row: Upstream) -> bool:
-        """Tell whether a changed row leads to the same sidecar and pool."""
+        """Return whether a new configuration has the same sidecar address and pool."""
         old = self.upstream
         return (old.sidecar_ip, old.sidecar_port, old.pool) == (
             row.sidecar_ip,
@@ -90,27 +90,27 @@
         )
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Connect, and reconnect with backoff, until cancelled."""
         while True:
             with contextlib.suppress(*LINK_ERRORS):
                 await self._connect()
-            self.tried = True
+            self.has_connected_or_failed = True
             await self._backoff.wait()
 
-    def touch(self, account: str, *, urgent: bool) -> None:
-        """Note that an account's backlog changed.
+    def mark_backlog_changed(self, account: str, *, urgent: bool) -> None:
+        """Schedule the sending of an account's changed backlog.
 
-        A row that rises or ends is urgent: the one starts idle slots, the other keeps
-        them from being granted in vain.
+        An increase and a fall to zero are urgent: the first lets idle slots be granted,
+        the second prevents grants that would be declined.
         """
         self._dirty.add(account)
         if urgent:
-            self._flush_soon.set()
+            self._flush_due.set()
         else:
             self._flush_later()
 
-    def report_others(self) -> None:
-        """Tell the sidecar what others gave the accounts that wait here."""
+    def send_others_service(self) -> None:
+        """Send the service that waiting accounts received from other sidecars."""
         if self._link is None:
             return
         keys = self._dispatcher.queue.keys(self.upstream.pool)
@@ -121,12 +121,12 @@
             self._link.send(OthersService(rows))
 
     def credit(self, attempt: int, size: int) -> None:
-        """Let the sidecar send more of an attempt."""
+        """Allow the sidecar to send further bytes of an attempt's response."""
         if self._link is not None:
             self._link.send(Credit(attempt, size))
 
     def cancel(self, attempt: int) -> None:
-        """Stop caring for an attempt."""
+        """Cancel an attempt and ignore its further messages."""
         self._attempts.pop(attempt, None)
         self._lost.pop(attempt, None)
         if self._link is not None:
@@ -158,12 +158,12 @@
             self.upstream.name, hello.incarnation
         )
         self._link = link
-        self._announced = {}
+        self._sent_counts = {}
         for key in self._dispatcher.queue.keys(self.upstream.pool):
             self._dirty.add(key.account)
-        self._flush_soon.set()
+        self._flush_due.set()
         self._flush_task = spawn(self._flush_loop(link))
-        self._ask_about_lost(link)
+        self._query_lost_attempts(link)
 
     def _close(self, link: Link) -> None:
         self._link = None
@@ -172,29 +172,31 @@
             self._flush_task.cancel()
         attempts, self._attempts = self._attempts, {}
         for attempt, (item, accepted) in attempts.items():
-            self._lose(attempt, item, accepted)
+            self._on_attempt_lost(attempt, item, accepted)
 
-    # Attempts whose link broke
+    # Attempts whose link was lost
 
-    def _lose(self, attempt: int, item: Waiting, accepted: bool) -> None:
+    def _on_attempt_lost(
+        self, attempt: int, item: WaitingRequest, accepted: bool
+    ) -> None:
         if accepted or item.req.repeatable:
             item.events.put_nowait(LinkLost())
             return
         self._lost[attempt] = (item, self._incarnation)
-        spawn(self._give_up_later(attempt))
+        spawn(self._expire_lost(attempt))
 
-    def _ask_about_lost(self, link: Link) -> None:
+    def _query_lost_attempts(self, link: Link) -> None:
         for attempt, (_, incarnation) in list(self._lost.items()):
             if incarnation == self._incarnation:
                 link.send(Query(attempt))
             else:
-                self._end_lost(attempt, started=True)
+                self._resolve_lost(attempt, started=True)
 
-    async def _give_up_later(self, attempt: int) -> None:
-        await sleep(QUERY_LIMIT)
-        self._end_lost(attempt, started=True)
+    async def _expire_lost(self, attempt: int) -> None:
+        await sleep(QUERY_TIMEOUT)
+        self._resolve_lost(attempt, started=True)
 
-    def _end_lost(self, attempt: int, *, started: bool) -> None:
+    def _resolve_lost(self, attempt: int, *, started: bool) -> None:
         item, _ = self._lost.pop(attempt, (None, 0))
         if item is not None:
             item.events.put_nowait(LinkLost() if started else NeverStarted())
@@ -204,26 +206,26 @@
     def _handle(self, message: AnyMessage) -> None:
         match message:
             case Chunk() | Head():
-                self._pass_on(message.attempt, message)
+                self._forward(message.attempt, message)
             case Accepted(attempt=attempt):
                 self._accept(attempt, message)
             case Final() | Refused():
-                self._pass_on(message.attempt, message)
+                self._forward(message.attempt, message)
                 self._attempts.pop(message.attempt, None)
             case Grant():
                 self._on_grant(message)
             case SlotStatus(healthy=healthy):
                 self.healthy = healthy
-                self.tried = True
-                self._dispatcher.note_health()
+                self.has_connected_or_failed = True
+                self._dispatcher.on_health_change()
             case Service(rows=rows):
                 merge = self._dispatcher.merge(self.upstream.pool)
                 merge.update(self.upstream.name, rows)
             case Leaving():
                 self.leaving = True
-                self._dispatcher.note_health()
+                self._dispatcher.on_health_change()
             case QueryReply(attempt=attempt, started=started):
-                self._end_lost(attempt, started=started)
+                self._resolve_lost(attempt, started=started)
             case _:
                 return
 
@@ -233,7 +235,7 @@
             self._attempts[attempt] = (item, True)
             item.events.put_nowait(message)
 
-    def _pass_on(self, attempt: int, message: Chunk | Head | Final | Refused) -> None:
+    def _forward(self, attempt: int, message: Chunk | Head | Final | Refused) -> None:
         if attempt in self._attempts:
             item, _ = self._attempts[attempt]
             item.events.put_nowait(message)
@@ -245,15 +247,15 @@
         if item is None:
             self._dispatcher.metrics.grants_declined.inc({})
             self._link.send(Decline(grant.grant))
-            self._forget_announced(grant.account)
+            self._invalidate_sent_count(grant.account)
             return
         attempt = self._dispatcher.next_attempt()
         self._attempts[attempt] = (item, False)
         item.events.put_nowait(Dispatched(self, attempt))
         self._link.send(self._dispatch(attempt, grant.grant, item))
-        self._forget_announced(grant.account)
+        self._invalidate_sent_count(grant.account)
 
-    def _dispatch(self, attempt: int, grant: int, item: Waiting) -> Dispatch:
+    def _dispatch(self, attempt: int, grant: int, item: WaitingRequest) -> Dispatch:
         req = item.req
         return Dispatch(
             attempt=attempt,
@@ -271,50 +273,52 @@
 
     # Backlog
 
-    def _forget_announced(self, account: str) -> None:
-        """Have a row sent even if the count is as last announced.
+    def _invalidate_sent_count(self, account: str) -> None:
+        """Have an account's backlog sent even if its count equals the one sent last.
 
-        The sidecar counts a used or declined grant off its own copy of the row.
+        The sidecar subtracts each used or declined grant from its copy of the count, so
+        the two may differ.
         """
-        self._announced[account] = _UNKNOWN
+        self._sent_counts[account] = _UNKNOWN
         self._dirty.add(account)
         self._flush_later()
 
     def _flush_later(self) -> None:
         if self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            delay = seconds(FALL_INTERVAL)
-            self._flush_timer = loop.call_later(delay, self._flush_soon.set)
+            delay = seconds(FALLING_FLUSH_DELAY)
+            self._flush_timer = loop.call_later(delay, self._flush_due.set)
 
     async def _flush_loop(self, link: Link) -> None:
-        """Send changed rows: urgent ones at once, the others now and then."""
+        """Send changed backlog rows, urgent ones immediately and others delayed."""
         while True:
-            await self._flush_soon.wait()
-            self._flush_soon.clear()
+            await self._flush_due.wait()
+            self._flush_due.clear()
             if self._flush_timer is not None:
                 self._flush_timer.cancel()
                 self._flush_timer = None
             self._flush(link)
-            await sleep(RISE_INTERVAL)
+            await sleep(MIN_FLUSH_INTERVAL)
 
     def _flush(self, link: Link) -> None:
         dirty, self._dirty = self._dirty, set()
         rows = [row for account in sorted(dirty) if (row := self._row(account))]
         if rows:
-            # A sidecar judges a new account by what the others gave it.
+            # The sidecar needs the service given elsewhere to rank a new account, so it
+            # is sent before the backlog.
             accounts = [row.account for row in rows if row.waiting]
             merge = self._dispatcher.merge(self.upstream.pool)
-            news = merge.report_unsent(self.upstream.name, accounts)
-            if news:
-                link.send(OthersService(news))
+            unsent = merge.report_unsent(self.upstream.name, accounts)
+            if unsent:
+                link.send(OthersService(unsent))
             link.send(Backlog(tuple(rows)))
 
     def _row(self, account: str) -> BacklogRow | None:
         queue = self._dispatcher.queue
         key = QueueKey(self.upstream.pool, account)
-        waiting = queue.count_for(key, self.upstream.name)
-        if waiting == self._announced.get(account, 0):
+        waiting = queue.count_allowed(key, self.upstream.name)
+        if waiting == self._sent_counts.get(account, 0):
             return None
-        self._announced[account] = waiting
-        age = self._dispatcher.now() - queue.oldest(key) if waiting else 0
+        self._sent_counts[account] = waiting
+        age = self._dispatcher.now() - queue.oldest_arrival(key) if waiting else 0
         return BacklogRow(account, waiting, age)
--- a/src/leadseam/sidecar/agent.py
+++ b/src/leadseam/sidecar/agent.py
@@ -1,4 +1,4 @@
-"""The sidecar's decisions put to work: links of entries, grants, attempts."""
+"""The sidecar's agent: serves links of entries, grants slots and runs attempts."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from leadseam.runtime.timeouts import Timeouts
 from leadseam.sidecar.attempts import AttemptKey, AttemptState, AttemptTable
 from leadseam.sidecar.breaker import Breaker, Health
-from leadseam.sidecar.gate import Gate
-from leadseam.sidecar.running import EntryPeer, RunningAttempt, final_of
+from leadseam.sidecar.running_attempt import EntryPeer, RunningAttempt, final_message
 from leadseam.sidecar.scheduler import Scheduler
-from leadseam.sidecar.upstream import Upstream, UpstreamAddress, Window
+from leadseam.sidecar.semaphore import ResizableSemaphore
+from leadseam.sidecar.upstream import UpstreamAddress, UpstreamClient, Window
 from leadseam.wire.dispatch import (
     Accepted,
     Backlog,
@@ -55,14 +55,14 @@
 
 
 class Agent:
-    """Owns the slots of one upstream.
+    """Grants the slots of one upstream and runs the attempts on it.
 
     Args:
         node: Name of this process.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of this process.
         upstream_name: Name of the upstream in the configuration.
         clock: Source of time.
-        metrics: Counters.
+        metrics: Metrics of this sidecar.
     """
 
     def __init__(
@@ -82,14 +82,14 @@
         self._clock = clock
         self._metrics = metrics
         self._configuration = Configuration()
-        self._upstream: Upstream | None = None
+        self._upstream: UpstreamClient | None = None
         self._timeouts = Timeouts(clock)
         self._ledger = Ledger()
         self._scheduler = Scheduler(self._ledger, Picker(self._ledger), self._share_of)
-        self._gate = Gate()
+        self._slot_semaphore = ResizableSemaphore()
         self._attempts = AttemptTable()
         self._peers: dict[str, EntryPeer] = {}
-        self._last_free: SlotStatus | None = None
+        self._last_slot_status: SlotStatus | None = None
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -98,15 +98,15 @@
 
     @property
     def scheduler(self) -> Scheduler:
-        """The slots, for reading."""
+        """The scheduler of the slots; callers must not modify it."""
         return self._scheduler
 
     @property
     def ready(self) -> bool:
-        """Whether the configuration names this upstream."""
+        """Whether the upstream has been configured."""
         return self._upstream is not None
 
-    # Life of the process
+    # Lifecycle
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -116,7 +116,7 @@
             group.create_task(self._probe())
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._configuration = configuration
         row = configuration.upstreams.get(self._upstream_name)
         if row is None:
@@ -126,19 +126,19 @@
         address = UpstreamAddress(row.ip, row.port, kind is PoolKind.ENGINE)
         if self._upstream is None or self._upstream.address != address:
             old = self._upstream
-            self._upstream = Upstream(address, self._clock, self._timeouts)
+            self._upstream = UpstreamClient(address, self._clock, self._timeouts)
             if old is not None:
                 spawn(self._retire(old))
         self._update_slots()
 
     def resumed(self) -> None:
-        """Look at all that may be due after the box was suspended."""
+        """Check timeouts and drop idle connections after the box was suspended."""
         self._timeouts.rearm()
         if self._upstream is not None:
             self._upstream.drop_idle()
 
     def leave(self, reason: str) -> None:
-        """Take no new work in this incarnation, for good."""
+        """Stop taking new work for the rest of this incarnation, and notify entries."""
         if self.leaving:
             return
         self.leaving = True
@@ -148,13 +148,13 @@
             peer.link.send(Leaving())
 
     async def wait_idle(self) -> None:
-        """Wait until nothing runs and nothing is granted."""
+        """Wait until no attempt runs and no grant is outstanding."""
         while not self._scheduler.is_idle():
             self._idle.clear()
             await self._idle.wait()
 
     async def close(self) -> None:
-        """Send what is queued for entries, then release all connections."""
+        """Send the messages queued for entries, then close all connections."""
         links = [peer.link for peer in self._peers.values()]
         await asyncio.gather(*(link.close() for link in links))
         if self._upstream is not None:
@@ -163,7 +163,7 @@
     # Links
 
     async def serve(self, link: Link) -> None:
-        """Handle the link of one entry."""
+        """Handle the link of one entry until it closes."""
         messages = link.messages()
         hello = await anext(messages, None)
         if not isinstance(hello, Hello):
@@ -185,7 +185,7 @@
         self._peers[peer.hello.node] = peer
         peer.link.send(Hello(self._node, self._incarnation))
         peer.link.send(Service(self._ledger.all_rows()))
-        peer.link.send(self._free())
+        peer.link.send(self._slot_status())
         if self.leaving:
             peer.link.send(Leaving())
 
@@ -199,7 +199,7 @@
         self._grant()
 
     def _handle(self, peer: EntryPeer, message: AnyMessage) -> None:
-        self._scheduler.heard(peer.hello.node)
+        self._scheduler.mark_responsive(peer.hello.node)
         match message:
             case Backlog(rows=rows):
                 for row in rows:
@@ -214,12 +214,12 @@
                 self._scheduler.decline(peer.hello.node, grant)
             case Credit(attempt=attempt, size=size):
                 if (running := peer.running.get(attempt)) is not None:
-                    running.window.give(size)
+                    running.window.add_credit(size)
             case Cancel(attempt=attempt):
                 if (running := peer.running.get(attempt)) is not None:
                     self._abandon(running)
             case Query(attempt=attempt):
-                started = self._attempts.has_started(self._key(peer, attempt))
+                started = self._attempts.has_started(self._attempt_key(peer, attempt))
                 peer.link.send(QueryReply(attempt, started))
             case _:
                 return
@@ -228,7 +228,7 @@
 
     def _dispatch(self, peer: EntryPeer, req: Dispatch) -> None:
         lease = self._scheduler.start(peer.hello.node, req.grant, req.account)
-        key = self._key(peer, req.attempt)
+        key = self._attempt_key(peer, req.attempt)
         refusal = self._refusal(lease, key)
         if refusal is not None:
             self._refuse(peer, req, key, refusal)
@@ -242,9 +242,12 @@
         running = RunningAttempt(lease, req, Window(req.window))
         peer.running[req.attempt] = running
         running.task = spawn(self._run(peer, running))
-        # A task cancelled before its first step never enters its own `finally`.
+        # A `finally` in the coroutine would not run if the task is cancelled before its
+        # first step.
         running.task.add_done_callback(
-            lambda task: self._end(peer, running, key, final_of(running, task))
+            lambda task: self._end_attempt(
+                peer, running, key, final_message(running, task)
+            )
         )
 
     def _refusal(self, lease: Lease | None, key: AttemptKey) -> RefusalReason | None:
@@ -277,20 +280,20 @@
         def charge(service: int) -> None:
             self._charge(running, service)
 
-        async with self._gate:
-            running.entered = True
+        async with self._slot_semaphore:
+            running.may_have_started = True
             return await self._upstream.run(
                 running.req, window=running.window, send=send, charge=charge
             )
 
-    def _end(
+    def _end_attempt(
         self,
         peer: EntryPeer,
         running: RunningAttempt,
         key: AttemptKey,
         final: Final | None,
     ) -> None:
-        """Free the slot and tell the entry, however the attempt ended."""
+        """Free the slot and notify the entry, however the attempt ended."""
         peer.running.pop(running.req.attempt, None)
         self._attempts.end(key)
         self._release(running, running.lease.reserved)
@@ -299,13 +302,13 @@
         self._metrics.attempts.inc({"ending": ending})
         if final is not None:
             peer.link.send(final)
-            self._note_health(final)
+            self._record_health(final)
         self._grant()
         if self._scheduler.is_idle():
             self._idle.set()
 
     def _charge(self, running: RunningAttempt, service: int) -> None:
-        """Charge measured service, and release as much of what was reserved."""
+        """Charge measured service, and release as much of the reservation."""
         running.service += service
         account = running.req.account
         self._metrics.service.add({"account": account}, max(service, 0))
@@ -319,13 +322,16 @@
         running.released = target
 
     def _abandon(self, running: RunningAttempt) -> None:
-        """Stop work that nobody waits for, unless it must run to its end."""
+        """Cancel an attempt whose answer isn't needed any more.
+
+        One that must not be repeated runs to its end, without flow control.
+        """
         if not running.req.repeatable:
-            running.window.open()
+            running.window.remove_limit()
         elif running.task is not None:
             running.task.cancel()
 
-    def _note_health(self, final: Final) -> None:
+    def _record_health(self, final: Final) -> None:
         match final.error:
             case "":
                 self.breaker.request_succeeded()
@@ -349,16 +355,16 @@
         slots = self.breaker.allowed_slots(row.slots) if row is not None else 0
         draining = row is None or row.draining
         self._scheduler.slots = slots
-        self._gate.resize(slots)
+        self._slot_semaphore.resize(slots)
         self._scheduler.open = not (self.leaving or draining)
-        free = self._free()
-        if free != self._last_free:
-            self._last_free = free
+        slot_status = self._slot_status()
+        if slot_status != self._last_slot_status:
+            self._last_slot_status = slot_status
             for peer in self._peers.values():
-                peer.link.send(free)
+                peer.link.send(slot_status)
         self._grant()
 
-    def _free(self) -> SlotStatus:
+    def _slot_status(self) -> SlotStatus:
         healthy = self._scheduler.open and self._scheduler.slots > 0
         return SlotStatus(self._scheduler.slots, healthy)
 
@@ -366,7 +372,7 @@
         row = self._configuration.accounts.get(account)
         return row.share if row is not None else 1
 
-    def _key(self, peer: EntryPeer, attempt: int) -> AttemptKey:
+    def _attempt_key(self, peer: EntryPeer, attempt: int) -> AttemptKey:
         return AttemptKey(peer.hello.node, peer.hello.incarnation, attempt)
 
     # Periodic work
@@ -394,7 +400,7 @@
                 await self._probe_once(self._upstream)
             await sleep(PROBE_INTERVAL)
 
-    async def _probe_once(self, upstream: Upstream) -> None:
+    async def _probe_once(self, upstream: UpstreamClient) -> None:
         good = await upstream.probe()
         before = self.breaker.health
         if good:
@@ -409,17 +415,18 @@
         self._update_slots()
 
     def _abort_hanging(self) -> None:
-        """End attempts that a dead upstream would hold for ever.
+        """Cancel attempts that would wait forever for a hanging upstream.
 
-        One that must not repeat is ended only if it has not reached the upstream.
+        An attempt that must not be repeated is cancelled only if it has not reached the
+        upstream.
         """
         for peer in self._peers.values():
             for running in peer.running.values():
-                may_end = running.req.repeatable or not running.entered
+                may_end = running.req.repeatable or not running.may_have_started
                 if may_end and running.task is not None:
-                    running.broken = True
+                    running.ended_as_hanging = True
                     running.task.cancel()
 
-    async def _retire(self, upstream: Upstream) -> None:
+    async def _retire(self, upstream: UpstreamClient) -> None:
         await self.wait_idle()
         await upstream.close()
--- a/src/leadseam/sidecar/scheduler.py
+++ b/src/leadseam/sidecar/scheduler.py
@@ -1,4 +1,4 @@
-"""Slots of one upstream and the grants on them. No I/O."""
+"""Grants the slots of one upstream to waiting requests. No I/O."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     from leadseam.fairness.picker import Picker
     from leadseam.wire.dispatch import BacklogRow
 
-GRANT_LEASE: Millis = 500
-FIRST_ESTIMATE = 200
-AHEAD = 1
+LEASE_DURATION: Millis = 500
+INITIAL_ESTIMATE = 200
+PREFETCHED = 1
 ESTIMATE_WEIGHT = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A slot promised to an entry for one request of an account.
+    """A slot granted to an entry for one request of an account.
 
     Args:
-        grant: Its number.
-        entry: Entry that holds it.
-        account: Account that it is for.
-        reserved: Normalised service put aside for it.
-        expires: When it ends unused.
+        grant: Number of the grant.
+        entry: Entry that holds the lease.
+        account: Account that the slot is granted for.
+        reserved: Normalised service reserved for the request.
+        expires: Time at which the lease ends if unused.
     """
 
     grant: int
@@ -51,27 +51,30 @@
 class _AccountState:
     queues: dict[str, _Queue] = field(default_factory=dict)
     running: int = 0
-    estimate: float = FIRST_ESTIMATE
+    estimate: float = INITIAL_ESTIMATE
 
-    def open_queues(self, silent: set[str]) -> list[tuple[Millis, str]]:
-        """List entries with a request that no grant covers, by age of their oldest.
+    def open_queues(self, unresponsive: set[str]) -> list[tuple[Millis, str]]:
+        """List entries with more waiting requests than grants.
 
         Args:
-            silent: Entries to leave out.
+            unresponsive: Entries to exclude.
+
+        Returns:
+            Pairs of the oldest request's arrival and the name of the entry.
         """
         return [
             (queue.since, entry)
             for entry, queue in self.queues.items()
-            if queue.waiting > queue.granted and entry not in silent
+            if queue.waiting > queue.granted and entry not in unresponsive
         ]
 
 
 class Scheduler:
-    """Decides which account at which entry gets a free slot.
+    """Decides which account at which entry is granted a free slot.
 
     Args:
-        ledger: Service counters.
-        picker: Chooses among accounts.
+        ledger: Service counters of the accounts.
+        picker: Chooses the next account.
         share_of: Returns the share of an account.
     """
 
@@ -86,7 +89,7 @@
         self._share_of = share_of
         self._accounts: dict[str, _AccountState] = {}
         self._leases: dict[int, Lease] = {}
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
         self._next_grant = 0
 
     def __repr__(self) -> str:
@@ -94,16 +97,20 @@
 
     @property
     def capacity(self) -> int:
-        """Slots, and the requests fetched ahead so that none idles for a round trip."""
-        return self.slots + AHEAD if self.slots > 1 else self.slots
+        """Limit of running and granted requests, including `PREFETCHED` ones.
+
+        A prefetched request takes over a slot that becomes free, which would otherwise
+        be idle for a round trip. With a single slot, none is prefetched.
+        """
+        return self.slots + PREFETCHED if self.slots > 1 else self.slots
 
     @property
     def busy(self) -> int:
-        """Requests that run, are fetched ahead or granted."""
+        """Number of running, prefetched and granted requests."""
         return self.running + len(self._leases)
 
     def schedule(self, now: Millis) -> list[Lease]:
-        """Grant every free slot for which work waits."""
+        """Grant free slots as long as requests are waiting."""
         leases = []
         while self.open and self.busy < self.capacity:
             account = self._picker.pick(self._eligible())
@@ -113,20 +120,21 @@
         return leases
 
     def expire(self, now: Millis) -> list[Lease]:
-        """End the leases whose time is over and return them."""
+        """End the expired leases and return them."""
         due = [lease for lease in self._leases.values() if lease.expires <= now]
         for lease in due:
-            # Its entry may be cut off: no more slots for it until it is heard.
-            self._silent.add(lease.entry)
-            self._end(lease)
+            # The entry may be disconnected, so it gets no more slots until it sends a
+            # message.
+            self._unresponsive.add(lease.entry)
+            self._end_lease(lease)
         return due
 
-    def heard(self, entry: str) -> None:
-        """Note that an entry has sent something."""
-        self._silent.discard(entry)
+    def mark_responsive(self, entry: str) -> None:
+        """Record that an entry has sent a message, so it may get slots again."""
+        self._unresponsive.discard(entry)
 
     def set_backlog(self, entry: str, row: BacklogRow, now: Millis) -> None:
-        """Take one row of an entry's backlog."""
+        """Update the number and age of an account's waiting requests at an entry."""
         state = self._accounts.get(row.account)
         if state is None:
             if not row.waiting:
@@ -143,28 +151,28 @@
             self._drop_queue(state, entry)
 
     def drop_entry(self, entry: str) -> None:
-        """Forget an entry whose link is lost, with its leases."""
+        """Remove the backlog and the leases of an entry whose link is lost."""
         for lease in [held for held in self._leases.values() if held.entry == entry]:
-            self._end(lease)
+            self._end_lease(lease)
         for state in self._accounts.values():
             state.queues.pop(entry, None)
 
     def decline(self, entry: str, grant: int) -> None:
-        """Take a lease back that its entry has no use for."""
+        """End a lease that its entry declined."""
         lease = self._leases.get(grant)
         if lease is None or lease.entry != entry:
             return
         queue = self._accounts[lease.account].queues.get(entry)
         if queue is not None:
-            # The row that led to this grant was out of date.
+            # The backlog row that led to this grant was out of date.
             queue.waiting = min(queue.waiting, queue.granted - 1)
-        self._end(lease)
+        self._end_lease(lease)
 
     def start(self, entry: str, grant: int, account: str) -> Lease | None:
         """Turn a lease into a running request.
 
         Returns:
-            The lease, or None if it is not held any more.
+            The lease, or None if it has ended or belongs to another entry or account.
         """
         lease = self._leases.get(grant)
         if lease is None or (lease.entry, lease.account) != (entry, account):
@@ -184,8 +192,8 @@
         """Free the slot of a running request.
 
         Args:
-            account: Its account.
-            service: Measured service, or None if it never started.
+            account: Account of the request.
+            service: Measured service, or None if the request never started.
         """
         state = self._accounts[account]
         state.running -= 1
@@ -194,26 +202,26 @@
             state.estimate += ESTIMATE_WEIGHT * (service - state.estimate)
 
     def is_idle(self) -> bool:
-        """Tell whether nothing runs and nothing is granted."""
+        """Return whether no request is running and no grant is outstanding."""
         return self.busy == 0
 
     def _eligible(self) -> list[str]:
-        silent = self._silent
+        unresponsive = self._unresponsive
         accounts = self._accounts.items()
-        return [name for name, state in accounts if state.open_queues(silent)]
+        return [name for name, state in accounts if state.open_queues(unresponsive)]
 
     def _grant(self, account: str, now: Millis) -> Lease:
         state = self._accounts[account]
-        _, entry = min(state.open_queues(self._silent))
+        _, entry = min(state.open_queues(self._unresponsive))
         state.queues[entry].granted += 1
         self._next_grant += 1
         reserved = normalise(round(state.estimate), self._share_of(account))
-        lease = Lease(self._next_grant, entry, account, reserved, now + GRANT_LEASE)
+        lease = Lease(self._next_grant, entry, account, reserved, now + LEASE_DURATION)
         self._leases[lease.grant] = lease
         self._ledger.reserve(account, reserved)
         return lease
 
-    def _end(self, lease: Lease) -> None:
+    def _end_lease(self, lease: Lease) -> None:
         del self._leases[lease.grant]
         self._ledger.reserve(lease.account, -lease.reserved)
         state = self._accounts[lease.account]
--- a/src/leadseam/standin/engine.py
+++ b/src/leadseam/standin/engine.py
@@ -1,4 +1,4 @@
-"""A fake model engine: OpenAI-style completions, tokens at a set rate, batch slots."""
+"""A fake model engine with OpenAI-style completions, a token rate and batch slots."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class EngineStandin:
-    """Answers with `t0 t1 ...`, as many tokens as `max_tokens` says.
+    """Answers each request with `max_tokens` tokens, `t0 t1 ...`.
 
     Args:
-        slots: Requests that run at once; more wait inside.
+        slots: Number of requests that run concurrently; further ones wait.
         token_interval: Milliseconds between tokens.
     """
 
@@ -30,14 +30,14 @@
         self.started = 0
         self._busy = 0
         self._busy_time: Millis = 0
-        self._changed: Millis = 0
+        self._busy_changed: Millis = 0
         self._clock = SystemClock()
         self.cancelled = 0
         self._batch = asyncio.Semaphore(slots)
         self._token_interval = token_interval
 
     def routes(self) -> list[web.AbstractRouteDef]:
-        """Return the engine's routes."""
+        """Return the HTTP routes of the engine."""
         return [
             web.post("/v1/chat/completions", self._complete),
             web.post("/v1/completions", self._complete),
@@ -52,7 +52,7 @@
         return web.json_response({}, status=503 if self.mode == "dead" else 200)
 
     async def _show(self, _: web.Request) -> web.Response:
-        self._note_busy(0)
+        self._add_busy_time(0)
         values = {
             "started": self.started,
             "cancelled": self.cancelled,
@@ -79,20 +79,20 @@
                 return web.json_response({"error": "dead"}, status=503)
         try:
             async with self._batch:
-                self._note_busy(1)
+                self._add_busy_time(1)
                 try:
                     return await self._answer(http, body)
                 finally:
-                    self._note_busy(-1)
+                    self._add_busy_time(-1)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
 
-    def _note_busy(self, change: int) -> None:
-        """Add up the milliseconds that slots were busy."""
+    def _add_busy_time(self, change: int) -> None:
+        """Add the busy time since the last change, then change the busy slots."""
         now = self._clock.now()
-        self._busy_time += self._busy * (now - self._changed)
-        self._changed = now
+        self._busy_time += self._busy * (now - self._busy_changed)
+        self._busy_changed = now
         self._busy += change
 
     async def _answer(
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The sidecar's agent: a slot is freed however its attempt ends."""
+"""The sidecar's agent frees a slot however its attempt ends."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from leadseam.wire.traffic import Traffic
 from tools.ports import LOOPBACK
 
-HANG = 60
+TIMEOUT_S = 60
 
 
 def agent() -> Agent:
-    """Return an agent of a configured upstream that nobody serves."""
+    """Return an agent for a configured upstream on whose port nothing listens."""
     made = Agent(
         node="sidecar",
         incarnation=1,
@@ -34,8 +34,8 @@
     return made
 
 
-async def grant_of(link: Link) -> int:
-    """Ask for a slot and return the grant's number."""
+async def request_grant(link: Link) -> int:
+    """Request a slot and return the number of the grant."""
     link.send(Hello("entry", 1))
     link.send(Backlog((BacklogRow("a", 1, 0),)))
     async for message in link.messages():
@@ -49,8 +49,8 @@
     traffic = Traffic()
     server = await listen(LOOPBACK, 0, made.serve, traffic)
     port = next(iter(server.sockets)).getsockname()[1]
-    async with asyncio.timeout(HANG), dial(LOOPBACK, port, traffic) as link:
-        grant = await grant_of(link)
+    async with asyncio.timeout(TIMEOUT_S), dial(LOOPBACK, port, traffic) as link:
+        grant = await request_grant(link)
         for _ in range(MAX_FAILURES):
             made.breaker.request_failed(0)
         made._update_slots()
@@ -71,8 +71,8 @@
     traffic = Traffic()
     server = await listen(LOOPBACK, 0, made.serve, traffic)
     port = next(iter(server.sockets)).getsockname()[1]
-    async with asyncio.timeout(HANG), dial(LOOPBACK, port, traffic) as link:
-        grant = await grant_of(link)
+    async with asyncio.timeout(TIMEOUT_S), dial(LOOPBACK, port, traffic) as link:
+        grant = await request_grant(link)
         peer = next(iter(made._peers.values()))
         req = Dispatch(1, grant, "a", "POST", "/", (), b"", True, 1, 0, 1_000)
         made._handle(peer, req)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts: a "not run" is final, and nothing starts twice."""
+"""The attempt table: "not run" is final, and no attempt starts twice."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AttemptMachine(RuleBasedStateMachine):
-    """Dispatches, questions and ends in any order, with a table that forgets."""
+    """Dispatches, queries and ends in any order, with a table that evicts attempts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,13 +29,17 @@
     def dispatch(self, key: AttemptKey) -> None:
         if self.table.start(key) is None:
             assert key not in self.started, "started twice"
-            assert key not in self.denied, "started after it was said it never will"
+            assert key not in self.denied, (
+                "started after it was reported as not started"
+            )
             self.started.add(key)
 
     @rule(key=keys)
     def question(self, key: AttemptKey) -> None:
         if not self.table.has_started(key):
-            assert key not in self.started, "said not started, but it had"
+            assert key not in self.started, (
+                "reported as not started, but it had started"
+            )
             self.denied.add(key)
 
     @rule(key=keys)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that ended badly."""
+"""Decisions after failed attempts, and the retry budget."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     Retry,
     RetryBudget,
     decide,
-    exhausted,
+    outcome_without_retry,
 )
 from leadseam.outcome import Failed, NotRun, Reason, Unknown
 from leadseam.wire.dispatch import Final, Head, Refused
 
 
 def request(*, repeatable: bool) -> CallerRequest:
-    """Return a request."""
+    """Return a request that may or must not be repeated."""
     return CallerRequest(
         account="a",
         pool="p",
@@ -39,7 +39,9 @@
 
 
 @pytest.mark.parametrize("ending", [LinkLost(), BROKEN])
-def test_what_may_have_run_is_unknown_and_not_repeated(ending: Ending) -> None:
+def test_non_repeatable_request_that_may_have_run_is_reported_as_unknown(
+    ending: Ending,
+) -> None:
     decision = decide(request(repeatable=False), ending)
     assert isinstance(decision, Finish)
     assert isinstance(decision.outcome, Unknown)
@@ -47,18 +49,18 @@
 
 @pytest.mark.parametrize("ending", [NeverStarted(), UNREACHED, Refused(1, "leaving")])
 @pytest.mark.parametrize("repeatable", [True, False])
-def test_what_truly_did_not_run_may_be_sent_again(
+def test_attempt_that_did_not_run_may_be_retried(
     ending: Ending, repeatable: bool
 ) -> None:
     req = request(repeatable=repeatable)
     assert isinstance(decide(req, ending), Retry)
-    assert isinstance(exhausted(req, ending), NotRun)
+    assert isinstance(outcome_without_retry(req, ending), NotRun)
 
 
 def test_repeatable_work_is_retried_elsewhere() -> None:
     decision = decide(request(repeatable=True), BROKEN)
-    assert decision == Retry("upstream_broken", avoid=True, costs=True)
-    assert exhausted(request(repeatable=True), BROKEN) == Failed(
+    assert decision == Retry("upstream_broken", avoid=True, uses_budget=True)
+    assert outcome_without_retry(request(repeatable=True), BROKEN) == Failed(
         Reason.RETRIES_EXHAUSTED
     )
 
@@ -70,7 +72,7 @@
     assert isinstance(decide(request(repeatable=True), head), Retry)
 
 
-def test_budget_ends_a_storm_and_recovers() -> None:
+def test_budget_stops_retries_after_many_failures_and_recovers() -> None:
     budget = RetryBudget(size=10, ratio=0.5)
     allowed = 0
     for _ in range(100):
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -44,19 +44,19 @@
         "entry/retry.py",
         "    if req.repeatable:\n        return Retry(reason.value",
         "    if True:\n        return Retry(reason.value",
-        f"{AT_MOST_ONCE}::test_links_cut_again_and_again",
+        f"{AT_MOST_ONCE}::test_links_cut_repeatedly",
     ),
     Variant(
         "a lost link counts as not run",
-        "entry/sidecars.py",
+        "entry/sidecar_link.py",
         "item.events.put_nowait(LinkLost() if started else NeverStarted())",
         "item.events.put_nowait(NeverStarted())",
-        f"{AT_MOST_ONCE}::test_signs_of_a_started_call_are_held_back",
+        f"{AT_MOST_ONCE}::test_replies_of_a_started_call_are_delayed",
     ),
     Variant(
         "an answer nobody reads keeps its window",
         "sidecar/agent.py",
-        "            running.window.open()\n",
+        "            running.window.remove_limit()\n",
         "            pass\n",
         f"{AT_MOST_ONCE}::test_large_answer_to_a_dead_entry_frees_its_slot",
     ),
@@ -101,7 +101,7 @@
     Variant(
         "a broken answer ends like a whole one",
         "entry/relay.py",
-        "                    return await self._break_off(response, event)",
+        "                    return await self._abort_response(response, event)",
         "                    await response.write_eof()\n"
         "                    return Answered(response.status)",
         f"{WHOLE}::test_upstream_cut_in_mid_stream_is_an_explicit_error",
@@ -118,7 +118,7 @@
         "sidecar/agent.py",
         "        elif running.task is not None:\n            running.task.cancel()",
         "        elif False:\n            pass",
-        f"{WHOLE}::test_caller_that_goes_away_frees_its_slot",
+        f"{WHOLE}::test_caller_that_disconnects_frees_its_slot",
     ),
     Variant(
         "a stale replica feeds its nodes",
