--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from tools.faults import before_sidecar
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -105,7 +105,7 @@
     calls = asyncio.create_task(run_calls(fleet, 1_000, parallel=24, entries=2))
     for number in range(4):
         name = f"sidecar-slips-{number % 2 + 1}"
-        await until(lambda: some_ran(fleet, 20), "calls run")
+        await wait_until(lambda: some_ran(fleet, 20), "calls run")
         fleet.nodes[name].kill()
         fleet.start(name)
         await fleet.wait_ready(name)
@@ -117,7 +117,7 @@
     await fleet.start_all()
     calls = asyncio.create_task(run_calls(fleet, 600, parallel=24, entries=2))
     for _ in range(3):
-        await until(lambda: some_ran(fleet, 20), "calls run")
+        await wait_until(lambda: some_ran(fleet, 20), "calls run")
         fleet.nodes["entry-1"].kill()
         fleet.start("entry-1")
         await fleet.wait_ready("entry-1")
@@ -130,7 +130,7 @@
     await fleet.start_all()
     path = "/services/slips/run/a?padding=3000000"
     call = asyncio.create_task(fleet.post("entry-1", path, "tellers", b"{}", ONCE))
-    await until(lambda: some_ran(fleet, 1), "the call runs")
+    await wait_until(lambda: some_ran(fleet, 1), "the call runs")
     fleet.nodes["entry-1"].kill()
     await asyncio.gather(call, return_exceptions=True)
     assert await print_slip(fleet, "entry-2", "b") == "answered"
@@ -142,9 +142,9 @@
     await fleet.start_all()
     sidecar = fleet.nodes["sidecar-slips-1"]
     calls = asyncio.create_task(run_calls(fleet, 60, parallel=8, entries=1))
-    await until(lambda: some_ran(fleet, 5), "calls run")
+    await wait_until(lambda: some_ran(fleet, 5), "calls run")
     sidecar.signal(signal.SIGSTOP)
-    await until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
+    await wait_until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
     sidecar.signal(signal.SIGCONT)
     await check(fleet, await calls)
 
@@ -154,12 +154,12 @@
     link = await before_sidecar(fleet, "slips-1")
     await fleet.start_all()
     calls = asyncio.create_task(run_calls(fleet, 80, parallel=12, entries=1))
-    await until(lambda: some_ran(fleet, 10), "calls run")
+    await wait_until(lambda: some_ran(fleet, 10), "calls run")
     # First the dispatches wait in the proxy, then only what the sidecar answers.
     link.hold(towards=True, back=False)
     await asyncio.sleep(HELD_DISPATCHES)
     link.hold(towards=False, back=True)
-    await until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
+    await wait_until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
     link.release()
     await check(fleet, await calls)
 
@@ -173,7 +173,9 @@
     first = await fleet.post(
         "entry-1", "/services/slips/run/a", "tellers", b"{}", ONCE | key
     )
-    await until(lambda: answer_recorded(fleet, first[1], key), "the answer is recorded")
+    await wait_until(
+        lambda: answer_recorded(fleet, first[1], key), "the answer is recorded"
+    )
     assert await fleet.runs() == {"a": 1}
 
 
@@ -186,10 +188,12 @@
     task = asyncio.create_task(
         fleet.post("entry-1", path, "tellers", b"{}", ONCE | key)
     )
-    await until(lambda: some_ran(fleet, 1), "the call runs")
+    await wait_until(lambda: some_ran(fleet, 1), "the call runs")
     task.cancel()
     answer = b'{"name": "a", "run": 1, "size": 2}'
-    await until(lambda: answer_recorded(fleet, answer, key), "the answer is recorded")
+    await wait_until(
+        lambda: answer_recorded(fleet, answer, key), "the answer is recorded"
+    )
     assert await fleet.runs() == {"a": 1}
 
 
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -21,7 +21,7 @@
 from tools.faults import before_replica
 from tools.fleet import OPERATOR_TOKEN
 from tools.ports import LOOPBACK
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -72,7 +72,7 @@
         ]
         return len(found) == 1
 
-    await until(known, "one replica leads")
+    await wait_until(known, "one replica leads")
     return found[0]
 
 
@@ -158,14 +158,14 @@
     first, second = (name for name in CONTROL if name != leading)
     lose_disk(fleet, first)
     fleet.start(first)
-    await until(lambda: replaced(fleet, first), f"{first} votes on its new disk")
+    await wait_until(lambda: replaced(fleet, first), f"{first} votes on its new disk")
     fleet.nodes[second].kill()
     code, reply = await change(fleet, 9)
     assert code == 0
     await fleet.wait_in_force(reply["version"])
     lose_disk(fleet, second)
     fleet.start(second)
-    await until(lambda: replaced(fleet, second), f"{second} votes on its new disk")
+    await wait_until(lambda: replaced(fleet, second), f"{second} votes on its new disk")
     assert await share_in_force(fleet) == 9
     assert_never_fell(fleet)
 
@@ -247,10 +247,14 @@
     await fleet.start_all()
     for name in CONTROL[:2]:
         fleet.nodes[name].kill()
-    await until(lambda: is_not_ready(fleet, CONTROL[2]), "the last knows it is alone")
+    await wait_until(
+        lambda: is_not_ready(fleet, CONTROL[2]), "the last knows it is alone"
+    )
     fleet.nodes["entry-1"].kill()
     fleet.start("entry-1")
-    await until(lambda: has_subscribed(fleet, "entry-1"), "entry-1 found the last one")
+    await wait_until(
+        lambda: has_subscribed(fleet, "entry-1"), "entry-1 found the last one"
+    )
     await asyncio.sleep(FEED_WATCHED)
     assert not await fleet.is_ready("entry-1")
     status_code, body = await fleet.post(
--- a/tests/failures/test_disk.py
+++ b/tests/failures/test_disk.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from tests.failures.test_configuration import change, describe, leader, share_in_force
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -27,7 +27,9 @@
     if code != 0:
         code, reply = await change(fleet, 3)
     assert (code, reply["status"]) in ((0, "accepted"), (0, "unchanged"))
-    await until(lambda: has_failed(fleet, full), f"{full} says that its disk failed")
+    await wait_until(
+        lambda: has_failed(fleet, full), f"{full} says that its disk failed"
+    )
     assert not await fleet.is_ready(full)
     assert await share_in_force(fleet) == 3
     fleet.nodes[full].kill()
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -11,7 +11,7 @@
 import aiohttp
 import pytest
 
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -110,7 +110,7 @@
     describe(fleet)
     await fleet.start_all()
     callers = Callers(fleet, entries=["entry-1"])
-    await until(lambda: has_started(fleet, "engine-1", 10), "engine-1 works")
+    await wait_until(lambda: has_started(fleet, "engine-1", 10), "engine-1 works")
     await leave(fleet)
     await asyncio.sleep(NO_NEW_WORK_AFTER)
     before = await started(fleet, "engine-1")
@@ -130,7 +130,7 @@
     callers = Callers(fleet, entries=["entry-1", "entry-2"])
     names = ["sidecar-engine-1", "entry-1", "sidecar-engine-2", "entry-2"]
     for name in names:
-        await until(lambda: has_started(fleet, "engine-1", 5), "calls run")
+        await wait_until(lambda: has_started(fleet, "engine-1", 5), "calls run")
         fleet.nodes[name].signal(signal.SIGTERM)
         assert await fleet.nodes[name].wait_exit() == 0
         fleet.start(name)
--- a/tests/failures/test_suspended.py
+++ b/tests/failures/test_suspended.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from tests.test_callers import engine_busy
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -38,7 +38,7 @@
     running = asyncio.create_task(
         fleet.chat("entry-1", "tellers", "rates", tokens=1_000)
     )
-    await until(lambda: engine_busy(fleet), "the engine is busy")
+    await wait_until(lambda: engine_busy(fleet), "the engine is busy")
     ended: list[str] = []
 
     async def call(name: str, left: int) -> tuple[int, str]:
@@ -49,7 +49,7 @@
         return status, json.loads(answer)["error"]["code"]
 
     first = asyncio.create_task(call("first", 900))
-    await until(lambda: _waits(fleet, first), "the first request waits")
+    await wait_until(lambda: _waits(fleet, first), "the first request waits")
     await fleet.suspend("entry-1", AWAY)
     second = asyncio.create_task(call("second", 400))
     passed = (504, "deadline_passed")
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -10,7 +10,7 @@
 
 from tools.faults import before_sidecar
 from tools.ports import LOOPBACK
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -115,9 +115,9 @@
         whole, data = await ask(fleet, 5)
         assert whole
         assert words(data) == expected(5)
-    await until(lambda: out_after_asking(fleet), "engine-1 is taken out")
+    await wait_until(lambda: out_after_asking(fleet), "engine-1 is taken out")
     await set_mode(fleet, "engine-1", "normal")
-    await until(lambda: is_back(fleet, "engine-1"), "engine-1 is probed back in")
+    await wait_until(lambda: is_back(fleet, "engine-1"), "engine-1 is probed back in")
 
 
 async def test_hanging_upstream_is_taken_out_and_its_work_moves(fleet: Fleet) -> None:
@@ -147,16 +147,16 @@
         assert whole
         assert words(data) == expected(10)
     writer.close()
-    await until(lambda: is_idle(fleet, "engine-1"), "the slow caller's work ended")
+    await wait_until(lambda: is_idle(fleet, "engine-1"), "the slow caller's work ended")
 
 
 async def test_caller_that_goes_away_frees_its_slot(fleet: Fleet) -> None:
     describe(fleet, interval=50)
     await fleet.start_all()
     task = asyncio.create_task(ask(fleet, 10_000))
-    await until(lambda: is_busy(fleet, "engine-1"), "engine-1 is busy")
+    await wait_until(lambda: is_busy(fleet, "engine-1"), "engine-1 is busy")
     task.cancel()
-    await until(lambda: is_idle(fleet, "engine-1"), "the work was cancelled")
+    await wait_until(lambda: is_idle(fleet, "engine-1"), "the work was cancelled")
 
 
 async def out_after_asking(fleet: Fleet) -> bool:
--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -27,7 +27,7 @@
 
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.platform import names
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer, Platform
@@ -67,7 +67,7 @@
             for server, count in zip(servers, counts, strict=True)
         )
 
-    await until(up, "all servers are back and used")
+    await wait_until(up, "all servers are back and used")
 
 
 def arrivals(servers: list[Server]) -> int:
@@ -123,7 +123,7 @@
         answers = [await call_again(platform, round_) for round_ in range(2)]
         return all(answer.status == 200 for answer in answers)
 
-    await until(served, "the request is served again")
+    await wait_until(served, "the request is served again")
     assert json.loads(await verdicts("--json", control)) == []
 
 
@@ -195,7 +195,7 @@
     async def begun() -> bool:
         return sum(map(runs, servers)) > before
 
-    await until(begun, "the long request runs")
+    await wait_until(begun, "the long request runs")
     return next(
         server
         for server in servers
--- a/tests/platform/test_disk.py
+++ b/tests/platform/test_disk.py
@@ -10,7 +10,7 @@
 
 from leadseam.platform import names
 from tools.platform.nodes import document
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -29,7 +29,7 @@
         with socket.socket() as sock:
             return sock.connect_ex((full, platform.control_port)) != 0
 
-    await until(is_silent, "the box with the full disk serves nothing")
+    await wait_until(is_silent, "the box with the full disk serves nothing")
     assert await platform.operator.replace(document(3)) == 200
     assert process.poll() is None
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (UNLIMITED, UNLIMITED))
@@ -37,7 +37,7 @@
     async def reads_the_newest() -> bool:
         return await read_from(platform, full) == document(3)
 
-    await until(reads_the_newest, "the box takes part again")
+    await wait_until(reads_the_newest, "the box takes part again")
     # Of three voters one more is gone, so this one's vote and disk are needed.
     platform.kill(other)
     assert await platform.operator.replace(document(4)) == 200
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -13,7 +13,7 @@
 from leadseam.platform import names
 from tools.platform.nodes import document
 from tools.platform.operator import tell
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -28,7 +28,7 @@
         for server, zone in zip(platform.of(service), zones, strict=True):
             server.zone = zone
             acks = server.acks
-            await until(partial(_more, server, acks), f"{zone} is registered")
+            await wait_until(partial(_more, server, acks), f"{zone} is registered")
 
 
 async def _more(server: Server, acks: int) -> bool:
@@ -45,7 +45,7 @@
             told = [one for one in lines if one["message"] == "evacuations in force"]
             return bool(told) and set(told[-1]["domains"]) == set(domains)
 
-        await until(is_told, f"{entry} knows that {domains} are evacuated")
+        await wait_until(is_told, f"{entry} knows that {domains} are evacuated")
 
 
 async def call_all(platform: Platform) -> None:
@@ -85,7 +85,7 @@
         await call_all(platform)
         return all(len(s.runs) > b for s, b in zip(emptied, before, strict=True))
 
-    await until(served_again, "the domain serves again")
+    await wait_until(served_again, "the domain serves again")
 
 
 async def test_what_runs_in_a_domain_that_is_evacuated_ends_there(
@@ -102,7 +102,7 @@
     async def runs() -> bool:
         return any(server.count("running") for server in platform.of("model"))
 
-    await until(runs, "the request runs")
+    await wait_until(runs, "the request runs")
     assert await platform.operator.switch("a", evacuated=True) == 200
     for server in platform.of("model"):
         server.release.set()
@@ -134,7 +134,7 @@
         return bool(changes) and not changes[-1]["evacuated"]
 
     # A follower that has not applied the restore answers 503 for another reason.
-    await until(has_applied_both, "the box has applied both orders")
+    await wait_until(has_applied_both, "the box has applied both orders")
     # Within the time in which the first order may be sent again.
     status = await tell(box, names.EVACUATE_PATH.format(domain="b"), b"")
     lines = [
@@ -184,7 +184,7 @@
     for server, zone in zip(platform.of("plain"), zones, strict=True):
         server.zone = zone
         acks = server.acks
-        await until(partial(_more, server, acks), f"{zone} is registered")
+        await wait_until(partial(_more, server, acks), f"{zone} is registered")
     routes = json.loads(document(2))["routes"]
     routes[0]["allowedRegions"] = ["east", "west"]
     routes[1]["allowedRegions"] = ["north"]
@@ -199,7 +199,7 @@
         async def in_force(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
-        await until(in_force, "the bounds are in force")
+        await wait_until(in_force, "the bounds are in force")
     for server in platform.of("plain"):
         server.runs.clear()
     for number in range(CALLS):
@@ -233,7 +233,7 @@
                 assert (await platform.call(entry, "/once/x")).status == 200
             return len(cold.runs) <= before + 2
 
-        await until(is_kept_back, "the entry knows that the server is cold")
+        await wait_until(is_kept_back, "the entry knows that the server is cold")
     before = len(cold.runs)
     for number in range(CALLS):
         await platform.call(platform.entry_ips[number % 2], "/once/x")
@@ -247,7 +247,7 @@
             await platform.call(platform.entry_ips[number % 2], "/once/x")
         return len(cold.runs) > seen + CALLS
 
-    await until(serves_again, "the server is warm again")
+    await wait_until(serves_again, "the server is warm again")
 
 
 async def test_operators_evacuate_and_list_on_a_control_box(
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -16,7 +16,7 @@
 from leadseam.runtime.connector import KEEPALIVE_S, LoopConnector
 from tools.platform.nodes import HOST, KEY, document
 from tools.platform.standin import LARGE_BEGIN, LARGE_BODY, WHOLE_STREAM, event
-from tools.waiting import CONDITION_TIMEOUT, until
+from tools.waiting import CONDITION_TIMEOUT, wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -117,7 +117,7 @@
         async def second_key_works(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="second")).status == 200
 
-        await until(second_key_works, "the new key is in force")
+        await wait_until(second_key_works, "the new key is in force")
 
 
 async def test_a_leaving_server_gets_nothing_more(platform: Platform) -> None:
@@ -129,7 +129,7 @@
             lines = platform.log(entry)
             return any(leaving.instance in line.get("instances", ()) for line in lines)
 
-        await until(is_left_out, "the entry knows of the leaving")
+        await wait_until(is_left_out, "the entry knows of the leaving")
     before = len(leaving.runs)
     for number in range(20):
         answer = await platform.call(platform.entry_ips[number % 2], "/once/x")
@@ -138,7 +138,7 @@
     # A heartbeat that says otherwise does not bring this incarnation back.
     leaving.state = "ready"
     acks = leaving.acks
-    await until(lambda: _reached(leaving.acks, acks + 3), "ready again is heard")
+    await wait_until(lambda: _reached(leaving.acks, acks + 3), "ready again is heard")
     assert (await platform.call(platform.entry_ips[0], "/once/x")).status == 200
     assert len(leaving.runs) == before
     assert len(other.runs) >= 21
@@ -211,7 +211,7 @@
         assert answer.headers[names.SIGNATURE] == f"signed-{good.instance}"
         return any(run.target == "/safe/x" for run in bad.runs)
 
-    await until(bad_was_tried, "the bad server was tried")
+    await wait_until(bad_was_tried, "the bad server was tried")
 
 
 async def test_a_refusal_is_true_and_says_when_to_come_back(platform: Platform) -> None:
@@ -242,14 +242,14 @@
     async def runs() -> bool:
         return any(server.count("gone") for server in platform.of("model"))
 
-    await until(runs, "the request runs")
+    await wait_until(runs, "the request runs")
     call.cancel()
 
     async def cancelled() -> bool:
         runs = [run for server in platform.of("model") for run in server.runs]
         return any(run.ended == "cancelled" for run in runs if run.request_id == "gone")
 
-    await until(cancelled, "the work is cancelled")
+    await wait_until(cancelled, "the work is cancelled")
 
 
 async def test_a_planned_stop_finishes_what_runs(platform: Platform) -> None:
@@ -263,13 +263,13 @@
     async def runs() -> bool:
         return any(server.count("stopped") for server in platform.of("model"))
 
-    await until(runs, "the request runs")
+    await wait_until(runs, "the request runs")
     platform.signal(entry, signal.SIGTERM)
 
     async def not_ready() -> bool:
         return not await platform.is_ready(entry)
 
-    await until(not_ready, "the entry is not ready")
+    await wait_until(not_ready, "the entry is not ready")
     late = await platform.call(entry, "/once/late")
     assert late.status == 200
     assert late.headers["Connection"] == "close"
@@ -278,7 +278,9 @@
     answer = await call
     assert (answer.status, answer.body) == (200, WHOLE_STREAM)
     process = platform.processes[entry]
-    await until(lambda: _reached(process.poll() is not None, True), "the entry ends")
+    await wait_until(
+        lambda: _reached(process.poll() is not None, True), "the entry ends"
+    )
     assert process.returncode == 0
 
 
@@ -332,7 +334,7 @@
     async def runs() -> bool:
         return any(server.count("hup") for server in platform.of("model"))
 
-    await until(runs, "the request runs")
+    await wait_until(runs, "the request runs")
     platform.seeds = platform.controls[1:]
     platform.write_settings(entry)
     platform.signal(entry, signal.SIGHUP)
@@ -341,7 +343,7 @@
         lines = platform.log(entry)
         return any(line["message"] == "settings reloaded" for line in lines)
 
-    await until(reloaded, "the settings are reloaded")
+    await wait_until(reloaded, "the settings are reloaded")
     for server in platform.of("model"):
         server.release.set()
     assert (await call).body == WHOLE_STREAM
@@ -357,7 +359,7 @@
         seen.append((await platform.call(entry, path, key=key)).status)
         return seen[-1] != 503
 
-    await until(sure, "the entry is sure of its configuration")
+    await wait_until(sure, "the entry is sure of its configuration")
     assert seen[-1] == status
 
 
@@ -371,7 +373,7 @@
         mine = [name for name in voters if name.startswith(f"{box}#")]
         return len(voters) == 3 and bool(mine) and mine != [f"{box}#first"]
 
-    await until(votes, "the box votes under a new identity")
+    await wait_until(votes, "the box votes under a new identity")
 
 
 def last_term_led(platform: Platform, box: str) -> int:
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import document
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -43,7 +43,7 @@
     async def votes() -> bool:
         return box in platform.last_voters(box)
 
-    await until(votes, f"{box} votes")
+    await wait_until(votes, f"{box} votes")
 
 
 async def wait_for_voters(platform: Platform, box: str, wanted: set[str]) -> None:
@@ -52,4 +52,4 @@
     async def settled() -> bool:
         return platform.last_voters(box) == wanted
 
-    await until(settled, f"the voters are {sorted(wanted)}")
+    await wait_until(settled, f"the voters are {sorted(wanted)}")
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -15,7 +15,7 @@
 from leadseam.platform import names
 from tools.platform.operator import tell
 from tools.platform.standin import Server
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -56,7 +56,7 @@
         whole = all(answer.status == 200 for answer in answers)
         return whole and len(server.runs) == runs + len(paths)
 
-    await until(answered, f"{server.ip} answers")
+    await wait_until(answered, f"{server.ip} answers")
 
 
 async def test_a_server_that_left_may_come_back_under_its_id(
@@ -82,7 +82,7 @@
     async def beaten() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after the late word")
+    await wait_until(beaten, "heartbeats after the late word")
     await wait_answered_by(platform, server)
 
 
@@ -101,7 +101,7 @@
     async def running() -> bool:
         return sum(not run.ended for run in first.runs) == len(held)
 
-    await until(running, "both requests run")
+    await wait_until(running, "both requests run")
     # It has started again elsewhere; nobody tells the connections to where it was.
     second = await one_more_server(platform, platform.server_ips[5], born=SECOND_START)
     safe, once = await asyncio.gather(*held)
@@ -149,7 +149,7 @@
     async def beaten() -> bool:
         return server.acks > acks + 2
 
-    await until(beaten, "heartbeats after those of strangers")
+    await wait_until(beaten, "heartbeats after those of strangers")
     await wait_answered_by(platform, server)
     for control in platform.control_ips:
         assert platform.processes[control].poll() is None
--- a/tests/platform/test_summing.py
+++ b/tests/platform/test_summing.py
@@ -8,7 +8,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -19,12 +19,16 @@
 ) -> None:
     entry = platform.entry_ips[0]
     first, second, _ = platform.control_ips
-    await until(lambda: _is_chosen(platform, entry, first), "the first box adds up")
+    await wait_until(
+        lambda: _is_chosen(platform, entry, first), "the first box adds up"
+    )
     platform.signal(first, signal.SIGSTOP)
-    await until(lambda: _is_chosen(platform, entry, second), "the second one does")
+    await wait_until(lambda: _is_chosen(platform, entry, second), "the second one does")
     assert (await platform.call(entry, "/stream/x")).status == 200
     platform.signal(first, signal.SIGCONT)
-    await until(lambda: _is_chosen(platform, entry, first), "the first one does again")
+    await wait_until(
+        lambda: _is_chosen(platform, entry, first), "the first one does again"
+    )
 
 
 async def _is_chosen(platform: Platform, entry: str, box: str) -> bool:
--- a/tests/platform/test_suspended_box.py
+++ b/tests/platform/test_suspended_box.py
@@ -20,7 +20,7 @@
 from leadseam.platform import names
 from tools.platform.nodes import Platform
 from tools.platform.suspension import SteadyClock
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -79,7 +79,7 @@
     async def held() -> bool:
         return any(run.target == path for one in platform.servers for run in one.runs)
 
-    await until(held, f"{path} is held")
+    await wait_until(held, f"{path} is held")
     return next(
         one for one in platform.servers for run in one.runs if run.target == path
     )
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tools.ports import LOOPBACK
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -71,7 +71,7 @@
     fleet.add_entry("entry-1")
     await fleet.start_all()
     other = asyncio.create_task(fleet.chat("entry-1", "tellers", "rates", tokens=60))
-    await until(lambda: engine_busy(fleet), "the engine is busy")
+    await wait_until(lambda: engine_busy(fleet), "the engine is busy")
     body = chat("rates")
     port = fleet.nodes["entry-1"].admin
     for name in (b"X-Odd", b"Idempotency-Key"):
@@ -124,11 +124,11 @@
     deadline = {"X-Leadseam-Deadline-Ms": "50"}
     for task in flood:
         task.cancel()
-    await until(lambda: nothing_waits(fleet), "the flood is gone")
+    await wait_until(lambda: nothing_waits(fleet), "the flood is gone")
     # Its last run may still hold the slot, and give it to whoever waits when it ends.
-    await until(lambda: engine_idle(fleet), "the flood's last run is gone")
+    await wait_until(lambda: engine_idle(fleet), "the flood's last run is gone")
     slow = asyncio.create_task(fleet.chat("entry-1", "menus", "rates", tokens=60))
-    await until(lambda: engine_busy(fleet), "the engine is busy")
+    await wait_until(lambda: engine_busy(fleet), "the engine is busy")
     passed = await refusal(fleet, CHAT, chat("rates"), deadline, account="menus")
     assert passed == (504, "deadline_passed", "not_run")
     slow.cancel()
@@ -137,7 +137,7 @@
 async def test_no_upstream_is_said_at_once(small_fleet: Fleet) -> None:
     fleet = small_fleet
     fleet.nodes["sidecar-engine-1"].kill()
-    await until(lambda: sees_no_engine(fleet), "the entry lost the sidecar")
+    await wait_until(lambda: sees_no_engine(fleet), "the entry lost the sidecar")
     result = await refusal(fleet, CHAT, chat("rates"))
     assert result == (503, "no_upstream", "not_run")
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -22,7 +22,7 @@
 from tools.platform import suspension
 from tools.platform.suspension import SteadyClock
 from tools.ports import LOOPBACK, PortPool
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -242,7 +242,7 @@
     async def wait_ready(self, *names: str) -> None:
         """Wait until processes say that they are ready."""
         for name in names:
-            await until(partial(self.is_ready, name), f"{name} is ready")
+            await wait_until(partial(self.is_ready, name), f"{name} is ready")
 
     async def wait_healthy(self) -> None:
         """Wait until every entry may send work to every upstream."""
@@ -250,7 +250,7 @@
             for row in self.config["upstreams"]:
                 upstream = row["name"]
                 check = partial(self._sees, name, upstream)
-                await until(check, f"{name} may use {upstream}")
+                await wait_until(check, f"{name} may use {upstream}")
 
     async def is_ready(self, name: str) -> bool:
         """Tell whether a process says that it is ready."""
--- a/tools/platform/nodes.py
+++ b/tools/platform/nodes.py
@@ -24,7 +24,7 @@
 from tools.platform.operator import Operator
 from tools.platform.standin import Server
 from tools.platform.suspension import SteadyClock
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -272,7 +272,7 @@
 
     async def wait_ready(self, ip: str) -> None:
         """Wait until an entry calls itself ready."""
-        await until(lambda: self.is_ready(ip), f"{ip} is ready")
+        await wait_until(lambda: self.is_ready(ip), f"{ip} is ready")
 
     async def is_ready(self, ip: str) -> bool:
         """Ask an entry whether it is ready."""
@@ -290,7 +290,7 @@
             paths = ("/once/warm", "/stream/warm")
             return all([(await self.call(ip, path)).status == 200 for path in paths])
 
-        await until(served, f"{ip} reaches the servers")
+        await wait_until(served, f"{ip} reaches the servers")
 
     async def call(
         self,
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -17,7 +17,7 @@
 from leadseam.platform import names
 from tools.platform.operator import open_session, tell
 from tools.platform.rests import Arrival, Rest
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -183,7 +183,7 @@
         """Announce a planned end, and wait for the acknowledgement."""
         self.state = "draining"
         acks = self.acks
-        await until(lambda: _true(self.acks > acks + 1), "leaving is acknowledged")
+        await wait_until(lambda: _true(self.acks > acks + 1), "leaving is acknowledged")
 
     def count(self, request_id: str) -> int:
         """Return how often a request ran here."""
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -11,7 +11,7 @@
 
 from tools.platform.nodes import KEY
 from tools.soak.ledger import Span
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer
@@ -73,8 +73,8 @@
 
     async def wait_known(self) -> None:
         """Wait until all entries refuse both, and that outlives a loss of power."""
-        await until(self._is_known, "deadly requests are refused")
-        await until(self._is_written, "verdicts are written")
+        await wait_until(self._is_known, "deadly requests are refused")
+        await wait_until(self._is_written, "verdicts are written")
 
     async def check_known(self) -> None:
         """Check that all entries refuse both at once."""
--- a/tools/soak/evacuations.py
+++ b/tools/soak/evacuations.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from tools.soak.promises import AFTERMATH
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -88,7 +88,7 @@
         self._promises.check("evacuation held", before == after, detail)
         await self._restore()
         try:
-            await until(self._serves_again, "the domain serves again")
+            await wait_until(self._serves_again, "the domain serves again")
         except AssertionError as exc:
             self._promises.fail("evacuation taken back", str(exc))
         else:
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -17,7 +17,7 @@
 from tools.soak.rests import Rests
 from tools.soak.strangers import Strangers
 from tools.soak.world import World
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -207,7 +207,9 @@
             await self._world.wait_ready(entry)
             await self._world.wait_served(entry)
         await self._read(promises)
-        await until(self._is_whole, "each control box votes, and none that is gone")
+        await wait_until(
+            self._is_whole, "each control box votes, and none that is gone"
+        )
         promises.checked["recovered"] += 1
 
     async def _is_whole(self) -> bool:
--- a/tools/waiting.py
+++ b/tools/waiting.py
@@ -15,7 +15,7 @@
 """Seconds between two looks."""
 
 
-async def until(
+async def wait_until(
     condition: Callable[[], Awaitable[bool]],
     what: str,
     *,
