--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from tools.faults import before_sidecar
+from tools.faults import proxy_sidecar
 from tools.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
 
 async def test_links_cut_again_and_again(fleet: Fleet) -> None:
     describe(fleet)
-    links = [await before_sidecar(fleet, f"slips-{number}") for number in (1, 2)]
+    links = [await proxy_sidecar(fleet, f"slips-{number}") for number in (1, 2)]
     await fleet.start_all()
     calls = asyncio.create_task(run_calls(fleet, 2_000, parallel=24, entries=2))
     cuts = 0
@@ -151,7 +151,7 @@
 
 async def test_signs_of_a_started_call_are_held_back(fleet: Fleet) -> None:
     describe(fleet, upstreams=1, entries=1)
-    link = await before_sidecar(fleet, "slips-1")
+    link = await proxy_sidecar(fleet, "slips-1")
     await fleet.start_all()
     calls = asyncio.create_task(run_calls(fleet, 80, parallel=12, entries=1))
     await wait_until(lambda: some_ran(fleet, 10), "calls run")
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from tools.faults import before_sidecar
+from tools.faults import proxy_sidecar
 from tools.ports import LOOPBACK
 from tools.waiting import wait_until
 
@@ -84,7 +84,7 @@
 
 async def test_link_cut_in_mid_stream_never_looks_complete(fleet: Fleet) -> None:
     describe(fleet)
-    link = await before_sidecar(fleet, "engine-1")
+    link = await proxy_sidecar(fleet, "engine-1")
     await fleet.start_all()
     asked = asyncio.gather(*(ask(fleet, 40 + number) for number in range(24)))
     while not asked.done():
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -107,7 +107,7 @@
         event.clear()
 
 
-async def before_sidecar(fleet: Fleet, upstream: str) -> FaultyLink:
+async def proxy_sidecar(fleet: Fleet, upstream: str) -> FaultyLink:
     """Put a proxy between the entries and a sidecar; before the fleet starts."""
     row = next(row for row in fleet.config["upstreams"] if row["name"] == upstream)
     link = FaultyLink(row["sidecar_port"])
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from tools.faults import before_sidecar
+from tools.faults import proxy_sidecar
 from tools.fleet import Fleet
 from tools.gap import ServiceSamples, gap_bound, percentile
 from tools.load import (
@@ -266,7 +266,7 @@
     results = []
     with tempfile.TemporaryDirectory() as folder:
         fleet = riga(Path(folder))
-        links = [await before_sidecar(fleet, name) for name in CUT_ENGINES]
+        links = [await proxy_sidecar(fleet, name) for name in CUT_ENGINES]
         try:
             await fleet.start_all()
             path = "/v1/chat/completions"
