--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -18,7 +18,7 @@
 from leadseam.schema import operator_pb2 as pb
 from leadseam.schema.convert import operation_to_message
 from leadseam.settings.models import Endpoint
-from tools.faults import before_replica
+from tools.faults import proxy_replica
 from tools.fleet import OPERATOR_TOKEN
 from tools.ports import LOOPBACK
 from tools.waiting import wait_until
@@ -134,7 +134,7 @@
 
 async def test_replica_cut_off_silently_feeds_nobody(fleet: Fleet) -> None:
     describe(fleet)
-    links = {name: await before_replica(fleet, name) for name in CONTROL}
+    links = {name: await proxy_replica(fleet, name) for name in CONTROL}
     await fleet.start_all()
     old = await leader(fleet)
     links[old].hold(towards=True, back=False)
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -117,7 +117,7 @@
     return link
 
 
-async def before_replica(fleet: Fleet, name: str) -> FaultyLink:
+async def proxy_replica(fleet: Fleet, name: str) -> FaultyLink:
     """Put a proxy before a replica's inner address; before the fleet starts.
 
     The other replicas and all nodes reach it through the proxy.
