--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -156,9 +156,9 @@
     calls = asyncio.create_task(run_calls(fleet, 80, parallel=12, entries=1))
     await wait_until(lambda: some_ran(fleet, 10), "calls run")
     # First the dispatches wait in the proxy, then only what the sidecar answers.
-    link.hold(towards=True, back=False)
+    link.hold(to_target=True, from_target=False)
     await asyncio.sleep(HELD_DISPATCHES)
-    link.hold(towards=False, back=True)
+    link.hold(to_target=False, from_target=True)
     await wait_until(lambda: lost_sight(fleet, "slips-1"), "the entry gave the link up")
     link.release()
     await check(fleet, await calls)
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -137,7 +137,7 @@
     links = {name: await proxy_replica(fleet, name) for name in CONTROL}
     await fleet.start_all()
     old = await leader(fleet)
-    links[old].hold(towards=True, back=False)
+    links[old].hold(to_target=True, from_target=False)
     code, reply = await change(fleet, 6)
     assert code == 0
     await fleet.wait_in_force(reply["version"])
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -57,19 +57,19 @@
         """Break all connections, as a crash of the other side would."""
         await self._proxy.disconnect_all()
 
-    def hold(self, *, towards: bool = True, back: bool = True) -> None:
+    def hold(self, *, to_target: bool = True, from_target: bool = True) -> None:
         """Silently hold what is sent, in one direction or both.
 
         Args:
-            towards: Hold what goes to the process behind the proxy.
-            back: Hold what comes from it.
+            to_target: Hold what goes to the process behind the proxy.
+            from_target: Hold what comes from it.
         """
-        _set(self._towards, not towards)
-        _set(self._back, not back)
+        _set(self._towards, not to_target)
+        _set(self._back, not from_target)
 
     def release(self) -> None:
         """Let everything flow again, the held bytes first."""
-        self.hold(towards=False, back=False)
+        self.hold(to_target=False, from_target=False)
 
     async def hold_peer(self, pid: int, seconds: float) -> None:
         """Silently hold the connections of one process, new ones too, for a time."""
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -53,9 +53,9 @@
             case LinkFault.DELAY:
                 link.delay = fault.delay
             case LinkFault.MUTE_TOWARDS:
-                link.hold(back=False)
+                link.hold(from_target=False)
             case LinkFault.MUTE_BACK:
-                link.hold(towards=False)
+                link.hold(to_target=False)
             case LinkFault.SILENT:
                 link.hold()
         await asyncio.sleep(seconds)
