--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -15,7 +15,7 @@
 
 from tools.platform.standin import Run, Server
 from tools.soak.deadly import WRITTEN, Deadly
-from tools.soak.ledger import Ledger
+from tools.soak.disturbances import DisturbanceLog
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -55,8 +55,8 @@
     # planned stop of its entry in CI; its lines show the attempt that broke.
     run = Run("d1", "POST", "/safe/deadly", b"", CIMultiDict(), at=50.0)
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
-    ledger = Ledger()
-    world = SimpleNamespace(ever=[server], ledger=ledger)
+    disturbances = DisturbanceLog()
+    world = SimpleNamespace(ever=[server], disturbances=disturbances)
     Deadly(cast("Any", world), 1, cast("Any", None)).at_end(timed=False)
-    assert ledger.touched("127.0.0.41", 50.1, 50.2, planned=False)
-    assert not ledger.touched("127.0.0.42", 50.1, 50.2)
+    assert disturbances.was_disturbed("127.0.0.41", 50.1, 50.2, planned=False)
+    assert not disturbances.was_disturbed("127.0.0.42", 50.1, 50.2)
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import KEY
-from tools.soak.ledger import Span
+from tools.soak.disturbances import Disturbance
 from tools.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -102,8 +102,10 @@
         """Note crashes as disturbances of their servers, which cut what ran there."""
         for server in self._world.ever:
             for run in server.crashes:
-                span = Span(server.ip, run.at, planned=False, end=run.at + DOWN)
-                self._world.ledger.spans.append(span)
+                disturbance = Disturbance(
+                    server.ip, run.at, planned=False, end=run.at + DOWN
+                )
+                self._world.disturbances.entries.append(disturbance)
 
     async def _keep_sending(self, path: str) -> None:
         while True:
@@ -153,8 +155,8 @@
         sent = self._sent[run.request_id]
         if run.at <= third + BOUND:
             return False
-        ledger = self._world.ledger
+        disturbances = self._world.disturbances
         return not any(
-            ledger.touched(box, sent.at - BOUND, run.at)
+            disturbances.was_disturbed(box, sent.at - BOUND, run.at)
             for box in (sent.entry, *self._world.control_ips)
         )
--- a/tools/soak/ledger.py
+++ b/tools/soak/disturbances.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class Span:
+class Disturbance:
     """A disturbance.
 
     Args:
@@ -24,20 +24,20 @@
 
 
 @dataclass
-class Ledger:
+class DisturbanceLog:
     """Disturbances of a run."""
 
-    spans: list[Span] = field(default_factory=list)
+    entries: list[Disturbance] = field(default_factory=list)
 
-    def begin(self, target: str, *, planned: bool = False) -> Span:
+    def begin(self, target: str, *, planned: bool = False) -> Disturbance:
         """Note that a disturbance begins."""
-        span = Span(target, time.monotonic(), planned)
-        self.spans.append(span)
-        return span
+        disturbance = Disturbance(target, time.monotonic(), planned)
+        self.entries.append(disturbance)
+        return disturbance
 
-    def end(self, span: Span) -> None:
+    def end(self, disturbance: Disturbance) -> None:
         """Note that it is over."""
-        span.end = time.monotonic()
+        disturbance.end = time.monotonic()
 
     def planned_work_began(self, box: str, start: float, end: float) -> bool:
         """Tell whether planned work on a box began in a span of time.
@@ -48,11 +48,13 @@
             end: End of the span.
         """
         return any(
-            span.planned and span.target == box and start <= span.start <= end
-            for span in self.spans
+            disturbance.planned
+            and disturbance.target == box
+            and start <= disturbance.start <= end
+            for disturbance in self.entries
         )
 
-    def touched(
+    def was_disturbed(
         self, box: str, start: float, end: float, *, planned: bool = True
     ) -> bool:
         """Tell whether a box was disturbed in a span of time.
@@ -64,9 +66,9 @@
             planned: Whether planned work counts. Defaults to True.
         """
         return any(
-            span.target in ("", box)
-            and span.start <= end
-            and (span.end is None or span.end >= start)
-            and (planned or not span.planned)
-            for span in self.spans
+            disturbance.target in ("", box)
+            and disturbance.start <= end
+            and (disturbance.end is None or disturbance.end >= start)
+            and (planned or not disturbance.planned)
+            for disturbance in self.entries
         )
--- a/tools/soak/evacuations.py
+++ b/tools/soak/evacuations.py
@@ -110,7 +110,7 @@
             since = span.acknowledged
             if not since <= run.at < span.withdrawn:
                 continue
-            if self._world.ledger.touched(entry, since - AFTERMATH, run.at):
+            if self._world.disturbances.was_disturbed(entry, since - AFTERMATH, run.at):
                 continue
             kept = run.at - since <= SLACK
             detail = f"{run.request_id} {run.at - since:.2f} s after its evacuation"
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -46,7 +46,7 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._ledger = world.ledger
+        self._disturbances = world.disturbances
 
     async def do(self, planned: Planned) -> None:
         """Do a fault, for as long as it lasts, and mend it."""
@@ -82,24 +82,24 @@
         self, boxes: list[str], length: float, *, wipe: bool = False
     ) -> None:
         boxes = [box for box in boxes if box not in self._world.down]
-        spans = [self._ledger.begin(box) for box in boxes]
+        begun = [self._disturbances.begin(box) for box in boxes]
         self._world.down.update(boxes)
         for box in boxes:
             self._world.kill(box)
             if wipe:
                 shutil.rmtree(self._world.folder / f"data-{box}")
         await asyncio.sleep(length)
-        for box, span in zip(boxes, spans, strict=True):
+        for box, disturbance in zip(boxes, begun, strict=True):
             if box not in self._world.gone_boxes:
                 self._world.start(box, founding=False)
                 self._world.down.discard(box)
-            self._ledger.end(span)
+            self._disturbances.end(disturbance)
 
     async def _replaced(self, box: str, length: float, *, in_order: bool) -> None:
         gone = self._world.now_at(box)
         if gone in self._world.down or not self._world.spare_ips:
             return
-        span = self._ledger.begin(gone, planned=in_order)
+        disturbance = self._disturbances.begin(gone, planned=in_order)
         if in_order:
             self._world.succeed(gone)
             await asyncio.sleep(length)
@@ -108,7 +108,7 @@
             await self._world.end_for_good(gone, in_order=False)
             await asyncio.sleep(length)
             self._world.succeed(gone)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     async def lose_all_that_may_be_lost(self) -> None:
         """Lose one control box's disk while all processes lose power."""
@@ -118,22 +118,22 @@
         await asyncio.gather(losing, stopping)
 
     async def _frozen(self, box: str, length: float) -> None:
-        span = self._ledger.begin(box)
+        disturbance = self._disturbances.begin(box)
         if self._world.suspendable:
             await self._world.suspend(box, length)
-            self._ledger.end(span)
+            self._disturbances.end(disturbance)
             return
         process = self._world.processes[box]
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(length)
         process.send_signal(signal.SIGCONT)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     async def _stopped(self, box: str, length: float) -> None:
         if box in self._world.down:
             return
         self._world.down.add(box)
-        span = self._ledger.begin(box, planned=True)
+        disturbance = self._disturbances.begin(box, planned=True)
         process = self._world.processes[box]
         process.terminate()
         while process.poll() is None:
@@ -141,16 +141,16 @@
         await asyncio.sleep(length)
         self._world.start(box, founding=False)
         self._world.down.discard(box)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     async def _full(self, box: str, length: float) -> None:
-        span = self._ledger.begin(box)
+        disturbance = self._disturbances.begin(box)
         with contextlib.suppress(ProcessLookupError):
             pid = self._world.processes[box].pid
             _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, -1))
             await asyncio.sleep(length)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (most, most))
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     def _reload(self, box: str, *, by_signal: bool) -> None:
         self._world.seeds = self._world.seeds[1:] + self._world.seeds[:1]
@@ -161,26 +161,26 @@
     async def _spoiled(self, fault: BadLink, length: float) -> None:
         source = self._world.now_at(fault.source)
         target = self._world.now_at(fault.target)
-        spans = [self._ledger.begin(box) for box in (source, target) if box]
+        begun = [self._disturbances.begin(box) for box in (source, target) if box]
         meant = dataclasses.replace(fault, source=source, target=target)
         await self._world.links.spoil(meant, length)
-        for span in spans:
-            self._ledger.end(span)
+        for disturbance in begun:
+            self._disturbances.end(disturbance)
 
     async def _server_crashed(self, ip: str, length: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
-        span = self._ledger.begin(ip)
+        disturbance = self._disturbances.begin(ip)
         await server.stop()
         await self._world.replace_server(server, length)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     async def _server_left(self, ip: str, length: float) -> None:
         server = self._world.server_at(ip)
         if server is None or server.state != "ready":
             return
-        span = self._ledger.begin(ip, planned=True)
+        disturbance = self._disturbances.begin(ip, planned=True)
         await server.drain()
         server.left_at = time.monotonic()
         await asyncio.sleep(LEAVING_PAUSE + length)
@@ -188,14 +188,14 @@
         if self._world.server_at(ip) is server:
             await server.stop()
             await self._world.replace_server(server, RESTART_DELAY)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     async def _answers_lost(self, ip: str, length: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
-        span = self._ledger.begin(ip)
+        disturbance = self._disturbances.begin(ip)
         server.usual = "lose"
         await asyncio.sleep(length)
         server.usual = "answer"
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -149,8 +149,8 @@
 
     def _check_planned_stop(self, call: Call) -> None:
         """A planned stop ends no request that was sent to the entry."""
-        ledger = self.world.ledger
-        if not ledger.planned_work_began(call.entry, call.start, call.end):
+        disturbances = self.world.disturbances
+        if not disturbances.planned_work_began(call.entry, call.start, call.end):
             return
         if any(
             self._touched(box, call, planned=False)
@@ -172,7 +172,7 @@
                     self._check_run(run, entry, server.instance, server.left_at)
 
     def _check_run(self, run: Run, entry: str, instance: str, left_at: float) -> None:
-        if self.world.ledger.touched(entry, left_at - AFTERMATH, run.at):
+        if self.world.disturbances.was_disturbed(entry, left_at - AFTERMATH, run.at):
             return
         late = run.at - left_at
         detail = f"{late:.2f} s after {instance} had left"
@@ -182,4 +182,6 @@
     def _touched(self, box: str, call: Call, *, planned: bool = True) -> bool:
         """Tell whether a box was disturbed during a call or shortly before it."""
         since = call.start - AFTERMATH
-        return self.world.ledger.touched(box, since, call.end, planned=planned)
+        return self.world.disturbances.was_disturbed(
+            box, since, call.end, planned=planned
+        )
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -105,14 +105,16 @@
             and later.start > call.end + DRAIN
             and later.headers.get(names.SIGNATURE) == f"signed-{instance}"
             and later.headers.get(names.LEAVING) == names.LEAVING_SET
-            and not self._world.ledger.touched(call.entry, call.end, later.start)
+            and not self._world.disturbances.was_disturbed(
+                call.entry, call.end, later.start
+            )
         ]
         detail = f"{[one.request_id for one in late]} after {call.request_id}"
         self._promises.check("left by answers", not late, detail)
 
     def _excused(self, entry: str, server: Server, since: float, until: float) -> bool:
         """Tell whether the entry, or its way to the server, was disturbed."""
-        ledger = self._world.ledger
-        return ledger.touched(entry, since - SLACK, until) or ledger.touched(
-            server.ip, since - SLACK, until
-        )
+        disturbances = self._world.disturbances
+        return disturbances.was_disturbed(
+            entry, since - SLACK, until
+        ) or disturbances.was_disturbed(server.ip, since - SLACK, until)
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import Platform, free_port
-from tools.soak.ledger import Ledger
+from tools.soak.disturbances import DisturbanceLog
 from tools.soak.links import Links
 from tools.soak.plan import Boxes
 
@@ -32,7 +32,7 @@
 
     Args:
         entries: Number of entry boxes.
-        ledger: Where disturbances are noted.
+        disturbances: Where disturbances are noted.
         links: The proxies.
         gone: Servers that have ended.
 
@@ -42,7 +42,7 @@
     """
 
     entries: int = 2
-    ledger: Ledger = field(default_factory=Ledger)
+    disturbances: DisturbanceLog = field(default_factory=DisturbanceLog)
     links: Links = field(default_factory=Links)
     gone: list[Server] = field(default_factory=list)
 
