--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -18,7 +18,7 @@
     FullDisk,
     Kill,
     KillControl,
-    Planned,
+    PlannedFault,
     Reload,
     ReplaceBox,
     ServerCrash,
@@ -48,38 +48,40 @@
         self._world = world
         self._disturbances = world.disturbances
 
-    async def do(self, planned: Planned) -> None:
+    async def do(self, planned: PlannedFault) -> None:
         """Do a fault, for as long as it lasts, and mend it."""
         match planned.fault:
             case Kill(box=box):
-                await self._killed([self._world.now_at(box)], planned.length)
+                await self._killed([self._world.now_at(box)], planned.duration)
             case KillControl():
                 await self._killed(
-                    [*self._world.control_ips], min(planned.length, GROUP_DOWN)
+                    [*self._world.control_ips], min(planned.duration, GROUP_DOWN)
                 )
             case Wipe(box=box):
-                await self._killed([self._world.now_at(box)], planned.length, wipe=True)
+                await self._killed(
+                    [self._world.now_at(box)], planned.duration, wipe=True
+                )
             case ReplaceBox(box=box, planned=in_order):
-                await self._replaced(box, planned.length, in_order=in_order)
+                await self._replaced(box, planned.duration, in_order=in_order)
             case Freeze(box=box):
-                await self._frozen(self._world.now_at(box), planned.length)
+                await self._frozen(self._world.now_at(box), planned.duration)
             case Stop(box=box):
-                await self._stopped(box, planned.length)
+                await self._stopped(box, planned.duration)
             case FullDisk(box=box):
-                await self._full(self._world.now_at(box), planned.length)
+                await self._full(self._world.now_at(box), planned.duration)
             case Reload(box=box, signal=by_signal):
                 self._reload(self._world.now_at(box), by_signal=by_signal)
             case BadLink() as fault:
-                await self._spoiled(fault, planned.length)
+                await self._spoiled(fault, planned.duration)
             case ServerCrash(server=ip):
-                await self._server_crashed(ip, planned.length)
+                await self._server_crashed(ip, planned.duration)
             case ServerLeaves(server=ip):
-                await self._server_left(ip, planned.length)
+                await self._server_left(ip, planned.duration)
             case AnswersLost(server=ip):
-                await self._answers_lost(ip, planned.length)
+                await self._answers_lost(ip, planned.duration)
 
     async def _killed(
-        self, boxes: list[str], length: float, *, wipe: bool = False
+        self, boxes: list[str], duration: float, *, wipe: bool = False
     ) -> None:
         boxes = [box for box in boxes if box not in self._world.down]
         begun = [self._disturbances.begin(box) for box in boxes]
@@ -88,25 +90,25 @@
             self._world.kill(box)
             if wipe:
                 shutil.rmtree(self._world.folder / f"data-{box}")
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         for box, disturbance in zip(boxes, begun, strict=True):
             if box not in self._world.gone_boxes:
                 self._world.start(box, founding=False)
                 self._world.down.discard(box)
             self._disturbances.end(disturbance)
 
-    async def _replaced(self, box: str, length: float, *, in_order: bool) -> None:
+    async def _replaced(self, box: str, duration: float, *, in_order: bool) -> None:
         gone = self._world.now_at(box)
         if gone in self._world.down or not self._world.spare_ips:
             return
         disturbance = self._disturbances.begin(gone, planned=in_order)
         if in_order:
             self._world.succeed(gone)
-            await asyncio.sleep(length)
+            await asyncio.sleep(duration)
             await self._world.end_for_good(gone, in_order=True)
         else:
             await self._world.end_for_good(gone, in_order=False)
-            await asyncio.sleep(length)
+            await asyncio.sleep(duration)
             self._world.succeed(gone)
         self._disturbances.end(disturbance)
 
@@ -117,19 +119,19 @@
         stopping = self._killed([*others, *self._world.entry_ips], GROUP_DOWN)
         await asyncio.gather(losing, stopping)
 
-    async def _frozen(self, box: str, length: float) -> None:
+    async def _frozen(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
         if self._world.suspendable:
-            await self._world.suspend(box, length)
+            await self._world.suspend(box, duration)
             self._disturbances.end(disturbance)
             return
         process = self._world.processes[box]
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         process.send_signal(signal.SIGCONT)
         self._disturbances.end(disturbance)
 
-    async def _stopped(self, box: str, length: float) -> None:
+    async def _stopped(self, box: str, duration: float) -> None:
         if box in self._world.down:
             return
         self._world.down.add(box)
@@ -138,17 +140,17 @@
         process.terminate()
         while process.poll() is None:
             await asyncio.sleep(RESTART_DELAY)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         self._world.start(box, founding=False)
         self._world.down.discard(box)
         self._disturbances.end(disturbance)
 
-    async def _full(self, box: str, length: float) -> None:
+    async def _full(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
         with contextlib.suppress(ProcessLookupError):
             pid = self._world.processes[box].pid
             _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, -1))
-            await asyncio.sleep(length)
+            await asyncio.sleep(duration)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (most, most))
         self._disturbances.end(disturbance)
 
@@ -158,44 +160,44 @@
         if by_signal and box not in self._world.down:
             self._world.signal(box, signal.SIGHUP)
 
-    async def _spoiled(self, fault: BadLink, length: float) -> None:
+    async def _spoiled(self, fault: BadLink, duration: float) -> None:
         source = self._world.now_at(fault.source)
         target = self._world.now_at(fault.target)
         begun = [self._disturbances.begin(box) for box in (source, target) if box]
         meant = dataclasses.replace(fault, source=source, target=target)
-        await self._world.links.spoil(meant, length)
+        await self._world.links.spoil(meant, duration)
         for disturbance in begun:
             self._disturbances.end(disturbance)
 
-    async def _server_crashed(self, ip: str, length: float) -> None:
+    async def _server_crashed(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
         disturbance = self._disturbances.begin(ip)
         await server.stop()
-        await self._world.replace_server(server, length)
+        await self._world.replace_server(server, duration)
         self._disturbances.end(disturbance)
 
-    async def _server_left(self, ip: str, length: float) -> None:
+    async def _server_left(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None or server.state != "ready":
             return
         disturbance = self._disturbances.begin(ip, planned=True)
         await server.drain()
         server.left_at = time.monotonic()
-        await asyncio.sleep(LEAVING_PAUSE + length)
+        await asyncio.sleep(LEAVING_PAUSE + duration)
         # It may have crashed meanwhile.
         if self._world.server_at(ip) is server:
             await server.stop()
             await self._world.replace_server(server, RESTART_DELAY)
         self._disturbances.end(disturbance)
 
-    async def _answers_lost(self, ip: str, length: float) -> None:
+    async def _answers_lost(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
         disturbance = self._disturbances.begin(ip)
         server.usual = "lose"
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         server.usual = "answer"
         self._disturbances.end(disturbance)
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -52,9 +52,9 @@
                 await link.cut()
             case LinkFault.DELAY:
                 link.delay = fault.delay
-            case LinkFault.MUTE_TOWARDS:
+            case LinkFault.MUTE_TO_TARGET:
                 link.hold(from_target=False)
-            case LinkFault.MUTE_BACK:
+            case LinkFault.MUTE_FROM_TARGET:
                 link.hold(to_target=False)
             case LinkFault.SILENT:
                 link.hold()
--- a/tools/soak/plan.py
+++ b/tools/soak/plan.py
@@ -12,19 +12,19 @@
 
 FAULTS_PER_SECOND = 0.8
 """Faults begun in a second; with their lengths, two are under way on average."""
-LEAST_LENGTH, MOST_LENGTH = 0.3, 4.0
+MIN_DURATION, MAX_DURATION = 0.3, 4.0
 """Seconds that a fault lasts."""
 DELAYS = (0.02, 0.1, 0.4)
 """Seconds by which a slow link delays what it carries, each way."""
-SIGNALLED_PART = 0.5
+SIGNAL_FRACTION = 0.5
 """Part of the changes of settings that come with a signal."""
-PLANNED_PART = 0.4
+PLANNED_FRACTION = 0.4
 """Part of the replacements in which the new box comes before the old one goes."""
-ROLE_PART = 0.5
+WHOLE_ROLE_FRACTION = 0.5
 """Part of the standstills that concern all boxes of a role."""
-GROUP_PART = 0.3
+GROUP_KILL_FRACTION = 0.3
 """Part of the kills of a control process that take all of them at once."""
-SERVER_LINK_PART = 0.3
+SERVER_LINK_FRACTION = 0.3
 """Part of the bad links that lead to servers."""
 
 
@@ -33,8 +33,8 @@
 
     RESET = "reset"
     DELAY = "delay"
-    MUTE_TOWARDS = "mute towards"
-    MUTE_BACK = "mute back"
+    MUTE_TO_TARGET = "mute towards"
+    MUTE_FROM_TARGET = "mute back"
     SILENT = "silent"
 
 
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedFault:
     """A fault with its time.
 
     Args:
@@ -157,13 +157,13 @@
     """
 
     at: float
-    length: float
+    duration: float
     fault: Fault
 
     @property
     def end(self) -> float:
         """When it is over."""
-        return self.at + self.length
+        return self.at + self.duration
 
 
 @dataclass(frozen=True, slots=True)
@@ -181,9 +181,9 @@
     servers: tuple[str, ...]
 
 
-def draw(
-    seed: int, seconds: float, boxes: Boxes, *, standstills: bool = False
-) -> tuple[Planned, ...]:
+def draw_faults(
+    seed: int, seconds: float, boxes: Boxes, *, freezes: bool = False
+) -> tuple[PlannedFault, ...]:
     """Return the faults of a seed, in the order of their times.
 
     With `standstills`, boxes stand still in place of faults that end a process; in half
@@ -193,20 +193,20 @@
     loss; whatever else there is may overlap.
     """
     rng = random.Random(seed)
-    planned: list[Planned] = []
+    planned: list[PlannedFault] = []
     for _ in range(round(seconds * FAULTS_PER_SECOND)):
         at = rng.uniform(0, seconds)
-        length = rng.uniform(LEAST_LENGTH, MOST_LENGTH)
-        fault = _fault(rng, boxes)
-        if standstills and isinstance(fault, Kill | Stop | KillControl):
-            planned += _standstill(rng, at, length, boxes)
+        duration = rng.uniform(MIN_DURATION, MAX_DURATION)
+        fault = _draw_fault(rng, boxes)
+        if freezes and isinstance(fault, Kill | Stop | KillControl):
+            planned += _draw_freezes(rng, at, duration, boxes)
         else:
-            planned.append(Planned(at, length, fault))
+            planned.append(PlannedFault(at, duration, fault))
     planned.sort(key=lambda one: one.at)
-    return _apart(planned)
+    return _space_disk_losses(planned)
 
 
-def _fault(rng: random.Random, boxes: Boxes) -> Fault:
+def _draw_fault(rng: random.Random, boxes: Boxes) -> Fault:
     control, entry = rng.choice(boxes.controls), rng.choice(boxes.entries)
     server = rng.choice(boxes.servers)
     node = rng.choice(boxes.controls + boxes.entries)
@@ -222,7 +222,7 @@
         case 5:
             return FullDisk(control)
         case 6:
-            return Reload(node, signal=rng.random() < SIGNALLED_PART)
+            return Reload(node, signal=rng.random() < SIGNAL_FRACTION)
         case 7:
             return ServerCrash(server)
         case 8:
@@ -230,51 +230,55 @@
         case 9 | 10:
             return AnswersLost(server)
         case 11 | 12:
-            return ReplaceBox(control, planned=rng.random() < PLANNED_PART)
+            return ReplaceBox(control, planned=rng.random() < PLANNED_FRACTION)
         case 13:
-            return KillControl() if rng.random() < GROUP_PART else Kill(control)
+            return (
+                KillControl() if rng.random() < GROUP_KILL_FRACTION else Kill(control)
+            )
         case _:
-            return _bad_link(rng, boxes)
+            return _draw_bad_link(rng, boxes)
 
 
-def _standstill(
-    rng: random.Random, at: float, length: float, boxes: Boxes
-) -> list[Planned]:
+def _draw_freezes(
+    rng: random.Random, at: float, duration: float, boxes: Boxes
+) -> list[PlannedFault]:
     """Let one box stand still, or all of a role within some 100 ms."""
     role = rng.choice([boxes.controls, boxes.entries])
-    some = role if rng.random() < ROLE_PART else (rng.choice(role),)
-    return [Planned(at + rng.uniform(0, 0.1), length, Freeze(box)) for box in some]
+    some = role if rng.random() < WHOLE_ROLE_FRACTION else (rng.choice(role),)
+    return [
+        PlannedFault(at + rng.uniform(0, 0.1), duration, Freeze(box)) for box in some
+    ]
 
 
-def _bad_link(rng: random.Random, boxes: Boxes) -> BadLink:
+def _draw_bad_link(rng: random.Random, boxes: Boxes) -> BadLink:
     how = rng.choice(list(LinkFault))
     delay = rng.choice(DELAYS)
-    if rng.random() < SERVER_LINK_PART:
+    if rng.random() < SERVER_LINK_FRACTION:
         return BadLink("", rng.choice(boxes.servers), how, delay)
     source = rng.choice(boxes.controls + boxes.entries)
     target = rng.choice([box for box in boxes.controls if box != source])
     return BadLink(source, target, how, delay)
 
 
-def _apart(planned: Sequence[Planned]) -> tuple[Planned, ...]:
+def _space_disk_losses(planned: Sequence[PlannedFault]) -> tuple[PlannedFault, ...]:
     """Drop faults of a disk that may come before the last one is mended and caught up.
 
     A box that has lost its disk catches up only while the others run undisturbed, so
     each other fault of control boxes puts the next loss off as well.
     """
-    kept: list[Planned] = []
-    free_at = 0.0
+    kept: list[PlannedFault] = []
+    next_loss_at = 0.0
     for one in planned:
-        losing = isinstance(one.fault, Wipe | ReplaceBox | FullDisk)
-        if losing and one.at < free_at:
+        loses_disk = isinstance(one.fault, Wipe | ReplaceBox | FullDisk)
+        if loses_disk and one.at < next_loss_at:
             continue
-        if losing or (free_at and _touches_control(one.fault)):
-            free_at = max(free_at, one.end + MOST_LENGTH)
+        if loses_disk or (next_loss_at and _disturbs_control(one.fault)):
+            next_loss_at = max(next_loss_at, one.end + MAX_DURATION)
         kept.append(one)
     return tuple(kept)
 
 
-def _touches_control(fault: Fault) -> bool:
+def _disturbs_control(fault: Fault) -> bool:
     """Tell whether a fault may keep a control box from catching up."""
     match fault:
         case Kill() | KillControl() | Freeze():
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -12,7 +12,7 @@
 from tools.soak.deadly import Deadly
 from tools.soak.evacuations import Evacuations
 from tools.soak.injector import Injector
-from tools.soak.plan import draw
+from tools.soak.plan import draw_faults
 from tools.soak.promises import Promises
 from tools.soak.rests import Rests
 from tools.soak.strangers import Strangers
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from tools.soak.plan import Planned
+    from tools.soak.plan import PlannedFault
     from tools.soak.promises import Broken
 
 CHANGE_PAUSE = 0.7
@@ -114,11 +114,11 @@
         """Return what the seed showed."""
         world = self._world
         await world.open()
-        faults = draw(
+        faults = draw_faults(
             self._seed,
             self._size.seconds,
             world.boxes,
-            standstills=self._size.suspended,
+            freezes=self._size.suspended,
         )
         promises = Promises(world, self._size.timed)
         callers = Callers(world, self._seed, promises.on_call)
@@ -162,12 +162,12 @@
         promises.at_end()
         return self._summary(faults, promises)
 
-    async def _do_all(self, faults: tuple[Planned, ...]) -> None:
+    async def _do_all(self, faults: tuple[PlannedFault, ...]) -> None:
         async with asyncio.TaskGroup() as group:
             for planned in faults:
                 group.create_task(self._do_later(planned))
 
-    async def _do_later(self, planned: Planned) -> None:
+    async def _do_later(self, planned: PlannedFault) -> None:
         await asyncio.sleep(planned.at)
         await self._injector.do(planned)
 
@@ -225,7 +225,7 @@
             for box in wanted
         )
 
-    def _summary(self, faults: tuple[Planned, ...], promises: Promises) -> Summary:
+    def _summary(self, faults: tuple[PlannedFault, ...], promises: Promises) -> Summary:
         kinds = [type(planned.fault).__name__ for planned in faults]
         return Summary(
             seed=self._seed,
