--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -31,9 +31,9 @@
 if TYPE_CHECKING:
     from tools.soak.world import World
 
-LEAVING_PAUSE = 2.0
+DRAIN_TIME = 2.0
 """Seconds that a leaving server serves on after its end was acknowledged."""
-GROUP_DOWN = 1.0
+MAX_GROUP_DOWNTIME = 1.0
 """Most seconds that all control processes are down together."""
 
 
@@ -48,39 +48,40 @@
         self._world = world
         self._disturbances = world.disturbances
 
-    async def do(self, planned: PlannedFault) -> None:
+    async def inject(self, planned: PlannedFault) -> None:
         """Do a fault, for as long as it lasts, and mend it."""
         match planned.fault:
             case Kill(box=box):
-                await self._killed([self._world.now_at(box)], planned.duration)
+                await self._kill([self._world.current_box(box)], planned.duration)
             case KillControl():
-                await self._killed(
-                    [*self._world.control_ips], min(planned.duration, GROUP_DOWN)
+                await self._kill(
+                    [*self._world.control_ips],
+                    min(planned.duration, MAX_GROUP_DOWNTIME),
                 )
             case Wipe(box=box):
-                await self._killed(
-                    [self._world.now_at(box)], planned.duration, wipe=True
+                await self._kill(
+                    [self._world.current_box(box)], planned.duration, wipe=True
                 )
-            case ReplaceBox(box=box, planned=in_order):
-                await self._replaced(box, planned.duration, in_order=in_order)
+            case ReplaceBox(box=box, planned=graceful):
+                await self._replace_box(box, planned.duration, graceful=graceful)
             case Freeze(box=box):
-                await self._frozen(self._world.now_at(box), planned.duration)
+                await self._freeze(self._world.current_box(box), planned.duration)
             case Stop(box=box):
-                await self._stopped(box, planned.duration)
+                await self._stop(box, planned.duration)
             case FullDisk(box=box):
-                await self._full(self._world.now_at(box), planned.duration)
+                await self._fill_disk(self._world.current_box(box), planned.duration)
             case Reload(box=box, signal=by_signal):
-                self._reload(self._world.now_at(box), by_signal=by_signal)
+                self._reload(self._world.current_box(box), by_signal=by_signal)
             case BadLink() as fault:
-                await self._spoiled(fault, planned.duration)
+                await self._disturb_link(fault, planned.duration)
             case ServerCrash(server=ip):
-                await self._server_crashed(ip, planned.duration)
+                await self._crash_server(ip, planned.duration)
             case ServerLeaves(server=ip):
-                await self._server_left(ip, planned.duration)
+                await self._drain_server(ip, planned.duration)
             case AnswersLost(server=ip):
-                await self._answers_lost(ip, planned.duration)
+                await self._lose_answers(ip, planned.duration)
 
-    async def _killed(
+    async def _kill(
         self, boxes: list[str], duration: float, *, wipe: bool = False
     ) -> None:
         boxes = [box for box in boxes if box not in self._world.down]
@@ -97,29 +98,29 @@
                 self._world.down.discard(box)
             self._disturbances.end(disturbance)
 
-    async def _replaced(self, box: str, duration: float, *, in_order: bool) -> None:
-        gone = self._world.now_at(box)
+    async def _replace_box(self, box: str, duration: float, *, graceful: bool) -> None:
+        gone = self._world.current_box(box)
         if gone in self._world.down or not self._world.spare_ips:
             return
-        disturbance = self._disturbances.begin(gone, planned=in_order)
-        if in_order:
-            self._world.succeed(gone)
+        disturbance = self._disturbances.begin(gone, planned=graceful)
+        if graceful:
+            self._world.start_successor(gone)
             await asyncio.sleep(duration)
-            await self._world.end_for_good(gone, in_order=True)
+            await self._world.stop_for_good(gone, graceful=True)
         else:
-            await self._world.end_for_good(gone, in_order=False)
+            await self._world.stop_for_good(gone, graceful=False)
             await asyncio.sleep(duration)
-            self._world.succeed(gone)
+            self._world.start_successor(gone)
         self._disturbances.end(disturbance)
 
-    async def lose_all_that_may_be_lost(self) -> None:
+    async def lose_one_disk_and_all_power(self) -> None:
         """Lose one control box's disk while all processes lose power."""
         wiped, *others = self._world.control_ips
-        losing = self._killed([wiped], GROUP_DOWN, wipe=True)
-        stopping = self._killed([*others, *self._world.entry_ips], GROUP_DOWN)
-        await asyncio.gather(losing, stopping)
+        wiping = self._kill([wiped], MAX_GROUP_DOWNTIME, wipe=True)
+        stopping = self._kill([*others, *self._world.entry_ips], MAX_GROUP_DOWNTIME)
+        await asyncio.gather(wiping, stopping)
 
-    async def _frozen(self, box: str, duration: float) -> None:
+    async def _freeze(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
         if self._world.suspendable:
             await self._world.suspend(box, duration)
@@ -131,7 +132,7 @@
         process.send_signal(signal.SIGCONT)
         self._disturbances.end(disturbance)
 
-    async def _stopped(self, box: str, duration: float) -> None:
+    async def _stop(self, box: str, duration: float) -> None:
         if box in self._world.down:
             return
         self._world.down.add(box)
@@ -145,7 +146,7 @@
         self._world.down.discard(box)
         self._disturbances.end(disturbance)
 
-    async def _full(self, box: str, duration: float) -> None:
+    async def _fill_disk(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
         with contextlib.suppress(ProcessLookupError):
             pid = self._world.processes[box].pid
@@ -160,16 +161,16 @@
         if by_signal and box not in self._world.down:
             self._world.signal(box, signal.SIGHUP)
 
-    async def _spoiled(self, fault: BadLink, duration: float) -> None:
-        source = self._world.now_at(fault.source)
-        target = self._world.now_at(fault.target)
+    async def _disturb_link(self, fault: BadLink, duration: float) -> None:
+        source = self._world.current_box(fault.source)
+        target = self._world.current_box(fault.target)
         begun = [self._disturbances.begin(box) for box in (source, target) if box]
-        meant = dataclasses.replace(fault, source=source, target=target)
-        await self._world.links.spoil(meant, duration)
+        resolved = dataclasses.replace(fault, source=source, target=target)
+        await self._world.links.disturb(resolved, duration)
         for disturbance in begun:
             self._disturbances.end(disturbance)
 
-    async def _server_crashed(self, ip: str, duration: float) -> None:
+    async def _crash_server(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
@@ -178,21 +179,21 @@
         await self._world.replace_server(server, duration)
         self._disturbances.end(disturbance)
 
-    async def _server_left(self, ip: str, duration: float) -> None:
+    async def _drain_server(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None or server.state != "ready":
             return
         disturbance = self._disturbances.begin(ip, planned=True)
         await server.drain()
         server.left_at = time.monotonic()
-        await asyncio.sleep(LEAVING_PAUSE + duration)
+        await asyncio.sleep(DRAIN_TIME + duration)
         # It may have crashed meanwhile.
         if self._world.server_at(ip) is server:
             await server.stop()
             await self._world.replace_server(server, RESTART_DELAY)
         self._disturbances.end(disturbance)
 
-    async def _answers_lost(self, ip: str, duration: float) -> None:
+    async def _lose_answers(self, ip: str, duration: float) -> None:
         server = self._world.server_at(ip)
         if server is None:
             return
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Links:
+class FaultyLinks:
     """Faulty links by source and target; the source of servers' links is empty."""
 
     _links: dict[tuple[str, str], FaultyLink] = field(default_factory=dict)
@@ -38,13 +38,13 @@
                 await link.start()
                 self._links[source, target] = link
 
-    async def add_server(self, ip: str, port: int, proxied: int) -> None:
+    async def add_server(self, ip: str, port: int, proxy_port: int) -> None:
         """Put a proxy before a server."""
-        link = FaultyLink(port, ip=ip, port=proxied)
+        link = FaultyLink(port, ip=ip, port=proxy_port)
         await link.start()
         self._links["", ip] = link
 
-    async def spoil(self, fault: BadLink, seconds: float) -> None:
+    async def disturb(self, fault: BadLink, seconds: float) -> None:
         """Let a link misbehave for a time."""
         link = self._links[fault.source, fault.target]
         match fault.how:
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -146,7 +146,7 @@
             await self._wait_known(deadly, promises)
         if self._size.evacuations:
             await evacuations.hold()
-        await self._injector.lose_all_that_may_be_lost()
+        await self._injector.lose_one_disk_and_all_power()
         await self._recover_in_time(promises)
         if self._size.evacuations:
             await evacuations.check_held()
@@ -169,7 +169,7 @@
 
     async def _do_later(self, planned: PlannedFault) -> None:
         await asyncio.sleep(planned.at)
-        await self._injector.do(planned)
+        await self._injector.inject(planned)
 
     async def _keep_changing(self, promises: Promises) -> None:
         """Change the configuration again and again, and read it back."""
--- a/tools/soak/world.py
+++ b/tools/soak/world.py
@@ -10,7 +10,7 @@
 
 from tools.platform.nodes import Platform, free_port
 from tools.soak.disturbances import DisturbanceLog
-from tools.soak.links import Links
+from tools.soak.links import FaultyLinks
 from tools.soak.plan import Boxes
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 
     entries: int = 2
     disturbances: DisturbanceLog = field(default_factory=DisturbanceLog)
-    links: Links = field(default_factory=Links)
+    links: FaultyLinks = field(default_factory=FaultyLinks)
     gone: list[Server] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -100,22 +100,22 @@
                 if ip not in self.down and process.poll() is not None:
                     self.start(ip, founding=False)
 
-    def now_at(self, box: str) -> str:
+    def current_box(self, box: str) -> str:
         """Return the box itself, or the one that has come in its place."""
         while box in self._successors:
             box = self._successors[box]
         return box
 
-    def succeed(self, gone: str) -> None:
+    def start_successor(self, gone: str) -> None:
         """Start an empty control box in place of one."""
         self._successors[gone] = self.replace_control(gone)
 
-    async def end_for_good(self, box: str, *, in_order: bool) -> None:
+    async def stop_for_good(self, box: str, *, graceful: bool) -> None:
         """End a control box's process; it is not started again."""
         self.gone_boxes.add(box)
         self.down.add(box)
         process = self.processes[box]
-        if not in_order:
+        if not graceful:
             self.kill(box)
             return
         process.send_signal(signal.SIGCONT)
