--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -28,8 +28,8 @@
         text = (tmp_path / f"{box}.log").read_text()
         return [json.loads(line) for line in text.splitlines()]
 
-    world = SimpleNamespace(folder=tmp_path, control_ips=["127.0.2.1"], log=log)
-    deadly = Deadly(cast("Any", world), 1, cast("Any", None))
+    platform = SimpleNamespace(folder=tmp_path, control_ips=["127.0.2.1"], log=log)
+    deadly = Deadly(cast("Any", platform), 1, cast("Any", None))
     lines = {"127.0.0.22": ["a"], "127.0.2.1": []}
     for box, fingerprints in lines.items():
         line = {"message": WRITTEN, "fingerprints": fingerprints}
@@ -56,7 +56,7 @@
     run = Run("d1", "POST", "/safe/deadly", b"", CIMultiDict(), at=50.0)
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
     disturbances = DisturbanceLog()
-    world = SimpleNamespace(ever=[server], disturbances=disturbances)
-    Deadly(cast("Any", world), 1, cast("Any", None)).at_end(timed=False)
+    platform = SimpleNamespace(all_servers=[server], disturbances=disturbances)
+    Deadly(cast("Any", platform), 1, cast("Any", None)).at_end(timed=False)
     assert disturbances.was_disturbed("127.0.0.41", 50.1, 50.2, planned=False)
     assert not disturbances.was_disturbed("127.0.0.42", 50.1, 50.2)
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from tools.soak.run import Size, Soak
-from tools.soak.world import World
+from tools.soak.soak_platform import SoakPlatform
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -27,26 +27,26 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tools.platform.nodes.subprocess.Popen", lambda *_, **__: None)
-    world = World(tmp_path)
+    platform = SoakPlatform(tmp_path)
     try:
-        for box in world.control_ips:
-            world.start(box)
-            write_members(world, box)
-        soak = Soak(world, 1, Size())
+        for box in platform.control_ips:
+            platform.start(box)
+            write_members(platform, box)
+        soak = Soak(platform, 1, Size())
         assert await soak._is_whole()
-        wiped = world.control_ips[1]
-        world.start(wiped, founding=False)
+        wiped = platform.control_ips[1]
+        platform.start(wiped, founding=False)
         assert not await soak._is_whole()
-        write_members(world, wiped)
+        write_members(platform, wiped)
         assert await soak._is_whole()
     finally:
-        world.processes.clear()
-        await world.http.close()
+        platform.processes.clear()
+        await platform.http.close()
 
 
-def write_members(world: World, box: str) -> None:
+def write_members(platform: SoakPlatform, box: str) -> None:
     """Write the line of a control process that the whole group votes."""
-    voters = [f"{ip}#first" for ip in world.control_ips]
+    voters = [f"{ip}#first" for ip in platform.control_ips]
     line = {"message": "membership changed", "voters": voters, "learners": []}
-    with open(world.folder / f"{box}.log", "a", encoding="utf-8") as log:
+    with open(platform.folder / f"{box}.log", "a", encoding="utf-8") as log:
         log.write(json.dumps(line) + "\n")
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 LIMIT = 5.0
 """Seconds after which a route of the test document ends a request."""
@@ -85,15 +85,15 @@
     """Callers of one run.
 
     Args:
-        world: What they call.
+        platform: The nodes, servers and links.
         seed: Seed of their choices.
         on_call: Called with each finished call.
     """
 
     def __init__(
-        self, world: World, seed: int, on_call: Callable[[Call], None]
+        self, platform: SoakPlatform, seed: int, on_call: Callable[[Call], None]
     ) -> None:
-        self._world = world
+        self._platform = platform
         self._rng = random.Random(seed)
         self._on_call = on_call
         self._numbers = itertools.count(1)
@@ -102,7 +102,7 @@
     async def run(self, callers: int) -> None:
         """Call each entry from so many callers until told to stop."""
         async with asyncio.TaskGroup() as group:
-            for entry in self._world.entry_ips:
+            for entry in self._platform.entry_ips:
                 for _ in range(callers):
                     group.create_task(self._keep_calling(entry))
 
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -17,7 +17,7 @@
     from tools.platform.nodes import Answer
     from tools.platform.standin import Run, Server
     from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 PATHS = ("/safe/deadly", "/stream/deadly")
 """What is asked for: a plain answer, and a stream that begins before the crash."""
@@ -53,13 +53,13 @@
     """Sends deadly requests for as long as a run lasts.
 
     Args:
-        world: Nodes and servers.
+        platform: The nodes, servers and links.
         seed: Seed of the choices.
         promises: Where broken promises are noted.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 3)
         self._promises = promises
         self._numbers = itertools.count(1)
@@ -79,7 +79,7 @@
     async def check_known(self) -> None:
         """Check that all entries refuse both at once."""
         for path in PATHS:
-            for entry in self._world.entry_ips:
+            for entry in self._platform.entry_ips:
                 refused = await self._is_refused(entry, path)
                 self._promises.check(
                     "deadly stays known", refused, f"{path} at {entry}"
@@ -100,31 +100,31 @@
 
     def _note_crashes(self) -> None:
         """Note crashes as disturbances of their servers, which cut what ran there."""
-        for server in self._world.ever:
+        for server in self._platform.all_servers:
             for run in server.crashes:
                 disturbance = Disturbance(
                     server.ip, run.at, planned=False, end=run.at + DOWN
                 )
-                self._world.disturbances.entries.append(disturbance)
+                self._platform.disturbances.entries.append(disturbance)
 
     async def _keep_sending(self, path: str) -> None:
         while True:
-            await self._send(self._rng.choice(self._world.entry_ips), path)
+            await self._send(self._rng.choice(self._platform.entry_ips), path)
             await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE))
 
     async def _send(self, entry: str, path: str) -> Answer:
-        for server in self._world.servers:
+        for server in self._platform.servers:
             # Servers come and go; each of them crashes under it.
             server.behave["deadly"] = "crash"
             server.down = DOWN
         request_id = f"d{next(self._numbers)}"
         self._sent[request_id] = Sent(entry, path, time.monotonic())
-        return await self._world.call(
+        return await self._platform.call(
             entry, path, body=BODY, request_id=request_id, key=KEY
         )
 
     async def _is_known(self) -> bool:
-        pairs = itertools.product(self._world.entry_ips, PATHS)
+        pairs = itertools.product(self._platform.entry_ips, PATHS)
         return all([await self._is_refused(entry, path) for entry, path in pairs])
 
     async def _is_refused(self, entry: str, path: str) -> bool:
@@ -135,8 +135,8 @@
 
         A box that was replaced since tells it too: what it wrote is the group's.
         """
-        boxes = [path.stem for path in self._world.folder.glob("*.log")]
-        lines = [line for box in boxes for line in self._world.log(box)]
+        boxes = [path.stem for path in self._platform.folder.glob("*.log")]
+        lines = [line for box in boxes for line in self._platform.log(box)]
         written = {
             fingerprint
             for line in lines
@@ -146,7 +146,7 @@
         return len(written) >= len(PATHS)
 
     def _runs_of(self, path: str) -> list[Run]:
-        servers: list[Server] = list(self._world.ever)
+        servers: list[Server] = list(self._platform.all_servers)
         crashes = (run for server in servers for run in server.crashes)
         return [run for run in crashes if run.target == path]
 
@@ -155,8 +155,8 @@
         sent = self._sent[run.request_id]
         if run.at <= third + BOUND:
             return False
-        disturbances = self._world.disturbances
+        disturbances = self._platform.disturbances
         return not any(
             disturbances.was_disturbed(box, sent.at - BOUND, run.at)
-            for box in (sent.entry, *self._world.control_ips)
+            for box in (sent.entry, *self._platform.control_ips)
         )
--- a/tools/soak/evacuations.py
+++ b/tools/soak/evacuations.py
@@ -16,7 +16,7 @@
 
     from tools.platform.standin import Run, Server
     from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 DOMAIN = "b"
 """The failure domain that is emptied; the rest of the servers is in another one."""
@@ -47,13 +47,13 @@
     """Empties a domain and takes it back, and checks that it gets nothing meanwhile.
 
     Args:
-        world: The nodes and servers.
+        platform: The nodes, servers and links.
         seed: Seed of the pauses.
         promises: Where checks are noted.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 7)
         self._promises = promises
         self._spans: list[Span] = []
@@ -62,7 +62,7 @@
     async def begin(self) -> None:
         """Move one server of each service to the domain."""
         seen: set[str] = set()
-        for server in self._world.servers:
+        for server in self._platform.servers:
             if server.service in seen:
                 server.zone = DOMAIN
             seen.add(server.service)
@@ -110,7 +110,9 @@
             since = span.acknowledged
             if not since <= run.at < span.withdrawn:
                 continue
-            if self._world.disturbances.was_disturbed(entry, since - AFTERMATH, run.at):
+            if self._platform.disturbances.was_disturbed(
+                entry, since - AFTERMATH, run.at
+            ):
                 continue
             kept = run.at - since <= SLACK
             detail = f"{run.request_id} {run.at - since:.2f} s after its evacuation"
@@ -118,14 +120,14 @@
 
     async def _evacuate(self) -> None:
         if self._since is None:
-            await self._world.operator.switch(DOMAIN, evacuated=True)
+            await self._platform.operator.switch(DOMAIN, evacuated=True)
             self._since = time.monotonic()
 
     async def _restore(self) -> None:
         if self._since is not None:
             self._spans.append(Span(self._since, time.monotonic()))
             self._since = None
-        await self._world.operator.switch(DOMAIN, evacuated=False)
+        await self._platform.operator.switch(DOMAIN, evacuated=False)
 
     async def _serves_again(self) -> bool:
         begun = [len(server.runs) for server in self._emptied()]
@@ -136,4 +138,6 @@
         )
 
     def _emptied(self) -> Iterator[Server]:
-        return (server for server in self._world.ever if server.zone == DOMAIN)
+        return (
+            server for server in self._platform.all_servers if server.zone == DOMAIN
+        )
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -26,10 +26,10 @@
     Stop,
     Wipe,
 )
-from tools.soak.world import RESTART_DELAY
+from tools.soak.soak_platform import RESTART_DELAY
 
 if TYPE_CHECKING:
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 DRAIN_TIME = 2.0
 """Seconds that a leaving server serves on after its end was acknowledged."""
@@ -41,37 +41,37 @@
     """Does faults to a world and mends them.
 
     Args:
-        world: The nodes, servers and links.
+        platform: The nodes, servers and links.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._disturbances = world.disturbances
+    def __init__(self, platform: SoakPlatform) -> None:
+        self._platform = platform
+        self._disturbances = platform.disturbances
 
     async def inject(self, planned: PlannedFault) -> None:
         """Do a fault, for as long as it lasts, and mend it."""
         match planned.fault:
             case Kill(box=box):
-                await self._kill([self._world.current_box(box)], planned.duration)
+                await self._kill([self._platform.current_box(box)], planned.duration)
             case KillControl():
                 await self._kill(
-                    [*self._world.control_ips],
+                    [*self._platform.control_ips],
                     min(planned.duration, MAX_GROUP_DOWNTIME),
                 )
             case Wipe(box=box):
                 await self._kill(
-                    [self._world.current_box(box)], planned.duration, wipe=True
+                    [self._platform.current_box(box)], planned.duration, wipe=True
                 )
             case ReplaceBox(box=box, planned=graceful):
                 await self._replace_box(box, planned.duration, graceful=graceful)
             case Freeze(box=box):
-                await self._freeze(self._world.current_box(box), planned.duration)
+                await self._freeze(self._platform.current_box(box), planned.duration)
             case Stop(box=box):
                 await self._stop(box, planned.duration)
             case FullDisk(box=box):
-                await self._fill_disk(self._world.current_box(box), planned.duration)
+                await self._fill_disk(self._platform.current_box(box), planned.duration)
             case Reload(box=box, signal=by_signal):
-                self._reload(self._world.current_box(box), by_signal=by_signal)
+                self._reload(self._platform.current_box(box), by_signal=by_signal)
             case BadLink() as fault:
                 await self._disturb_link(fault, planned.duration)
             case ServerCrash(server=ip):
@@ -84,103 +84,103 @@
     async def _kill(
         self, boxes: list[str], duration: float, *, wipe: bool = False
     ) -> None:
-        boxes = [box for box in boxes if box not in self._world.down]
+        boxes = [box for box in boxes if box not in self._platform.down]
         begun = [self._disturbances.begin(box) for box in boxes]
-        self._world.down.update(boxes)
+        self._platform.down.update(boxes)
         for box in boxes:
-            self._world.kill(box)
+            self._platform.kill(box)
             if wipe:
-                shutil.rmtree(self._world.folder / f"data-{box}")
+                shutil.rmtree(self._platform.folder / f"data-{box}")
         await asyncio.sleep(duration)
         for box, disturbance in zip(boxes, begun, strict=True):
-            if box not in self._world.gone_boxes:
-                self._world.start(box, founding=False)
-                self._world.down.discard(box)
+            if box not in self._platform.replaced_boxes:
+                self._platform.start(box, founding=False)
+                self._platform.down.discard(box)
             self._disturbances.end(disturbance)
 
     async def _replace_box(self, box: str, duration: float, *, graceful: bool) -> None:
-        gone = self._world.current_box(box)
-        if gone in self._world.down or not self._world.spare_ips:
+        replaced = self._platform.current_box(box)
+        if replaced in self._platform.down or not self._platform.spare_ips:
             return
-        disturbance = self._disturbances.begin(gone, planned=graceful)
+        disturbance = self._disturbances.begin(replaced, planned=graceful)
         if graceful:
-            self._world.start_successor(gone)
+            self._platform.start_successor(replaced)
             await asyncio.sleep(duration)
-            await self._world.stop_for_good(gone, graceful=True)
+            await self._platform.stop_for_good(replaced, graceful=True)
         else:
-            await self._world.stop_for_good(gone, graceful=False)
+            await self._platform.stop_for_good(replaced, graceful=False)
             await asyncio.sleep(duration)
-            self._world.start_successor(gone)
+            self._platform.start_successor(replaced)
         self._disturbances.end(disturbance)
 
     async def lose_one_disk_and_all_power(self) -> None:
         """Lose one control box's disk while all processes lose power."""
-        wiped, *others = self._world.control_ips
+        wiped, *others = self._platform.control_ips
         wiping = self._kill([wiped], MAX_GROUP_DOWNTIME, wipe=True)
-        stopping = self._kill([*others, *self._world.entry_ips], MAX_GROUP_DOWNTIME)
+        stopping = self._kill([*others, *self._platform.entry_ips], MAX_GROUP_DOWNTIME)
         await asyncio.gather(wiping, stopping)
 
     async def _freeze(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
-        if self._world.suspendable:
-            await self._world.suspend(box, duration)
+        if self._platform.suspendable:
+            await self._platform.suspend(box, duration)
             self._disturbances.end(disturbance)
             return
-        process = self._world.processes[box]
+        process = self._platform.processes[box]
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(duration)
         process.send_signal(signal.SIGCONT)
         self._disturbances.end(disturbance)
 
     async def _stop(self, box: str, duration: float) -> None:
-        if box in self._world.down:
+        if box in self._platform.down:
             return
-        self._world.down.add(box)
+        self._platform.down.add(box)
         disturbance = self._disturbances.begin(box, planned=True)
-        process = self._world.processes[box]
+        process = self._platform.processes[box]
         process.terminate()
         while process.poll() is None:
             await asyncio.sleep(RESTART_DELAY)
         await asyncio.sleep(duration)
-        self._world.start(box, founding=False)
-        self._world.down.discard(box)
+        self._platform.start(box, founding=False)
+        self._platform.down.discard(box)
         self._disturbances.end(disturbance)
 
     async def _fill_disk(self, box: str, duration: float) -> None:
         disturbance = self._disturbances.begin(box)
         with contextlib.suppress(ProcessLookupError):
-            pid = self._world.processes[box].pid
+            pid = self._platform.processes[box].pid
             _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, -1))
             await asyncio.sleep(duration)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (most, most))
         self._disturbances.end(disturbance)
 
     def _reload(self, box: str, *, by_signal: bool) -> None:
-        self._world.seeds = self._world.seeds[1:] + self._world.seeds[:1]
-        self._world.write_settings(box, founding=False)
-        if by_signal and box not in self._world.down:
-            self._world.signal(box, signal.SIGHUP)
+        self._platform.seeds = self._platform.seeds[1:] + self._platform.seeds[:1]
+        self._platform.write_settings(box, founding=False)
+        if by_signal and box not in self._platform.down:
+            self._platform.signal(box, signal.SIGHUP)
 
     async def _disturb_link(self, fault: BadLink, duration: float) -> None:
-        source = self._world.current_box(fault.source)
-        target = self._world.current_box(fault.target)
+        source = self._platform.current_box(fault.source)
+        target = self._platform.current_box(fault.target)
         begun = [self._disturbances.begin(box) for box in (source, target) if box]
         resolved = dataclasses.replace(fault, source=source, target=target)
-        await self._world.links.disturb(resolved, duration)
+        await self._platform.links.disturb(resolved, duration)
         for disturbance in begun:
             self._disturbances.end(disturbance)
 
     async def _crash_server(self, ip: str, duration: float) -> None:
-        server = self._world.server_at(ip)
+        server = self._platform.server_at(ip)
         if server is None:
             return
         disturbance = self._disturbances.begin(ip)
         await server.stop()
-        await self._world.replace_server(server, duration)
+        await self._platform.replace_server(server, duration)
         self._disturbances.end(disturbance)
 
     async def _drain_server(self, ip: str, duration: float) -> None:
-        server = self._world.server_at(ip)
+        server = self._platform.server_at(ip)
         if server is None or server.state != "ready":
             return
         disturbance = self._disturbances.begin(ip, planned=True)
@@ -188,13 +188,13 @@
         server.left_at = time.monotonic()
         await asyncio.sleep(DRAIN_TIME + duration)
         # It may have crashed meanwhile.
-        if self._world.server_at(ip) is server:
+        if self._platform.server_at(ip) is server:
             await server.stop()
-            await self._world.replace_server(server, RESTART_DELAY)
+            await self._platform.replace_server(server, RESTART_DELAY)
         self._disturbances.end(disturbance)
 
     async def _lose_answers(self, ip: str, duration: float) -> None:
-        server = self._world.server_at(ip)
+        server = self._platform.server_at(ip)
         if server is None:
             return
         disturbance = self._disturbances.begin(ip)
--- a/tools/soak/promises.py
+++ b/tools/soak/promises.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from tools.platform.standin import Run
     from tools.soak.callers import Call
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 NOT_RUN = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
@@ -53,11 +53,11 @@
     """Checks calls as they end, and all that can be told only later at the end.
 
     Args:
-        world: The nodes and servers.
+        platform: The nodes, servers and links.
         timed: Whether bounds on time are checked, as a quiet machine allows.
     """
 
-    world: World
+    platform: SoakPlatform
     timed: bool
     started: float = field(default_factory=time.monotonic)
     broken: list[Broken] = field(default_factory=list)
@@ -131,13 +131,13 @@
 
     def _check_not_run(self, call: Call) -> None:
         if call.status in NOT_RUN and not call.cut:
-            runs = self.world.runs_of(call.request_id)
+            runs = self.platform.runs_of(call.request_id)
             detail = f"status {call.status}, ran {runs} times: {call.body!r}"
             self._check("not run is true", runs == 0, call.request_id, detail)
 
     def _check_once(self, call: Call) -> None:
         if not call.kind.repeatable:
-            runs = self.world.runs_of(call.request_id)
+            runs = self.platform.runs_of(call.request_id)
             self._check("at most once", runs <= 1, call.request_id, f"{runs} runs")
 
     def _check_time(self, call: Call) -> None:
@@ -149,12 +149,12 @@
 
     def _check_planned_stop(self, call: Call) -> None:
         """A planned stop ends no request that was sent to the entry."""
-        disturbances = self.world.disturbances
+        disturbances = self.platform.disturbances
         if not disturbances.planned_work_began(call.entry, call.start, call.end):
             return
         if any(
             self._touched(box, call, planned=False)
-            for box in (call.entry, *self.world.server_ips)
+            for box in (call.entry, *self.platform.server_ips)
         ):
             return
         detail = f"status {call.status}, cut: {call.cut}"
@@ -163,7 +163,7 @@
     def _check_leaving(self) -> None:
         """A server that has left gets nothing new from any undisturbed entry."""
         entries = {call.request_id: call.entry for call in self.calls}
-        for server in self.world.ever:
+        for server in self.platform.all_servers:
             if server.left_at is None:
                 continue
             for run in server.runs:
@@ -172,7 +172,7 @@
                     self._check_run(run, entry, server.instance, server.left_at)
 
     def _check_run(self, run: Run, entry: str, instance: str, left_at: float) -> None:
-        if self.world.disturbances.was_disturbed(entry, left_at - AFTERMATH, run.at):
+        if self.platform.disturbances.was_disturbed(entry, left_at - AFTERMATH, run.at):
             return
         late = run.at - left_at
         detail = f"{late:.2f} s after {instance} had left"
@@ -182,6 +182,6 @@
     def _touched(self, box: str, call: Call, *, planned: bool = True) -> bool:
         """Tell whether a box was disturbed during a call or shortly before it."""
         since = call.start - AFTERMATH
-        return self.world.disturbances.was_disturbed(
+        return self.platform.disturbances.was_disturbed(
             box, since, call.end, planned=planned
         )
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -14,7 +14,7 @@
     from tools.platform.standin import Server
     from tools.soak.callers import Call
     from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 MOST_PAUSE = 1.0
 """Longest pause between two servers that begin to rest or to leave, in seconds."""
@@ -34,13 +34,13 @@
     """Has servers rest and leave at random, also several at a time.
 
     Args:
-        world: The nodes and servers.
+        platform: The nodes, servers and links.
         seed: Seed of the choices.
         promises: Where checks are noted.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 11)
         self._promises = promises
 
@@ -49,7 +49,7 @@
         async with asyncio.TaskGroup() as group:
             while True:
                 await asyncio.sleep(self._rng.uniform(0, MOST_PAUSE))
-                server = self._rng.choice(self._world.servers)
+                server = self._rng.choice(self._platform.servers)
                 leaves = self._rng.random() < LEAVING_PART
                 group.create_task(self._leave(server) if leaves else self._rest(server))
 
@@ -74,7 +74,7 @@
         if not timed:
             return
         entries = {call.request_id: call.entry for call in self._promises.calls}
-        for server in self._world.ever:
+        for server in self._platform.all_servers:
             for rest in server.rests:
                 if entry := entries.get(rest.request_id):
                     self._check_rest(server, rest, entry, entries)
@@ -105,7 +105,7 @@
             and later.start > call.end + DRAIN
             and later.headers.get(names.SIGNATURE) == f"signed-{instance}"
             and later.headers.get(names.LEAVING) == names.LEAVING_SET
-            and not self._world.disturbances.was_disturbed(
+            and not self._platform.disturbances.was_disturbed(
                 call.entry, call.end, later.start
             )
         ]
@@ -114,7 +114,7 @@
 
     def _excused(self, entry: str, server: Server, since: float, until: float) -> bool:
         """Tell whether the entry, or its way to the server, was disturbed."""
-        disturbances = self._world.disturbances
+        disturbances = self._platform.disturbances
         return disturbances.was_disturbed(
             entry, since - SLACK, until
         ) or disturbances.was_disturbed(server.ip, since - SLACK, until)
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -15,8 +15,8 @@
 from tools.soak.plan import draw_faults
 from tools.soak.promises import Promises
 from tools.soak.rests import Rests
+from tools.soak.soak_platform import SoakPlatform
 from tools.soak.strangers import Strangers
-from tools.soak.world import World
 from tools.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -96,14 +96,14 @@
     """Runs one seed.
 
     Args:
-        world: Nodes and servers, not started yet.
+        platform: The nodes, servers and links.
         seed: Seed of faults and calls.
         size: How much is run.
     """
 
-    def __init__(self, world: World, seed: int, size: Size) -> None:
-        self._world = world
-        self._injector = Injector(world)
+    def __init__(self, platform: SoakPlatform, seed: int, size: Size) -> None:
+        self._platform = platform
+        self._injector = Injector(platform)
         self._seed = seed
         self._size = size
         self._rng = random.Random(seed + 1)
@@ -112,29 +112,29 @@
 
     async def run(self) -> Summary:
         """Return what the seed showed."""
-        world = self._world
-        await world.open()
+        platform = self._platform
+        await platform.open()
         faults = draw_faults(
             self._seed,
             self._size.seconds,
-            world.boxes,
+            platform.boxes,
             freezes=self._size.suspended,
         )
-        promises = Promises(world, self._size.timed)
-        callers = Callers(world, self._seed, promises.on_call)
+        promises = Promises(platform, self._size.timed)
+        callers = Callers(platform, self._seed, promises.on_call)
         calling = asyncio.create_task(callers.run(self._size.callers))
         disturbing = [asyncio.create_task(self._keep_changing(promises))]
         if self._size.same_ids:
-            strangers = Strangers(world, self._seed, promises)
+            strangers = Strangers(platform, self._seed, promises)
             disturbing.append(asyncio.create_task(strangers.run()))
-        deadly = Deadly(world, self._seed, promises)
+        deadly = Deadly(platform, self._seed, promises)
         if self._size.deadly:
             disturbing.append(asyncio.create_task(deadly.run()))
-        evacuations = Evacuations(world, self._seed, promises)
+        evacuations = Evacuations(platform, self._seed, promises)
         if self._size.evacuations:
             await evacuations.begin()
             disturbing.append(asyncio.create_task(evacuations.run()))
-        rests = Rests(world, self._seed, promises)
+        rests = Rests(platform, self._seed, promises)
         if self._size.rests:
             disturbing.append(asyncio.create_task(rests.run()))
         await self._do_all(faults)
@@ -175,7 +175,7 @@
         """Change the configuration again and again, and read it back."""
         while True:
             self._sent += self._rng.randint(1, 5)
-            status = await self._world.operator.replace(document(self._sent))
+            status = await self._platform.operator.replace(document(self._sent))
             if status == 200:
                 self._acked = self._sent
             else:
@@ -185,7 +185,7 @@
 
     async def _read(self, promises: Promises) -> None:
         least = self._acked
-        promises.on_read(await self._world.operator.read(), least, self._sent)
+        promises.on_read(await self._platform.operator.read(), least, self._sent)
 
     async def _wait_known(self, deadly: Deadly, promises: Promises) -> None:
         try:
@@ -203,9 +203,9 @@
     async def _recover(self, promises: Promises) -> None:
         """With all faults mended, everything works again."""
         await self._read(promises)
-        for entry in self._world.entry_ips:
-            await self._world.wait_ready(entry)
-            await self._world.wait_served(entry)
+        for entry in self._platform.entry_ips:
+            await self._platform.wait_ready(entry)
+            await self._platform.wait_served(entry)
         await self._read(promises)
         await wait_until(
             self._is_whole, "each control box votes, and none that is gone"
@@ -218,10 +218,10 @@
         Each of them has to say so: a box that lost its disk votes under its old name
         until it has caught up, and then knows of no voters, or of a learner.
         """
-        world = self._world
-        wanted = set(world.control_ips)
+        platform = self._platform
+        wanted = set(platform.control_ips)
         return all(
-            world.last_voters(box) == wanted and not world.last_learners(box)
+            platform.last_voters(box) == wanted and not platform.last_learners(box)
             for box in wanted
         )
 
@@ -240,7 +240,7 @@
         """Return the nodes' lines on the requests of broken promises."""
         wanted = {one.request_id for one in broken if one.request_id}
         lines = []
-        for log in sorted(self._world.folder.glob("*.log")):
+        for log in sorted(self._platform.folder.glob("*.log")):
             for line in log.read_text().splitlines():
                 if any(f'"{request_id}"' in line for request_id in wanted):
                     lines.append(line)
@@ -249,13 +249,13 @@
 
 async def run_seed(folder: Path, seed: int, size: Size) -> Summary:
     """Run one seed in an empty folder and return what it showed."""
-    world = World(
+    platform = SoakPlatform(
         folder,
         entries=size.entries,
         states_starts=size.same_ids,
         suspendable=size.suspended,
     )
     try:
-        return await Soak(world, seed, size).run()
+        return await Soak(platform, seed, size).run()
     finally:
-        await world.close()
+        await platform.close()
--- a/tools/soak/world.py
+++ b/tools/soak/soak_platform.py
@@ -20,44 +20,44 @@
 
 RESTART_DELAY = 0.2
 """Seconds after which a process that has ended by itself is started again."""
-SPARES = 4
+SPARE_BOXES = 4
 """Control boxes that may come in a run; a seed of 20 s replaces one or two."""
 EVENT_PAUSE = 0.05
 """Seconds between the events of a stream, so that faults find streams under way."""
 
 
 @dataclass
-class World(Platform):
+class SoakPlatform(Platform):
     """Real nodes whose inner links and ways to servers run through proxies.
 
     Args:
         entries: Number of entry boxes.
         disturbances: Where disturbances are noted.
         links: The proxies.
-        gone: Servers that have ended.
+        ended_servers: Servers that have ended.
 
     Attributes:
         down: Boxes whose process is to stay ended until a fault is mended.
-        gone_boxes: Control boxes that were replaced.
+        replaced_boxes: Control boxes that were replaced.
     """
 
     entries: int = 2
     disturbances: DisturbanceLog = field(default_factory=DisturbanceLog)
     links: FaultyLinks = field(default_factory=FaultyLinks)
-    gone: list[Server] = field(default_factory=list)
+    ended_servers: list[Server] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self.entry_ips = [f"127.0.1.{number + 1}" for number in range(self.entries)]
-        self.spare_ips = [f"127.0.2.{number + 1}" for number in range(SPARES)]
-        self.gone_boxes: set[str] = set()
+        self.spare_ips = [f"127.0.2.{number + 1}" for number in range(SPARE_BOXES)]
+        self.replaced_boxes: set[str] = set()
         self._successors: dict[str, str] = {}
         nodes = [*self.control_ips, *self.spare_ips, *self.entry_ips]
         every = [*nodes, *self.server_ips]
-        self._inner = {ip: free_port(every) for ip in nodes}
-        self._proxied = free_port(self.server_ips)
+        self._inner_ports = {ip: free_port(every) for ip in nodes}
+        self._proxy_port = free_port(self.server_ips)
         self.down: set[str] = set()
-        self._keeper: asyncio.Task[None] | None = None
+        self._restarter: asyncio.Task[None] | None = None
 
     @property
     def boxes(self) -> Boxes:
@@ -67,11 +67,11 @@
 
     def inner_port_of(self, ip: str) -> int:
         """Return the inner port of a box, which is its own."""
-        return self._inner[ip]
+        return self._inner_ports[ip]
 
     def advertised(self, ip: str) -> str:
         """Return the address of a server's proxy."""
-        return f"{ip}:{self._proxied}"
+        return f"{ip}:{self._proxy_port}"
 
     async def open(self) -> None:
         """Start everything."""
@@ -79,20 +79,20 @@
         nodes = [*controls, *self.entry_ips]
         await self.links.add_mesh(nodes, controls, self.inner_port_of)
         for ip in self.server_ips[:4]:
-            await self.links.add_server(ip, self.server_port, self._proxied)
+            await self.links.add_server(ip, self.server_port, self._proxy_port)
         await self.start_all()
         for server in self.servers:
             server.pause = EVENT_PAUSE
-        self._keeper = asyncio.create_task(self._keep_running())
+        self._restarter = asyncio.create_task(self._restart_ended())
 
     async def close(self) -> None:
         """End everything that was started."""
-        if self._keeper is not None:
-            self._keeper.cancel()
+        if self._restarter is not None:
+            self._restarter.cancel()
         await super().close()
         await self.links.close()
 
-    async def _keep_running(self) -> None:
+    async def _restart_ended(self) -> None:
         """Start processes again that have ended by themselves, as the platform does."""
         while True:
             await asyncio.sleep(RESTART_DELAY)
@@ -106,13 +106,13 @@
             box = self._successors[box]
         return box
 
-    def start_successor(self, gone: str) -> None:
+    def start_successor(self, replaced: str) -> None:
         """Start an empty control box in place of one."""
-        self._successors[gone] = self.replace_control(gone)
+        self._successors[replaced] = self.replace_control(replaced)
 
     async def stop_for_good(self, box: str, *, graceful: bool) -> None:
         """End a control box's process; it is not started again."""
-        self.gone_boxes.add(box)
+        self.replaced_boxes.add(box)
         self.down.add(box)
         process = self.processes[box]
         if not graceful:
@@ -133,7 +133,7 @@
         if old not in self.servers:
             # Another fault that overlaps has replaced it.
             return
-        self.gone.append(old)
+        self.ended_servers.append(old)
         self.servers.remove(old)
         await asyncio.sleep(pause)
         server = await self.add_server(
@@ -147,9 +147,9 @@
 
     def runs_of(self, request_id: str) -> int:
         """Return how often a request ran, at servers that are gone too."""
-        return sum(server.count(request_id) for server in self.ever)
+        return sum(server.count(request_id) for server in self.all_servers)
 
     @property
-    def ever(self) -> Iterator[Server]:
+    def all_servers(self) -> Iterator[Server]:
         """All servers of the run, those that are gone included."""
-        return itertools.chain(self.servers, self.gone)
+        return itertools.chain(self.servers, self.ended_servers)
--- a/tools/soak/strangers.py
+++ b/tools/soak/strangers.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
 PAUSE = 0.1
 """Seconds between two documents."""
@@ -27,13 +27,13 @@
     """Writes documents that name no server, for ids and addresses of real ones.
 
     Args:
-        world: The nodes and servers.
+        platform: The nodes, servers and links.
         seed: Seed of what is written.
         promises: Where it is checked that all of them are refused.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 2)
         self._promises = promises
 
@@ -44,8 +44,8 @@
             await asyncio.sleep(PAUSE)
 
     async def _write(self) -> None:
-        control = self._rng.choice(self._world.controls)
-        server = self._rng.choice(self._world.servers)
+        control = self._rng.choice(self._platform.controls)
+        server = self._rng.choice(self._platform.servers)
         instance = self._rng.choice([server.instance, "i-stranger", "i%00", "%FF"])
         path = self._rng.choice([names.HEARTBEAT_PATH, names.LEAVE_PATH])
         document = self._document(server.heartbeat(self._rng.randrange(10_000)))
