--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -57,6 +57,6 @@
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
     disturbances = DisturbanceLog()
     platform = SimpleNamespace(all_servers=[server], disturbances=disturbances)
-    Deadly(cast("Any", platform), 1, cast("Any", None)).at_end(timed=False)
+    Deadly(cast("Any", platform), 1, cast("Any", None)).check_at_end(timed=False)
     assert disturbances.was_disturbed("127.0.0.41", 50.1, 50.2, planned=False)
     assert not disturbances.was_disturbed("127.0.0.42", 50.1, 50.2)
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -21,7 +21,7 @@
 
     from tools.soak.soak_platform import SoakPlatform
 
-LIMIT = 5.0
+ROUTE_TIME_LIMIT = 5.0
 """Seconds after which a route of the test document ends a request."""
 GIVE_UP = 12.0
 """Seconds after which a caller hangs up, so that a run comes to its end."""
@@ -131,7 +131,7 @@
             "Host": HOST,
             names.REQUEST_ID: call.request_id,
             names.AUTHORIZATION: names.BEARER + KEY,
-            names.DEADLINE: str(round(LIMIT * 1_000)),
+            names.DEADLINE: str(round(ROUTE_TIME_LIMIT * 1_000)),
         }
         try:
             async with http.post(url, data=BODY, headers=headers) as resp:
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer
     from tools.platform.standin import Run, Server
-    from tools.soak.promises import Promises
+    from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
 PATHS = ("/safe/deadly", "/stream/deadly")
@@ -58,7 +58,9 @@
         promises: Where broken promises are noted.
     """
 
-    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
         self._platform = platform
         self._rng = random.Random(seed + 3)
         self._promises = promises
@@ -85,7 +87,7 @@
                     "deadly stays known", refused, f"{path} at {entry}"
                 )
 
-    def at_end(self, *, timed: bool) -> None:
+    def check_at_end(self, *, timed: bool) -> None:
         """Check how often servers were reached after three had ended."""
         self._note_crashes()
         for path in PATHS:
--- a/tools/soak/evacuations.py
+++ b/tools/soak/evacuations.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from tools.soak.promises import AFTERMATH
+from tools.soak.promise_checker import FAULT_EFFECT_TIME
 from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
     from tools.platform.standin import Run, Server
-    from tools.soak.promises import Promises
+    from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
 DOMAIN = "b"
@@ -52,7 +52,9 @@
         promises: Where checks are noted.
     """
 
-    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
         self._platform = platform
         self._rng = random.Random(seed + 7)
         self._promises = promises
@@ -94,7 +96,7 @@
         else:
             self._promises.check("evacuation taken back", True, "")
 
-    def at_end(self, *, timed: bool) -> None:
+    def check_at_end(self, *, timed: bool) -> None:
         """Check the requests that reached the domain while it was to get none."""
         if not timed:
             return
@@ -111,7 +113,7 @@
             if not since <= run.at < span.withdrawn:
                 continue
             if self._platform.disturbances.was_disturbed(
-                entry, since - AFTERMATH, run.at
+                entry, since - FAULT_EFFECT_TIME, run.at
             ):
                 continue
             kept = run.at - since <= SLACK
--- a/tools/soak/promises.py
+++ b/tools/soak/promise_checker.py
@@ -10,16 +10,16 @@
 
 from leadseam.platform import names
 from tools.platform.standin import WHOLE_STREAM
-from tools.soak.callers import LIMIT
+from tools.soak.callers import ROUTE_TIME_LIMIT
 
 if TYPE_CHECKING:
     from tools.platform.standin import Run
     from tools.soak.callers import Call
     from tools.soak.soak_platform import SoakPlatform
 
-NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
-AFTERMATH = 4.0
+FAULT_EFFECT_TIME = 4.0
 """Seconds in which the effects of a fault last: a restart, an election, and the silence
 limit of links."""
 ANSWER_SLACK = 0.5
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class BrokenPromise:
     """A promise that was not kept.
 
     Args:
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Promises:
+class PromiseChecker:
     """Checks calls as they end, and all that can be told only later at the end.
 
     Args:
@@ -60,7 +60,7 @@
     platform: SoakPlatform
     timed: bool
     started: float = field(default_factory=time.monotonic)
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[BrokenPromise] = field(default_factory=list)
     checked: Counter[str] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)
     calls: list[Call] = field(default_factory=list)
@@ -74,7 +74,7 @@
         if self.timed:
             self._check_time(call)
 
-    def at_end(self) -> None:
+    def check_at_end(self) -> None:
         """Check what holds for good: a late run shows only now."""
         for call in self.calls:
             self._check_not_run(call)
@@ -95,7 +95,7 @@
         kept = least <= version <= newest
         self._check("configuration kept", kept, "", f"read {version}, had {least}")
 
-    def on_stranger(self, refused: bool, detail: str) -> None:
+    def on_invalid_registration(self, refused: bool, detail: str) -> None:
         """Check what became of a document that names no server."""
         self._check("strangers refused", refused, "", detail)
 
@@ -111,7 +111,7 @@
         self.checked[promise] += 1
         if not kept:
             at = time.monotonic() - self.started
-            self.broken.append(Broken(promise, at, request_id, detail))
+            self.broken.append(BrokenPromise(promise, at, request_id, detail))
 
     def _check_answer(self, call: Call) -> None:
         """An answer is whole, of this request, and signed by a server that ran it."""
@@ -130,7 +130,7 @@
         self._check("whole answer", whole, call.request_id, repr(call.body))
 
     def _check_not_run(self, call: Call) -> None:
-        if call.status in NOT_RUN and not call.cut:
+        if call.status in NOT_RUN_STATUSES and not call.cut:
             runs = self.platform.runs_of(call.request_id)
             detail = f"status {call.status}, ran {runs} times: {call.body!r}"
             self._check("not run is true", runs == 0, call.request_id, detail)
@@ -141,10 +141,10 @@
             self._check("at most once", runs <= 1, call.request_id, f"{runs} runs")
 
     def _check_time(self, call: Call) -> None:
-        if self._touched(call.entry, call):
+        if self._was_disturbed(call.entry, call):
             return
         took = call.end - call.start
-        kept = took <= LIMIT + ANSWER_SLACK
+        kept = took <= ROUTE_TIME_LIMIT + ANSWER_SLACK
         self._check("answered in time", kept, call.request_id, f"took {took:.2f} s")
 
     def _check_planned_stop(self, call: Call) -> None:
@@ -153,7 +153,7 @@
         if not disturbances.planned_work_began(call.entry, call.start, call.end):
             return
         if any(
-            self._touched(box, call, planned=False)
+            self._was_disturbed(box, call, planned=False)
             for box in (call.entry, *self.platform.server_ips)
         ):
             return
@@ -172,16 +172,18 @@
                     self._check_run(run, entry, server.instance, server.left_at)
 
     def _check_run(self, run: Run, entry: str, instance: str, left_at: float) -> None:
-        if self.platform.disturbances.was_disturbed(entry, left_at - AFTERMATH, run.at):
+        if self.platform.disturbances.was_disturbed(
+            entry, left_at - FAULT_EFFECT_TIME, run.at
+        ):
             return
         late = run.at - left_at
         detail = f"{late:.2f} s after {instance} had left"
         kept = late <= LEAVING_SLACK
         self._check("leaving is final", kept, run.request_id, detail)
 
-    def _touched(self, box: str, call: Call, *, planned: bool = True) -> bool:
+    def _was_disturbed(self, box: str, call: Call, *, planned: bool = True) -> bool:
         """Tell whether a box was disturbed during a call or shortly before it."""
-        since = call.start - AFTERMATH
+        since = call.start - FAULT_EFFECT_TIME
         return self.platform.disturbances.was_disturbed(
             box, since, call.end, planned=planned
         )
--- a/tools/soak/rests.py
+++ b/tools/soak/rests.py
@@ -13,7 +13,7 @@
     from tools.platform.rests import Rest
     from tools.platform.standin import Server
     from tools.soak.callers import Call
-    from tools.soak.promises import Promises
+    from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
 MOST_PAUSE = 1.0
@@ -39,7 +39,9 @@
         promises: Where checks are noted.
     """
 
-    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
         self._platform = platform
         self._rng = random.Random(seed + 11)
         self._promises = promises
@@ -69,7 +71,7 @@
             # Its next start says nothing of the kind.
             server.crash()
 
-    def at_end(self, *, timed: bool) -> None:
+    def check_at_end(self, *, timed: bool) -> None:
         """Check what has reached servers against their words."""
         if not timed:
             return
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -13,7 +13,7 @@
 from tools.soak.evacuations import Evacuations
 from tools.soak.injector import Injector
 from tools.soak.plan import draw_faults
-from tools.soak.promises import Promises
+from tools.soak.promise_checker import PromiseChecker
 from tools.soak.rests import Rests
 from tools.soak.soak_platform import SoakPlatform
 from tools.soak.strangers import Strangers
@@ -23,7 +23,7 @@
     from pathlib import Path
 
     from tools.soak.plan import PlannedFault
-    from tools.soak.promises import Broken
+    from tools.soak.promise_checker import BrokenPromise
 
 CHANGE_PAUSE = 0.7
 """Longest pause between two changes of the configuration, in seconds."""
@@ -81,7 +81,7 @@
     faults: dict[str, int]
     answers: dict[int, int]
     checked: dict[str, int]
-    broken: tuple[Broken, ...]
+    broken: tuple[BrokenPromise, ...]
     lines: tuple[str, ...]
 
     def __str__(self) -> str:
@@ -120,7 +120,7 @@
             platform.boxes,
             freezes=self._size.suspended,
         )
-        promises = Promises(platform, self._size.timed)
+        promises = PromiseChecker(platform, self._size.timed)
         callers = Callers(platform, self._seed, promises.on_call)
         calling = asyncio.create_task(callers.run(self._size.callers))
         disturbing = [asyncio.create_task(self._keep_changing(promises))]
@@ -154,12 +154,12 @@
         await calling
         if self._size.deadly:
             await deadly.check_known()
-            deadly.at_end(timed=self._size.timed)
+            deadly.check_at_end(timed=self._size.timed)
         if self._size.evacuations:
-            evacuations.at_end(timed=self._size.timed)
+            evacuations.check_at_end(timed=self._size.timed)
         if self._size.rests:
-            rests.at_end(timed=self._size.timed)
-        promises.at_end()
+            rests.check_at_end(timed=self._size.timed)
+        promises.check_at_end()
         return self._summary(faults, promises)
 
     async def _do_all(self, faults: tuple[PlannedFault, ...]) -> None:
@@ -171,7 +171,7 @@
         await asyncio.sleep(planned.at)
         await self._injector.inject(planned)
 
-    async def _keep_changing(self, promises: Promises) -> None:
+    async def _keep_changing(self, promises: PromiseChecker) -> None:
         """Change the configuration again and again, and read it back."""
         while True:
             self._sent += self._rng.randint(1, 5)
@@ -183,24 +183,24 @@
             await self._read(promises)
             await asyncio.sleep(self._rng.uniform(0, CHANGE_PAUSE))
 
-    async def _read(self, promises: Promises) -> None:
+    async def _read(self, promises: PromiseChecker) -> None:
         least = self._acked
         promises.on_read(await self._platform.operator.read(), least, self._sent)
 
-    async def _wait_known(self, deadly: Deadly, promises: Promises) -> None:
+    async def _wait_known(self, deadly: Deadly, promises: PromiseChecker) -> None:
         try:
             await deadly.wait_known()
         except AssertionError as exc:
             promises.fail("deadly known", str(exc))
 
-    async def _recover_in_time(self, promises: Promises) -> None:
+    async def _recover_in_time(self, promises: PromiseChecker) -> None:
         try:
             async with asyncio.timeout(RECOVERY_LIMIT):
                 await self._recover(promises)
         except (TimeoutError, AssertionError) as exc:
             promises.fail("recovered", f"not within {RECOVERY_LIMIT} s: {exc}")
 
-    async def _recover(self, promises: Promises) -> None:
+    async def _recover(self, promises: PromiseChecker) -> None:
         """With all faults mended, everything works again."""
         await self._read(promises)
         for entry in self._platform.entry_ips:
@@ -225,7 +225,9 @@
             for box in wanted
         )
 
-    def _summary(self, faults: tuple[PlannedFault, ...], promises: Promises) -> Summary:
+    def _summary(
+        self, faults: tuple[PlannedFault, ...], promises: PromiseChecker
+    ) -> Summary:
         kinds = [type(planned.fault).__name__ for planned in faults]
         return Summary(
             seed=self._seed,
@@ -236,7 +238,7 @@
             lines=self._lines(promises.broken),
         )
 
-    def _lines(self, broken: list[Broken]) -> tuple[str, ...]:
+    def _lines(self, broken: list[BrokenPromise]) -> tuple[str, ...]:
         """Return the nodes' lines on the requests of broken promises."""
         wanted = {one.request_id for one in broken if one.request_id}
         lines = []
--- a/tools/soak/strangers.py
+++ b/tools/soak/strangers.py
@@ -13,7 +13,7 @@
 from tools.platform.operator import tell
 
 if TYPE_CHECKING:
-    from tools.soak.promises import Promises
+    from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
 PAUSE = 0.1
@@ -32,7 +32,9 @@
         promises: Where it is checked that all of them are refused.
     """
 
-    def __init__(self, platform: SoakPlatform, seed: int, promises: Promises) -> None:
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
         self._platform = platform
         self._rng = random.Random(seed + 2)
         self._promises = promises
@@ -58,7 +60,7 @@
             status = 0
         if status not in OUT_OF_REACH:
             detail = f"status {status} for {document[:80]!r} of {instance}"
-            self._promises.on_stranger(status == REFUSED, detail)
+            self._promises.on_invalid_registration(status == REFUSED, detail)
 
     def _document(self, good: dict[str, Any]) -> bytes:
         """Return a heartbeat with something wrong."""
