--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -23,14 +23,14 @@
 
 ROUTE_TIME_LIMIT = 5.0
 """Seconds after which a route of the test document ends a request."""
-GIVE_UP = 12.0
+CALLER_TIMEOUT = 12.0
 """Seconds after which a caller hangs up, so that a run comes to its end."""
 CALL_PAUSE = 0.02
 """Seconds between two calls of a caller."""
 BODY = b"x" * 300
 
 
-class Kind(StrEnum):
+class CallKind(StrEnum):
     """What a caller asks for, named as the routes of the test document."""
 
     ONCE = "once"
@@ -39,14 +39,14 @@
     STREAM_ONCE = "stream-fixed"
 
     @property
-    def streams(self) -> bool:
+    def is_stream(self) -> bool:
         """Whether the answer is a sequence of events."""
-        return self in (Kind.STREAM, Kind.STREAM_ONCE)
+        return self in (CallKind.STREAM, CallKind.STREAM_ONCE)
 
     @property
     def repeatable(self) -> bool:
         """Whether a request may run more than once."""
-        return self in (Kind.SAFE, Kind.STREAM)
+        return self in (CallKind.SAFE, CallKind.STREAM)
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
     """
 
     request_id: str
-    kind: Kind
+    kind: CallKind
     entry: str
     start: float
     end: float = 0.0
@@ -96,7 +96,7 @@
         self._platform = platform
         self._rng = random.Random(seed)
         self._on_call = on_call
-        self._numbers = itertools.count(1)
+        self._id_numbers = itertools.count(1)
         self._stopping = False
 
     async def run(self, callers: int) -> None:
@@ -104,29 +104,29 @@
         async with asyncio.TaskGroup() as group:
             for entry in self._platform.entry_ips:
                 for _ in range(callers):
-                    group.create_task(self._keep_calling(entry))
+                    group.create_task(self._call_until_stopped(entry))
 
     def stop(self) -> None:
         """Send nothing more."""
         self._stopping = True
 
-    async def _keep_calling(self, entry: str) -> None:
-        timeout = aiohttp.ClientTimeout(total=GIVE_UP)
+    async def _call_until_stopped(self, entry: str) -> None:
+        timeout = aiohttp.ClientTimeout(total=CALLER_TIMEOUT)
         async with aiohttp.ClientSession(
             connector=LoopConnector(keepalive=KEEPALIVE_S), timeout=timeout
         ) as http:
             # A request that must not repeat is never sent again by the library.
             http._retry_connection = False
             while not self._stopping:
-                kind = self._rng.choice(list(Kind))
-                call = Call(f"c{next(self._numbers)}", kind, entry, time.monotonic())
-                await self.make(http, call)
+                kind = self._rng.choice(list(CallKind))
+                call = Call(f"c{next(self._id_numbers)}", kind, entry, time.monotonic())
+                await self.send(http, call)
                 self._on_call(call)
                 await asyncio.sleep(CALL_PAUSE)
 
-    async def make(self, http: aiohttp.ClientSession, call: Call) -> None:
+    async def send(self, http: aiohttp.ClientSession, call: Call) -> None:
         """Make a call and note what came back."""
-        url = f"http://{call.entry}:{self._world.front_port}{call.path}"
+        url = f"http://{call.entry}:{self._platform.front_port}{call.path}"
         headers = {
             "Host": HOST,
             names.REQUEST_ID: call.request_id,
--- a/tools/soak/promise_checker.py
+++ b/tools/soak/promise_checker.py
@@ -122,7 +122,7 @@
         if call.cut:
             return
         instance = call.headers.get(names.SIGNATURE, "").removeprefix("signed-")
-        if call.kind.streams:
+        if call.kind.is_stream:
             expected = WHOLE_STREAM
         else:
             expected = f"{instance} {call.path}".encode()
