--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -14,7 +14,7 @@
 from multidict import CIMultiDict
 
 from tools.platform.standin import Run, Server
-from tools.soak.deadly import WRITTEN, Deadly
+from tools.soak.deadly import VERDICT_WRITTEN, DeadlyCallers
 from tools.soak.disturbances import DisturbanceLog
 
 if TYPE_CHECKING:
@@ -29,15 +29,15 @@
         return [json.loads(line) for line in text.splitlines()]
 
     platform = SimpleNamespace(folder=tmp_path, control_ips=["127.0.2.1"], log=log)
-    deadly = Deadly(cast("Any", platform), 1, cast("Any", None))
+    deadly = DeadlyCallers(cast("Any", platform), 1, cast("Any", None))
     lines = {"127.0.0.22": ["a"], "127.0.2.1": []}
     for box, fingerprints in lines.items():
-        line = {"message": WRITTEN, "fingerprints": fingerprints}
+        line = {"message": VERDICT_WRITTEN, "fingerprints": fingerprints}
         (tmp_path / f"{box}.log").write_text(json.dumps(line) + "\n")
-    assert not await deadly._is_written()
-    line = {"message": WRITTEN, "fingerprints": ["a", "b"]}
+    assert not await deadly._verdicts_written()
+    line = {"message": VERDICT_WRITTEN, "fingerprints": ["a", "b"]}
     (tmp_path / "127.0.0.22.log").write_text(json.dumps(line) + "\n")
-    assert await deadly._is_written()
+    assert await deadly._verdicts_written()
 
 
 async def test_a_server_that_was_stopped_does_not_crash_and_come_back() -> None:
@@ -57,6 +57,6 @@
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
     disturbances = DisturbanceLog()
     platform = SimpleNamespace(all_servers=[server], disturbances=disturbances)
-    Deadly(cast("Any", platform), 1, cast("Any", None)).check_at_end(timed=False)
+    DeadlyCallers(cast("Any", platform), 1, cast("Any", None)).check_at_end(timed=False)
     assert disturbances.was_disturbed("127.0.0.41", 50.1, 50.2, planned=False)
     assert not disturbances.was_disturbed("127.0.0.42", 50.1, 50.2)
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -22,20 +22,20 @@
 PATHS = ("/safe/deadly", "/stream/deadly")
 """What is asked for: a plain answer, and a stream that begins before the crash."""
 BODY = b'{"deadly":true}'
-LONGEST_PAUSE = 0.5
+MAX_SEND_PAUSE = 0.5
 """Seconds between two sends of one path, at the most."""
-DOWN = 0.8
+RESTART_TIME = 0.8
 """Seconds until a crashed server is back."""
-BORNE = 3
+MAX_ENDS = 3
 """Servers that end before a request is known, and later sends that are borne."""
-BOUND = 3.0
+VERDICT_TIME_LIMIT = 3.0
 """Seconds after the third end from which sends count: the users' least bound."""
-WRITTEN = "verdict written"
+VERDICT_WRITTEN = "verdict written"
 """Line of a control box once a verdict outlives the loss of power everywhere."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentRequest:
     """One send of a deadly request.
 
     Args:
@@ -49,7 +49,7 @@
     at: float
 
 
-class Deadly:
+class DeadlyCallers:
     """Sends deadly requests for as long as a run lasts.
 
     Args:
@@ -64,21 +64,21 @@
         self._platform = platform
         self._rng = random.Random(seed + 3)
         self._promises = promises
-        self._numbers = itertools.count(1)
-        self._sent: dict[str, Sent] = {}
+        self._id_numbers = itertools.count(1)
+        self._sent: dict[str, SentRequest] = {}
 
     async def run(self) -> None:
         """Send until cancelled."""
         async with asyncio.TaskGroup() as group:
             for path in PATHS:
-                group.create_task(self._keep_sending(path))
+                group.create_task(self._send_repeatedly(path))
 
-    async def wait_known(self) -> None:
+    async def wait_refused(self) -> None:
         """Wait until all entries refuse both, and that outlives a loss of power."""
-        await wait_until(self._is_known, "deadly requests are refused")
-        await wait_until(self._is_written, "verdicts are written")
+        await wait_until(self._all_refused, "deadly requests are refused")
+        await wait_until(self._verdicts_written, "verdicts are written")
 
-    async def check_known(self) -> None:
+    async def check_refused(self) -> None:
         """Check that all entries refuse both at once."""
         for path in PATHS:
             for entry in self._platform.entry_ips:
@@ -89,76 +89,76 @@
 
     def check_at_end(self, *, timed: bool) -> None:
         """Check how often servers were reached after three had ended."""
-        self._note_crashes()
+        self._log_crashes()
         for path in PATHS:
-            runs = sorted(self._runs_of(path), key=lambda run: run.at)
-            if len(runs) < BORNE:
+            runs = sorted(self._crashes_at(path), key=lambda run: run.at)
+            if len(runs) < MAX_ENDS:
                 continue
-            late = [run for run in runs if self._is_late(run, runs[BORNE - 1].at)]
+            late = [run for run in runs if self._is_late(run, runs[MAX_ENDS - 1].at)]
             detail = f"{path}: {len(runs)} servers ended, {len(late)} by late sends"
             if timed:
-                kept = len(late) <= BORNE
+                kept = len(late) <= MAX_ENDS
                 self._promises.check("deadly known in time", kept, detail)
 
-    def _note_crashes(self) -> None:
+    def _log_crashes(self) -> None:
         """Note crashes as disturbances of their servers, which cut what ran there."""
         for server in self._platform.all_servers:
             for run in server.crashes:
                 disturbance = Disturbance(
-                    server.ip, run.at, planned=False, end=run.at + DOWN
+                    server.ip, run.at, planned=False, end=run.at + RESTART_TIME
                 )
                 self._platform.disturbances.entries.append(disturbance)
 
-    async def _keep_sending(self, path: str) -> None:
+    async def _send_repeatedly(self, path: str) -> None:
         while True:
             await self._send(self._rng.choice(self._platform.entry_ips), path)
-            await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE))
+            await asyncio.sleep(self._rng.uniform(0, MAX_SEND_PAUSE))
 
     async def _send(self, entry: str, path: str) -> Answer:
         for server in self._platform.servers:
             # Servers come and go; each of them crashes under it.
             server.behave["deadly"] = "crash"
-            server.down = DOWN
-        request_id = f"d{next(self._numbers)}"
-        self._sent[request_id] = Sent(entry, path, time.monotonic())
+            server.down = RESTART_TIME
+        request_id = f"d{next(self._id_numbers)}"
+        self._sent[request_id] = SentRequest(entry, path, time.monotonic())
         return await self._platform.call(
             entry, path, body=BODY, request_id=request_id, key=KEY
         )
 
-    async def _is_known(self) -> bool:
+    async def _all_refused(self) -> bool:
         pairs = itertools.product(self._platform.entry_ips, PATHS)
         return all([await self._is_refused(entry, path) for entry, path in pairs])
 
     async def _is_refused(self, entry: str, path: str) -> bool:
         return b'"crashes_upstreams"' in (await self._send(entry, path)).body
 
-    async def _is_written(self) -> bool:
+    async def _verdicts_written(self) -> bool:
         """Tell whether both verdicts are written, by whichever box it was.
 
         A box that was replaced since tells it too: what it wrote is the group's.
         """
         boxes = [path.stem for path in self._platform.folder.glob("*.log")]
         lines = [line for box in boxes for line in self._platform.log(box)]
-        written = {
+        fingerprints_written = {
             fingerprint
             for line in lines
-            if line["message"] == WRITTEN
+            if line["message"] == VERDICT_WRITTEN
             for fingerprint in line["fingerprints"]
         }
-        return len(written) >= len(PATHS)
+        return len(fingerprints_written) >= len(PATHS)
 
-    def _runs_of(self, path: str) -> list[Run]:
+    def _crashes_at(self, path: str) -> list[Run]:
         servers: list[Server] = list(self._platform.all_servers)
         crashes = (run for server in servers for run in server.crashes)
         return [run for run in crashes if run.target == path]
 
-    def _is_late(self, run: Run, third: float) -> bool:
+    def _is_late(self, run: Run, third_end: float) -> bool:
         """Tell whether a send counts: late, and from an entry that was undisturbed."""
         sent = self._sent[run.request_id]
-        if run.at <= third + BOUND:
+        if run.at <= third_end + VERDICT_TIME_LIMIT:
             return False
         disturbances = self._platform.disturbances
         return not any(
-            disturbances.was_disturbed(box, sent.at - BOUND, run.at)
+            disturbances.was_disturbed(box, sent.at - VERDICT_TIME_LIMIT, run.at)
             for box in (sent.entry, *self._platform.control_ips)
         )
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -9,7 +9,7 @@
 
 from tools.platform.nodes import document
 from tools.soak.callers import Callers
-from tools.soak.deadly import Deadly
+from tools.soak.deadly import DeadlyCallers
 from tools.soak.evacuations import Evacuations
 from tools.soak.injector import Injector
 from tools.soak.plan import draw_faults
@@ -127,7 +127,7 @@
         if self._size.same_ids:
             strangers = Strangers(platform, self._seed, promises)
             disturbing.append(asyncio.create_task(strangers.run()))
-        deadly = Deadly(platform, self._seed, promises)
+        deadly = DeadlyCallers(platform, self._seed, promises)
         if self._size.deadly:
             disturbing.append(asyncio.create_task(deadly.run()))
         evacuations = Evacuations(platform, self._seed, promises)
@@ -143,7 +143,7 @@
         await asyncio.gather(*disturbing, return_exceptions=True)
         await self._recover_in_time(promises)
         if self._size.deadly:
-            await self._wait_known(deadly, promises)
+            await self._wait_refused(deadly, promises)
         if self._size.evacuations:
             await evacuations.hold()
         await self._injector.lose_one_disk_and_all_power()
@@ -153,7 +153,7 @@
         callers.stop()
         await calling
         if self._size.deadly:
-            await deadly.check_known()
+            await deadly.check_refused()
             deadly.check_at_end(timed=self._size.timed)
         if self._size.evacuations:
             evacuations.check_at_end(timed=self._size.timed)
@@ -187,9 +187,11 @@
         least = self._acked
         promises.on_read(await self._platform.operator.read(), least, self._sent)
 
-    async def _wait_known(self, deadly: Deadly, promises: PromiseChecker) -> None:
+    async def _wait_refused(
+        self, deadly: DeadlyCallers, promises: PromiseChecker
+    ) -> None:
         try:
-            await deadly.wait_known()
+            await deadly.wait_refused()
         except AssertionError as exc:
             promises.fail("deadly known", str(exc))
 
