--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -132,7 +132,7 @@
             disturbing.append(asyncio.create_task(deadly.run()))
         evacuations = Evacuations(platform, self._seed, promises)
         if self._size.evacuations:
-            await evacuations.begin()
+            await evacuations.assign_domain()
             disturbing.append(asyncio.create_task(evacuations.run()))
         rests = Rests(platform, self._seed, promises)
         if self._size.rests:
@@ -145,11 +145,11 @@
         if self._size.deadly:
             await self._wait_refused(deadly, promises)
         if self._size.evacuations:
-            await evacuations.hold()
+            await evacuations.evacuate()
         await self._injector.lose_one_disk_and_all_power()
         await self._recover_in_time(promises)
         if self._size.evacuations:
-            await evacuations.check_held()
+            await evacuations.check_still_evacuated()
         callers.stop()
         await calling
         if self._size.deadly:
