--- a/tests/soak/test_short.py
+++ b/tests/soak/test_short.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from tools.soak.run import Size, run_seed
+from tools.soak.run import SoakOptions, run_seed
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-SIZE = Size(seconds=8.0, callers=4, timed=False)
+OPTIONS = SoakOptions(seconds=8.0, callers=4, timed=False)
 """Bounds on time are not checked here, as CI may run beside other work."""
 
 
@@ -20,7 +20,7 @@
 async def test_promises_are_kept_where_servers_start_again_under_their_ids(
     tmp_path: Path, seed: int
 ) -> None:
-    summary = await run_seed(tmp_path, seed, replace(SIZE, same_ids=True))
+    summary = await run_seed(tmp_path, seed, replace(OPTIONS, same_ids=True))
     assert not summary.broken, str(summary)
     assert summary.checked["strangers refused"] > 0
     assert summary.checked["recovered"] == 2
@@ -30,7 +30,7 @@
 async def test_promises_are_kept_beside_requests_that_crash_servers(
     tmp_path: Path, seed: int
 ) -> None:
-    summary = await run_seed(tmp_path, seed, replace(SIZE, deadly=True))
+    summary = await run_seed(tmp_path, seed, replace(OPTIONS, deadly=True))
     assert not summary.broken, str(summary)
     assert summary.checked["deadly stays known"] == 4
     assert summary.checked["recovered"] == 2
@@ -39,14 +39,16 @@
 async def test_promises_are_kept_where_a_box_that_wrote_verdicts_is_replaced(
     tmp_path: Path,
 ) -> None:
-    summary = await run_seed(tmp_path, 7501, replace(SIZE, deadly=True, suspended=True))
+    summary = await run_seed(
+        tmp_path, 7501, replace(OPTIONS, deadly=True, suspended=True)
+    )
     assert not summary.broken, str(summary)
     assert summary.checked["deadly stays known"] == 4
 
 
 @pytest.mark.parametrize("seed", [301, 302])
 async def test_promises_are_kept_beside_evacuations(tmp_path: Path, seed: int) -> None:
-    summary = await run_seed(tmp_path, seed, replace(SIZE, evacuations=True))
+    summary = await run_seed(tmp_path, seed, replace(OPTIONS, evacuations=True))
     assert not summary.broken, str(summary)
     assert summary.checked["evacuation held"] == 1
     assert summary.checked["evacuation taken back"] == 1
@@ -55,7 +57,7 @@
 async def test_promises_are_kept_beside_servers_that_rest_and_leave(
     tmp_path: Path,
 ) -> None:
-    summary = await run_seed(tmp_path, 501, replace(SIZE, rests=True))
+    summary = await run_seed(tmp_path, 501, replace(OPTIONS, pauses=True))
     assert not summary.broken, str(summary)
     assert summary.checked["recovered"] == 2
 
@@ -64,7 +66,7 @@
 async def test_promises_are_kept_where_boxes_are_suspended(
     tmp_path: Path, seed: int
 ) -> None:
-    summary = await run_seed(tmp_path, seed, replace(SIZE, suspended=True))
+    summary = await run_seed(tmp_path, seed, replace(OPTIONS, suspended=True))
     assert not summary.broken, str(summary)
     assert summary.faults["Freeze"] >= 4
     assert summary.checked["recovered"] == 2
@@ -72,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", [3, 5, 18, 22, 922])
 async def test_promises_are_kept(tmp_path: Path, seed: int) -> None:
-    summary = await run_seed(tmp_path, seed, SIZE)
+    summary = await run_seed(tmp_path, seed, OPTIONS)
     assert not summary.broken, str(summary)
     assert summary.checked["whole answer"] > 0
     # Once with every fault mended, and once more after all that may be lost was lost.
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -14,7 +14,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from tools.soak.run import Size, Soak
+from tools.soak.run import SoakOptions, SoakRun
 from tools.soak.soak_platform import SoakPlatform
 
 if TYPE_CHECKING:
@@ -32,13 +32,13 @@
         for box in platform.control_ips:
             platform.start(box)
             write_members(platform, box)
-        soak = Soak(platform, 1, Size())
-        assert await soak._is_whole()
+        soak = SoakRun(platform, 1, SoakOptions())
+        assert await soak._group_is_complete()
         wiped = platform.control_ips[1]
         platform.start(wiped, founding=False)
-        assert not await soak._is_whole()
+        assert not await soak._group_is_complete()
         write_members(platform, wiped)
-        assert await soak._is_whole()
+        assert await soak._group_is_complete()
     finally:
         platform.processes.clear()
         await platform.http.close()
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -37,7 +37,7 @@
 
 from docopt import docopt
 
-from tools.soak.run import Size, Summary, run_seed
+from tools.soak.run import SoakOptions, Summary, run_seed
 
 FIRST_SEEDS = 1_000_000
 """Fresh first seeds are drawn below this number, to be short to write down."""
@@ -48,7 +48,7 @@
     args = docopt(__doc__)
     # The proxy library leaves behind tasks whose connections were cut.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    size = Size(
+    options = SoakOptions(
         seconds=float(args["--seconds"]),
         entries=int(args["--nodes"]),
         callers=int(args["--callers"]),
@@ -57,29 +57,29 @@
         deadly=args["--deadly"],
         suspended=args["--suspended"],
         evacuations=args["--evacuations"],
-        rests=args["--rests"],
+        pauses=args["--rests"],
     )
     if args["--replay"]:
-        sys.exit(_replay(int(args["--replay"]), size))
+        sys.exit(_replay(int(args["--replay"]), options))
     first = int(args["--first"] or secrets.randbelow(FIRST_SEEDS))
     end = time.monotonic() + float(args["--minutes"]) * 60
-    sys.exit(_run_all(range(first, first + int(args["--seeds"])), size, end))
+    sys.exit(_run_all(range(first, first + int(args["--seeds"])), options, end))
 
 
-def _replay(seed: int, size: Size) -> int:
+def _replay(seed: int, options: SoakOptions) -> int:
     folder = Path(tempfile.mkdtemp(prefix="soak-"))
-    summary = asyncio.run(run_seed(folder, seed, size))
+    summary = asyncio.run(run_seed(folder, seed, options))
     print(summary, f"logs in {folder}", sep="\n  ")
     return bool(summary.broken)
 
 
-def _run_all(seeds: range, size: Size, end: float) -> int:
+def _run_all(seeds: range, options: SoakOptions, end: float) -> int:
     summaries: list[Summary] = []
     for seed in seeds:
         if time.monotonic() >= end:
             break
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
-            summaries.append(asyncio.run(run_seed(Path(folder), seed, size)))
+            summaries.append(asyncio.run(run_seed(Path(folder), seed, options)))
         print(summaries[-1], flush=True)
     return _print_total(summaries, len(seeds))
 
--- a/tools/soak/strangers.py
+++ b/tools/soak/invalid_registrations.py
@@ -16,14 +16,14 @@
     from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
-PAUSE = 0.1
+SEND_PAUSE = 0.1
 """Seconds between two documents."""
 REFUSED = 400
-OUT_OF_REACH = (0, 503)
+UNREACHABLE = (0, 503)
 """Answers of a box that is gone or stands still."""
 
 
-class Strangers:
+class InvalidRegistrations:
     """Writes documents that name no server, for ids and addresses of real ones.
 
     Args:
@@ -42,15 +42,15 @@
     async def run(self) -> None:
         """Write until cancelled."""
         while True:
-            await self._write()
-            await asyncio.sleep(PAUSE)
+            await self._send()
+            await asyncio.sleep(SEND_PAUSE)
 
-    async def _write(self) -> None:
+    async def _send(self) -> None:
         control = self._rng.choice(self._platform.controls)
         server = self._rng.choice(self._platform.servers)
         instance = self._rng.choice([server.instance, "i-stranger", "i%00", "%FF"])
         path = self._rng.choice([names.HEARTBEAT_PATH, names.LEAVE_PATH])
-        document = self._document(server.heartbeat(self._rng.randrange(10_000)))
+        document = self._malformed(server.heartbeat(self._rng.randrange(10_000)))
         if path == names.LEAVE_PATH:
             # Only what states a wrong start is refused there.
             document = b'{"born":"%d"}' % self._rng.randrange(10_000)
@@ -58,26 +58,26 @@
             status = await tell(control, path.format(instance=instance), document)
         except (aiohttp.ClientError, OSError, TimeoutError):
             status = 0
-        if status not in OUT_OF_REACH:
+        if status not in UNREACHABLE:
             detail = f"status {status} for {document[:80]!r} of {instance}"
             self._promises.on_invalid_registration(status == REFUSED, detail)
 
-    def _document(self, good: dict[str, Any]) -> bytes:
+    def _malformed(self, valid: dict[str, Any]) -> bytes:
         """Return a heartbeat with something wrong."""
         field = self._rng.choice(["address", "service", "slots", "state", "sequence"])
         match self._rng.randrange(5):
             case 0:
                 return json.dumps(
-                    {k: v for k, v in good.items() if k != field}
+                    {k: v for k, v in valid.items() if k != field}
                 ).encode()
             case 1:
                 wrong: object = self._rng.choice([None, -1, 0.5, [], {}, True, ""])
-                return json.dumps(good | {field: wrong}).encode()
+                return json.dumps(valid | {field: wrong}).encode()
             case 2:
                 wrong = self._rng.choice([None, -1, 0, 0.5, "now", 10**30])
-                return json.dumps(good | {"born": wrong}).encode()
+                return json.dumps(valid | {"born": wrong}).encode()
             case 3:
-                whole = json.dumps(good).encode()
+                whole = json.dumps(valid).encode()
                 return whole[: self._rng.randrange(len(whole))]
             case _:
                 return self._rng.randbytes(40)
--- a/tools/soak/rests.py
+++ b/tools/soak/pauses.py
@@ -16,21 +16,21 @@
     from tools.soak.promise_checker import PromiseChecker
     from tools.soak.soak_platform import SoakPlatform
 
-MOST_PAUSE = 1.0
+MAX_INTERVAL = 1.0
 """Longest pause between two servers that begin to rest or to leave, in seconds."""
-LEAST_REST, MOST_REST = 0.6, 3.0
+MIN_PAUSE, MAX_PAUSE = 0.6, 3.0
 """Seconds of rest that a server asks for."""
-MOST_SPELL = 3.0
+MAX_REFUSING_TIME = 3.0
 """Longest time for which a server turns requests away, in seconds."""
-LEAVING_PART = 0.2
+LEAVING_FRACTION = 0.2
 """Part of the spells in which a server leaves instead, by the word of answers only."""
-LEAVES_FOR = 4.0
+LEAVING_TIME = 4.0
 """Seconds from that word until it ends and starts anew."""
-DRAIN = 2.0
+DRAIN_LIMIT = 2.0
 """Seconds after such an answer in which new requests may come: the users' bound."""
 
 
-class Rests:
+class ServerPauses:
     """Has servers rest and leave at random, also several at a time.
 
     Args:
@@ -50,23 +50,25 @@
         """Go on until cancelled; what has begun ends first."""
         async with asyncio.TaskGroup() as group:
             while True:
-                await asyncio.sleep(self._rng.uniform(0, MOST_PAUSE))
+                await asyncio.sleep(self._rng.uniform(0, MAX_INTERVAL))
                 server = self._rng.choice(self._platform.servers)
-                leaves = self._rng.random() < LEAVING_PART
-                group.create_task(self._leave(server) if leaves else self._rest(server))
+                leaves = self._rng.random() < LEAVING_FRACTION
+                group.create_task(
+                    self._leave(server) if leaves else self._pause(server)
+                )
 
-    async def _rest(self, server: Server) -> None:
-        server.rest = self._rng.uniform(LEAST_REST, MOST_REST)
+    async def _pause(self, server: Server) -> None:
+        server.rest = self._rng.uniform(MIN_PAUSE, MAX_PAUSE)
         server.usual = "rest"
         try:
-            await asyncio.sleep(self._rng.uniform(0, MOST_SPELL))
+            await asyncio.sleep(self._rng.uniform(0, MAX_REFUSING_TIME))
         finally:
             server.usual = "answer"
 
     async def _leave(self, server: Server) -> None:
         server.says_leaving = True
         try:
-            await asyncio.sleep(LEAVES_FOR)
+            await asyncio.sleep(LEAVING_TIME)
         finally:
             # Its next start says nothing of the kind.
             server.crash()
@@ -79,15 +81,15 @@
         for server in self._platform.all_servers:
             for rest in server.rests:
                 if entry := entries.get(rest.request_id):
-                    self._check_rest(server, rest, entry, entries)
+                    self._check_pause(server, rest, entry, entries)
         for call in self._promises.calls:
             if call.headers.get(names.LEAVING) == names.LEAVING_SET and not call.cut:
-                self._check_left(call)
+                self._check_leaving(call)
 
-    def _check_rest(
+    def _check_pause(
         self, server: Server, rest: Rest, entry: str, entries: dict[str, str]
     ) -> None:
-        if self._excused(entry, server, rest.at, rest.at + rest.length):
+        if self._was_disturbed(entry, server, rest.at, rest.at + rest.length):
             return
         count = sum(
             rest.covers(arrival) and entries.get(arrival.request_id) == entry
@@ -97,14 +99,14 @@
         kept = count <= MOST_ARRIVALS
         self._promises.check("rest kept", kept, f"{rest.request_id}: {detail}")
 
-    def _check_left(self, call: Call) -> None:
+    def _check_leaving(self, call: Call) -> None:
         """Nothing that came in later than the bound reached that server."""
         instance = call.headers.get(names.SIGNATURE, "").removeprefix("signed-")
         late = [
             later
             for later in self._promises.calls
             if later.entry == call.entry
-            and later.start > call.end + DRAIN
+            and later.start > call.end + DRAIN_LIMIT
             and later.headers.get(names.SIGNATURE) == f"signed-{instance}"
             and later.headers.get(names.LEAVING) == names.LEAVING_SET
             and not self._platform.disturbances.was_disturbed(
@@ -114,7 +116,9 @@
         detail = f"{[one.request_id for one in late]} after {call.request_id}"
         self._promises.check("left by answers", not late, detail)
 
-    def _excused(self, entry: str, server: Server, since: float, until: float) -> bool:
+    def _was_disturbed(
+        self, entry: str, server: Server, since: float, until: float
+    ) -> bool:
         """Tell whether the entry, or its way to the server, was disturbed."""
         disturbances = self._platform.disturbances
         return disturbances.was_disturbed(
