--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Random faults on real nodes, and whether their promises hold meanwhile."""
+"""Injects random faults into real nodes and checks their guarantees meanwhile."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run real nodes under random faults, and check their promises meanwhile.
+"""Run real nodes under random faults and check their guarantees meanwhile.
 
 Usage:
   soak [--seeds N] [--first SEED] [--minutes M] [options]
@@ -7,22 +7,22 @@
 
 Options:
   --seeds N      Seeds to run [default: 10].
-  --first SEED   First seed; drawn if not given.
-  --minutes M    End after so many minutes, whatever is left [default: 60].
+  --first SEED   First seed; random if not given.
+  --minutes M    Start no seed after this many minutes [default: 60].
   --replay SEED  Run one seed, and keep the logs of its nodes.
-  --seconds S    Time in which the faults of a seed begin [default: 20].
+  --seconds S    Length of the interval in which faults begin [default: 20].
   --nodes N      Entry boxes [default: 2].
-  --callers N    Callers of each entry [default: 6].
-  --untimed      Do not check bounds on time, as on a busy machine.
-  --same-ids     Servers start again under their ids, and somebody writes registrations
-                 that name none.
-  --deadly       Some requests crash the servers that begin them.
-  --suspended    Boxes stand still more often, and their steady clocks with them.
-  --evacuations  An operator empties a failure domain and takes it back all the time.
-  --rests        Servers turn all away and ask for rests, or say in answers that they
-                 leave.
-
-The exit code is 0 if all promises were kept, else 1.
+  --callers N    Callers per entry [default: 6].
+  --untimed      Do not check time limits, for use on a busy box.
+  --same-ids     Servers restart under the same id, and invalid registrations are sent
+                 to the control boxes.
+  --deadly       Some requests crash each server that begins them.
+  --suspended    Boxes are suspended more often, and their steady clocks with them.
+  --evacuations  An operator repeatedly evacuates and restores a failure domain.
+  --rests        Servers refuse all requests and ask for a pause, or announce in
+                 answers that they leave.
+
+The exit code is 0 if no promise was broken, else 1.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 from tools.soak.run import SoakOptions, Summary, run_seed
 
 FIRST_SEEDS = 1_000_000
-"""Fresh first seeds are drawn below this number, to be short to write down."""
+"""Random first seeds are below this number, so that they are short to write down."""
 
 
 def main() -> None:
     """Entry point."""
     args = docopt(__doc__)
-    # The proxy library leaves behind tasks whose connections were cut.
+    # The proxy library leaves tasks of cut connections pending, which asyncio logs.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     options = SoakOptions(
         seconds=float(args["--seconds"]),
