--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers who keep their connections open until the entry is gone."""
+"""Closed-loop callers that keep their connections open until the entry closes them."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from tools.soak.soak_platform import SoakPlatform
 
 ROUTE_TIME_LIMIT = 5.0
-"""Seconds after which a route of the test document ends a request."""
+"""Time limit of the routes in the test configuration, in seconds."""
 CALLER_TIMEOUT = 12.0
-"""Seconds after which a caller hangs up, so that a run comes to its end."""
+"""Seconds after which a caller disconnects, so that a run ends in bounded time."""
 CALL_PAUSE = 0.02
-"""Seconds between two calls of a caller."""
+"""Seconds between two calls of one caller."""
 BODY = b"x" * 300
 
 
 class CallKind(StrEnum):
-    """What a caller asks for, named as the routes of the test document."""
+    """Kind of a call; the values are the routes of the test configuration."""
 
     ONCE = "once"
     SAFE = "safe"
@@ -40,29 +40,29 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a sequence of events."""
+        """Whether the answer is an event stream."""
         return self in (CallKind.STREAM, CallKind.STREAM_ONCE)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether the request may run more than once."""
         return self in (CallKind.SAFE, CallKind.STREAM)
 
 
 @dataclass(slots=True)
 class Call:
-    """One request and all that its caller saw.
+    """One request and its result as the caller saw it.
 
     Args:
-        request_id: Its identifier.
-        kind: What was asked for.
-        entry: Entry that was called.
+        request_id: Identifier of the request.
+        kind: Kind of the call.
+        entry: Address of the entry that was called.
         start: When it was sent, on the steady clock.
-        end: When the last byte came or the connection was cut.
-        status: Status of the answer; 0 without one.
-        body: Bytes of the answer's body.
-        headers: The answer's headers.
-        cut: Whether the connection was cut before the answer's end.
+        end: When the last byte arrived or the connection was cut.
+        status: HTTP status of the answer; 0 if there was none.
+        body: Body of the answer.
+        headers: Headers of the answer.
+        cut: Whether the connection was cut before the end of the answer.
     """
 
     request_id: str
@@ -77,16 +77,16 @@
 
     @property
     def path(self) -> str:
-        """The path that was asked for."""
+        """Path of the request."""
         return f"/{self.kind}/{self.request_id}"
 
 
 class Callers:
-    """Callers of one run.
+    """Callers of all entries in one run.
 
     Args:
         platform: The nodes, servers and links.
-        seed: Seed of their choices.
+        seed: Seed for the kinds of calls.
         on_call: Called with each finished call.
     """
 
@@ -100,14 +100,14 @@
         self._stopping = False
 
     async def run(self, callers: int) -> None:
-        """Call each entry from so many callers until told to stop."""
+        """Run this many callers for each entry until `stop` is called."""
         async with asyncio.TaskGroup() as group:
             for entry in self._platform.entry_ips:
                 for _ in range(callers):
                     group.create_task(self._call_until_stopped(entry))
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Start no new calls."""
         self._stopping = True
 
     async def _call_until_stopped(self, entry: str) -> None:
@@ -115,7 +115,7 @@
         async with aiohttp.ClientSession(
             connector=LoopConnector(keepalive=KEEPALIVE_S), timeout=timeout
         ) as http:
-            # A request that must not repeat is never sent again by the library.
+            # aiohttp must not resend a request that may run only once.
             http._retry_connection = False
             while not self._stopping:
                 kind = self._rng.choice(list(CallKind))
@@ -125,7 +125,7 @@
                 await asyncio.sleep(CALL_PAUSE)
 
     async def send(self, http: aiohttp.ClientSession, call: Call) -> None:
-        """Make a call and note what came back."""
+        """Send a call and record its answer in it."""
         url = f"http://{call.entry}:{self._platform.front_port}{call.path}"
         headers = {
             "Host": HOST,
