--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -1,8 +1,8 @@
-"""What the callers of deadly requests take for written.
+"""Deadly requests in the soak: verdicts that count as written, and crashes.
 
 Seed 7501 with --deadly --suspended waited for verdicts in vain in two of five runs: the
 control box that wrote them was replaced later in the run, and only the logs of the
-boxes there now were read. The logs of the second one show both lines at that box.
+current boxes were read. The logs of the second run show both lines at that box.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 
 
 async def test_a_server_that_was_stopped_does_not_crash_and_come_back() -> None:
-    # In CI a request that crashes servers reached one while it was taken away, which
-    # came back where its successor was to listen: its port was in use.
+    # In CI a deadly request reached a server while it was being stopped. The server
+    # restarted on the port of its successor, which then failed: the port was in use.
     server = Server("127.0.0.41", 0, "plain", ["127.0.0.1:1"])
     await server.start()
     await server.stop()
@@ -51,8 +51,8 @@
 
 
 def test_crashes_are_disturbances_of_their_servers() -> None:
-    # A stream that was cut as its only two servers crashed was held against the
-    # planned stop of its entry in CI; its lines show the attempt that broke.
+    # In CI a stream was cut because its only two servers crashed, but it was blamed on
+    # the planned stop of its entry; the log lines show the attempt that broke.
     run = Run("d1", "POST", "/safe/deadly", b"", CIMultiDict(), at=50.0)
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
     disturbances = DisturbanceLog()
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -1,4 +1,4 @@
-"""Callers who send again and again what crashes each server that begins it."""
+"""Callers that repeatedly send requests which crash each server that begins them."""
 
 from __future__ import annotations
 
@@ -20,28 +20,29 @@
     from tools.soak.soak_platform import SoakPlatform
 
 PATHS = ("/safe/deadly", "/stream/deadly")
-"""What is asked for: a plain answer, and a stream that begins before the crash."""
+"""Paths of the requests: a plain answer, and a stream that begins before the crash."""
 BODY = b'{"deadly":true}'
 MAX_SEND_PAUSE = 0.5
-"""Seconds between two sends of one path, at the most."""
+"""Longest interval between two sends of one path, in seconds."""
 RESTART_TIME = 0.8
-"""Seconds until a crashed server is back."""
+"""Seconds until a crashed server has restarted."""
 MAX_ENDS = 3
-"""Servers that end before a request is known, and later sends that are borne."""
+"""Servers that may crash before a request is refused, and, counted apart, crashes by
+later sends that are tolerated."""
 VERDICT_TIME_LIMIT = 3.0
-"""Seconds after the third end from which sends count: the users' least bound."""
+"""Seconds after the third crash until a verdict is due: the users' strictest bound."""
 VERDICT_WRITTEN = "verdict written"
-"""Line of a control box once a verdict outlives the loss of power everywhere."""
+"""Log message of a control box once a verdict would survive a power loss of all."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """One send of a deadly request.
+    """A deadly request that was sent.
 
     Args:
-        entry: Entry that it went to.
-        path: What it asked for.
-        at: When, on the steady clock.
+        entry: Entry that it was sent to.
+        path: Path of the request.
+        at: When it was sent, on the steady clock.
     """
 
     entry: str
@@ -50,12 +51,12 @@
 
 
 class DeadlyCallers:
-    """Sends deadly requests for as long as a run lasts.
+    """Sends deadly requests throughout a run.
 
     Args:
         platform: The nodes, servers and links.
-        seed: Seed of the choices.
-        promises: Where broken promises are noted.
+        seed: Seed for entries and intervals.
+        promises: Records the checks.
     """
 
     def __init__(
@@ -68,18 +69,18 @@
         self._sent: dict[str, SentRequest] = {}
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests until cancelled."""
         async with asyncio.TaskGroup() as group:
             for path in PATHS:
                 group.create_task(self._send_repeatedly(path))
 
     async def wait_refused(self) -> None:
-        """Wait until all entries refuse both, and that outlives a loss of power."""
+        """Wait until all entries refuse both paths and both verdicts are on disk."""
         await wait_until(self._all_refused, "deadly requests are refused")
         await wait_until(self._verdicts_written, "verdicts are written")
 
     async def check_refused(self) -> None:
-        """Check that all entries refuse both at once."""
+        """Check that all entries refuse both paths at the first send."""
         for path in PATHS:
             for entry in self._platform.entry_ips:
                 refused = await self._is_refused(entry, path)
@@ -88,7 +89,7 @@
                 )
 
     def check_at_end(self, *, timed: bool) -> None:
-        """Check how often servers were reached after three had ended."""
+        """Check how many servers were crashed by late sends after the third crash."""
         self._log_crashes()
         for path in PATHS:
             runs = sorted(self._crashes_at(path), key=lambda run: run.at)
@@ -101,7 +102,7 @@
                 self._promises.check("deadly known in time", kept, detail)
 
     def _log_crashes(self) -> None:
-        """Note crashes as disturbances of their servers, which cut what ran there."""
+        """Record crashes as disturbances: they cut what ran at the server."""
         for server in self._platform.all_servers:
             for run in server.crashes:
                 disturbance = Disturbance(
@@ -116,7 +117,7 @@
 
     async def _send(self, entry: str, path: str) -> Answer:
         for server in self._platform.servers:
-            # Servers come and go; each of them crashes under it.
+            # Servers are replaced during a run; each one has to crash.
             server.behave["deadly"] = "crash"
             server.down = RESTART_TIME
         request_id = f"d{next(self._id_numbers)}"
@@ -133,9 +134,10 @@
         return b'"crashes_upstreams"' in (await self._send(entry, path)).body
 
     async def _verdicts_written(self) -> bool:
-        """Tell whether both verdicts are written, by whichever box it was.
+        """Return whether both verdicts are written, no matter by which box.
 
-        A box that was replaced since tells it too: what it wrote is the group's.
+        The logs of boxes that were replaced since count too: what such a box wrote was
+        committed by the group.
         """
         boxes = [path.stem for path in self._platform.folder.glob("*.log")]
         lines = [line for box in boxes for line in self._platform.log(box)]
@@ -153,7 +155,7 @@
         return [run for run in crashes if run.target == path]
 
     def _is_late(self, run: Run, third_end: float) -> bool:
-        """Tell whether a send counts: late, and from an entry that was undisturbed."""
+        """Return whether a crash came after the limit though no node was disturbed."""
         sent = self._sent[run.request_id]
         if run.at <= third_end + VERDICT_TIME_LIMIT:
             return False
