--- a/tools/soak/evacuations.py
+++ b/tools/soak/evacuations.py
@@ -1,4 +1,4 @@
-"""An operator that empties a failure domain again and again, and what servers saw."""
+"""An operator that repeatedly evacuates a failure domain, and checks of its effect."""
 
 from __future__ import annotations
 
@@ -19,24 +19,25 @@
     from tools.soak.soak_platform import SoakPlatform
 
 EVACUATED_DOMAIN = "b"
-"""The failure domain that is emptied; the rest of the servers is in another one."""
+"""The failure domain that is evacuated; all other servers are in another one."""
 MAX_PAUSE = 1.5
-"""Longest pause before an order, in seconds."""
+"""Longest interval before an evacuation is ordered, in seconds."""
 MIN_EVACUATED, MAX_EVACUATED = 1.0, 6.0
-"""Seconds for which a domain stays empty."""
+"""Seconds for which the domain stays evacuated."""
 IN_FORCE_LIMIT = 2.0
-"""Seconds after an acknowledgement in which it is in force: the bound of the tests."""
+"""Seconds from the acknowledgement of an order until it is in force everywhere; the
+tests have the same bound."""
 OBSERVATION_TIME = 1.5
-"""Seconds in which an empty domain is looked at while callers go on."""
+"""Seconds for which the domain is observed while callers keep calling."""
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationPeriod:
-    """A time in which the domain is to get nothing.
+    """A period in which the domain must get no requests.
 
     Args:
-        acknowledged_at: When the order was acknowledged, on the steady clock.
-        withdrawn_at: When the order to take it back was first sent.
+        acknowledged_at: When the evacuation was acknowledged, on the steady clock.
+        withdrawn_at: When the order to restore the domain was first sent.
     """
 
     acknowledged_at: float
@@ -44,12 +45,12 @@
 
 
 class Evacuations:
-    """Empties a domain and takes it back, and checks that it gets nothing meanwhile.
+    """Evacuates and restores a domain, and checks that it gets no requests meanwhile.
 
     Args:
         platform: The nodes, servers and links.
-        seed: Seed of the pauses.
-        promises: Where checks are noted.
+        seed: Seed for the intervals.
+        promises: Records the checks.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
             seen.add(server.service)
 
     async def run(self) -> None:
-        """Go on until cancelled."""
+        """Evacuate and restore the domain until cancelled."""
         while True:
             await asyncio.sleep(self._rng.uniform(0, MAX_PAUSE))
             await self._evacuate()
@@ -78,11 +79,11 @@
             await self._restore()
 
     async def evacuate(self) -> None:
-        """Have the domain empty from now on."""
+        """Evacuate the domain and keep it so."""
         await self._evacuate()
 
     async def check_still_evacuated(self) -> None:
-        """Check that it is still empty, and that it serves once it is taken back."""
+        """Check that the domain still gets nothing, and serves once it is restored."""
         before = [len(server.runs) for server in self._servers_in_domain()]
         await asyncio.sleep(OBSERVATION_TIME)
         after = [len(server.runs) for server in self._servers_in_domain()]
@@ -97,7 +98,7 @@
             self._promises.check("evacuation taken back", True, "")
 
     def check_at_end(self, *, timed: bool) -> None:
-        """Check the requests that reached the domain while it was to get none."""
+        """Check that no request reached the domain while an evacuation was in force."""
         if not timed:
             return
         entries = {call.request_id: call.entry for call in self._promises.calls}
