--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injection of faults from outside: processes, disks, settings, links and servers."""
+"""Injects faults from outside: into processes, disks, settings, links and servers."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     from tools.soak.soak_platform import SoakPlatform
 
 DRAIN_TIME = 2.0
-"""Seconds that a leaving server serves on after its end was acknowledged."""
+"""Seconds for which a leaving server still serves after its leave was acknowledged."""
 MAX_GROUP_DOWNTIME = 1.0
-"""Most seconds that all control processes are down together."""
+"""Longest time for which all control processes are down together, in seconds."""
 
 
 class Injector:
-    """Does faults to a world and mends them.
+    """Injects faults into a running platform and repairs them.
 
     Args:
         platform: The nodes, servers and links.
@@ -49,7 +49,7 @@
         self._disturbances = platform.disturbances
 
     async def inject(self, planned: PlannedFault) -> None:
-        """Do a fault, for as long as it lasts, and mend it."""
+        """Inject a fault and repair it at its end."""
         match planned.fault:
             case Kill(box=box):
                 await self._kill([self._platform.current_box(box)], planned.duration)
@@ -114,7 +114,10 @@
         self._disturbances.end(disturbance)
 
     async def lose_one_disk_and_all_power(self) -> None:
-        """Lose one control box's disk while all processes lose power."""
+        """Wipe the disk of one control box while all processes lose power.
+
+        This is the largest loss that the group must tolerate.
+        """
         wiped, *others = self._platform.control_ips
         wiping = self._kill([wiped], MAX_GROUP_DOWNTIME, wipe=True)
         stopping = self._kill([*others, *self._platform.entry_ips], MAX_GROUP_DOWNTIME)
@@ -187,7 +190,7 @@
         await server.drain()
         server.left_at = time.monotonic()
         await asyncio.sleep(DRAIN_TIME + duration)
-        # It may have crashed meanwhile.
+        # A crash may have replaced it meanwhile.
         if self._platform.server_at(ip) is server:
             await server.stop()
             await self._platform.replace_server(server, RESTART_DELAY)
