--- a/tools/soak/disturbances.py
+++ b/tools/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""What was disturbed when, so that promises are asked only of those that keep them."""
+"""Log of disturbances, which excuses broken promises that a fault explains."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class Disturbance:
-    """A disturbance.
+    """A period in which a box is disturbed by a fault or by planned work.
 
     Args:
-        target: Box that it touches; empty for all.
+        target: Address of the disturbed box; empty for all boxes.
         start: When it began, on the steady clock.
         planned: Whether it is planned work, such as a stop on request.
-        end: When it was over; None while it lasts.
+        end: When it ended; None while it lasts.
     """
 
     target: str
@@ -25,27 +25,27 @@
 
 @dataclass
 class DisturbanceLog:
-    """Disturbances of a run."""
+    """All disturbances of a run."""
 
     entries: list[Disturbance] = field(default_factory=list)
 
     def begin(self, target: str, *, planned: bool = False) -> Disturbance:
-        """Note that a disturbance begins."""
+        """Record the begin of a disturbance."""
         disturbance = Disturbance(target, time.monotonic(), planned)
         self.entries.append(disturbance)
         return disturbance
 
     def end(self, disturbance: Disturbance) -> None:
-        """Note that it is over."""
+        """Record the end of a disturbance."""
         disturbance.end = time.monotonic()
 
     def planned_work_began(self, box: str, start: float, end: float) -> bool:
-        """Tell whether planned work on a box began in a span of time.
+        """Return whether planned work on a box began in a period.
 
         Args:
-            box: The box.
-            start: Begin of the span, on the steady clock.
-            end: End of the span.
+            box: Address of the box.
+            start: Start of the period, on the steady clock.
+            end: End of the period.
         """
         return any(
             disturbance.planned
@@ -57,13 +57,13 @@
     def was_disturbed(
         self, box: str, start: float, end: float, *, planned: bool = True
     ) -> bool:
-        """Tell whether a box was disturbed in a span of time.
+        """Return whether a box was disturbed in a period.
 
         Args:
-            box: The box.
-            start: Begin of the span, on the steady clock.
-            end: End of the span.
-            planned: Whether planned work counts. Defaults to True.
+            box: Address of the box.
+            start: Start of the period, on the steady clock.
+            end: End of the period.
+            planned: Whether planned work counts as well. Defaults to True.
         """
         return any(
             disturbance.target in ("", box)
