--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -1,7 +1,7 @@
-"""Proxies before the inner addresses of control boxes, and before servers.
+"""Faulty proxies in front of the inner addresses of control boxes and of servers.
 
-Each box has an inner port of its own and dials all others at that port. So a proxy at
-that port of another box carries just the link from the one to the other.
+Each box has its own inner port and dials all other boxes at that port number. A proxy
+on that port of a target box therefore carries only the link from this one source.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass
 class FaultyLinks:
-    """Faulty links by source and target; the source of servers' links is empty."""
+    """Faulty links by source and target; the source is empty for links to servers."""
 
     _links: dict[tuple[str, str], FaultyLink] = field(default_factory=dict)
 
@@ -29,7 +29,7 @@
         targets: Iterable[str],
         port_of: Callable[[str], int],
     ) -> None:
-        """Put a proxy on the way from each source to each target."""
+        """Add a proxy between each source and each other target."""
         for target in targets:
             for source in sources:
                 if source == target:
@@ -39,13 +39,13 @@
                 self._links[source, target] = link
 
     async def add_server(self, ip: str, port: int, proxy_port: int) -> None:
-        """Put a proxy before a server."""
+        """Add a proxy in front of a server."""
         link = FaultyLink(port, ip=ip, port=proxy_port)
         await link.start()
         self._links["", ip] = link
 
     async def disturb(self, fault: BadLink, seconds: float) -> None:
-        """Let a link misbehave for a time."""
+        """Disturb a link for some seconds."""
         link = self._links[fault.source, fault.target]
         match fault.how:
             case LinkFault.RESET:
@@ -63,6 +63,6 @@
         link.release()
 
     async def close(self) -> None:
-        """End all proxies."""
+        """Close all proxies."""
         for link in self._links.values():
             await link.close()
