--- a/tools/soak/soak_platform.py
+++ b/tools/soak/soak_platform.py
@@ -1,4 +1,4 @@
-"""The nodes, servers and links of a run."""
+"""The nodes, servers and links of a soak run."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     from tools.platform.standin import Server
 
 RESTART_DELAY = 0.2
-"""Seconds after which a process that has ended by itself is started again."""
+"""Interval of the checks that restart processes which ended by themselves."""
 SPARE_BOXES = 4
-"""Control boxes that may come in a run; a seed of 20 s replaces one or two."""
+"""Spare control boxes of a run; a seed of 20 s replaces one or two boxes."""
 EVENT_PAUSE = 0.05
-"""Seconds between the events of a stream, so that faults find streams under way."""
+"""Seconds between the events of a stream, so that faults hit open streams."""
 
 
 @dataclass
 class SoakPlatform(Platform):
-    """Real nodes whose inner links and ways to servers run through proxies.
+    """Real nodes whose inner links and connections to servers run through proxies.
 
     Args:
         entries: Number of entry boxes.
-        disturbances: Where disturbances are noted.
+        disturbances: Log of disturbances.
         links: The proxies.
-        ended_servers: Servers that have ended.
+        ended_servers: Servers that have ended and were replaced.
 
     Attributes:
-        down: Boxes whose process is to stay ended until a fault is mended.
+        down: Boxes whose process must not be restarted until a fault is repaired.
         replaced_boxes: Control boxes that were replaced.
     """
 
@@ -66,7 +66,7 @@
         return Boxes(tuple(self.control_ips), tuple(self.entry_ips), servers)
 
     def inner_port_of(self, ip: str) -> int:
-        """Return the inner port of a box, which is its own."""
+        """Return the inner port of a box; each box has its own."""
         return self._inner_ports[ip]
 
     def advertised(self, ip: str) -> str:
@@ -74,7 +74,7 @@
         return f"{ip}:{self._proxy_port}"
 
     async def open(self) -> None:
-        """Start everything."""
+        """Start all proxies, nodes and servers."""
         controls = [*self.control_ips, *self.spare_ips]
         nodes = [*controls, *self.entry_ips]
         await self.links.add_mesh(nodes, controls, self.inner_port_of)
@@ -86,14 +86,14 @@
         self._restarter = asyncio.create_task(self._restart_ended())
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         if self._restarter is not None:
             self._restarter.cancel()
         await super().close()
         await self.links.close()
 
     async def _restart_ended(self) -> None:
-        """Start processes again that have ended by themselves, as the platform does."""
+        """Restart processes that ended by themselves, as the users' platform does."""
         while True:
             await asyncio.sleep(RESTART_DELAY)
             for ip, process in list(self.processes.items()):
@@ -101,17 +101,17 @@
                     self.start(ip, founding=False)
 
     def current_box(self, box: str) -> str:
-        """Return the box itself, or the one that has come in its place."""
+        """Return the address of the box itself, or of its latest successor."""
         while box in self._successors:
             box = self._successors[box]
         return box
 
     def start_successor(self, replaced: str) -> None:
-        """Start an empty control box in place of one."""
+        """Start an empty control box as the successor of one."""
         self._successors[replaced] = self.replace_control(replaced)
 
     async def stop_for_good(self, box: str, *, graceful: bool) -> None:
-        """End a control box's process; it is not started again."""
+        """End the process of a control box for good, by a planned stop or a kill."""
         self.replaced_boxes.add(box)
         self.down.add(box)
         process = self.processes[box]
@@ -127,11 +127,11 @@
         """Start a new server in place of one that has ended.
 
         Args:
-            old: The server that has ended.
-            pause: Seconds until the new one starts.
+            old: Server that has ended.
+            pause: Seconds until the new server starts.
         """
         if old not in self.servers:
-            # Another fault that overlaps has replaced it.
+            # Another, overlapping fault has already replaced it.
             return
         self.ended_servers.append(old)
         self.servers.remove(old)
@@ -146,10 +146,10 @@
         return next((one for one in self.servers if one.ip == ip), None)
 
     def runs_of(self, request_id: str) -> int:
-        """Return how often a request ran, at servers that are gone too."""
+        """Return how often a request ran, including at servers that have ended."""
         return sum(server.count(request_id) for server in self.all_servers)
 
     @property
     def all_servers(self) -> Iterator[Server]:
-        """All servers of the run, those that are gone included."""
+        """All servers of the run, including those that have ended."""
         return itertools.chain(self.servers, self.ended_servers)
