--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: the same for a seed, and within what the group bears."""
+"""The drawn faults of a soak: reproducible, and within what the group tolerates."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 
 
 def test_a_second_disk_is_not_lost_while_the_first_catches_up() -> None:
-    # Seed 107 of the first release drew these: no disk was left to catch up from, and
-    # the group never recovered. That is more than it bears with one loss of three.
+    # Seed 107 of the first release drew these faults: no disk was left to catch up
+    # from, and the group never recovered. It tolerates one loss of three, not two.
     first = PlannedFault(0.95, 0.99, Wipe("c2"))
     frozen = PlannedFault(3.7, 2.45, Freeze("c3"))
     second = PlannedFault(6.34, 3.46, Wipe("c1"))
--- a/tools/soak/plan.py
+++ b/tools/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: drawn from a seed, in series and overlapping. No I/O."""
+"""Draws the faults of a run from a seed: in sequence and overlapping. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
     from collections.abc import Sequence
 
 FAULTS_PER_SECOND = 0.8
-"""Faults begun in a second; with their lengths, two are under way on average."""
+"""Faults that begin in a second; with their durations, two overlap on average."""
 MIN_DURATION, MAX_DURATION = 0.3, 4.0
-"""Seconds that a fault lasts."""
+"""Shortest and longest duration of a fault, in seconds."""
 DELAYS = (0.02, 0.1, 0.4)
-"""Seconds by which a slow link delays what it carries, each way."""
+"""Seconds by which a slow link delays bytes, in each direction."""
 SIGNAL_FRACTION = 0.5
-"""Part of the changes of settings that come with a signal."""
+"""Fraction of the changes of settings that come with a signal."""
 PLANNED_FRACTION = 0.4
-"""Part of the replacements in which the new box comes before the old one goes."""
+"""Fraction of the replacements that start the new box before the old one stops."""
 WHOLE_ROLE_FRACTION = 0.5
-"""Part of the standstills that concern all boxes of a role."""
+"""Fraction of the freezes that hit all boxes of a role."""
 GROUP_KILL_FRACTION = 0.3
-"""Part of the kills of a control process that take all of them at once."""
+"""Fraction of the kills of a control process that kill all of them at once."""
 SERVER_LINK_FRACTION = 0.3
-"""Part of the bad links that lead to servers."""
+"""Fraction of the bad links that lead to servers."""
 
 
 class LinkFault(StrEnum):
-    """What a link does wrong."""
+    """How a link misbehaves."""
 
     RESET = "reset"
     DELAY = "delay"
@@ -40,44 +40,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """A process is killed and started again later."""
+    """A process is killed and restarted later."""
 
     box: str
 
 
 @dataclass(frozen=True, slots=True)
 class KillControl:
-    """All control processes are killed at once; their disks stay."""
+    """All control processes are killed at once; their disks are kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """A process stands still for a time."""
+    """A process is stopped for some time, or its box is suspended."""
 
     box: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A planned stop; the process is started again once it has ended."""
+    """A planned stop; the process is restarted after it has ended."""
 
     box: str
 
 
 @dataclass(frozen=True, slots=True)
 class Wipe:
-    """A control process is killed and comes back with an empty disk."""
+    """A control process is killed and restarted with an empty disk."""
 
     box: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceBox:
-    """A control box is gone for good, and an empty one comes at another address.
+    """A control box is replaced by an empty one at another address.
 
     Args:
-        box: The box; later faults that name it meet its successor.
-        planned: Whether the new one comes first, and the old one is stopped.
+        box: The box; later faults that name it hit its successor.
+        planned: Whether the new box is started first and the old one then stopped.
     """
 
     box: str
@@ -86,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FullDisk:
-    """A control box's files cannot grow for a time."""
+    """The files of a control box cannot grow for some time."""
 
     box: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reload:
-    """The settings change, with or without a signal."""
+    """The settings of a box change, with or without a signal."""
 
     box: str
     signal: bool
@@ -111,21 +111,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerCrash:
-    """A server ends without a word and comes back as a new incarnation."""
+    """A server ends without notice and restarts as a new incarnation."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLeaves:
-    """A server announces its end, and a new one takes its address later."""
+    """A server announces that it leaves; a new one takes its address later."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnswersLost:
-    """A server runs requests and resets their connections for a time."""
+    """For some time, a server runs requests and then resets their connections."""
 
     server: str
 
@@ -148,12 +148,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault with its time.
+    """A fault with its time and duration.
 
     Args:
-        at: Seconds from the start.
-        length: Seconds that it lasts.
-        fault: What happens.
+        at: Seconds from the start of the run.
+        duration: Seconds that the fault lasts.
+        fault: The fault.
     """
 
     at: float
@@ -162,7 +162,7 @@
 
     @property
     def end(self) -> float:
-        """When it is over."""
+        """End of the fault, in seconds from the start of the run."""
         return self.at + self.duration
 
 
@@ -173,7 +173,7 @@
     Args:
         controls: Control boxes.
         entries: Entry boxes.
-        servers: Boxes with servers.
+        servers: Boxes that run servers.
     """
 
     controls: tuple[str, ...]
@@ -184,13 +184,13 @@
 def draw_faults(
     seed: int, seconds: float, boxes: Boxes, *, freezes: bool = False
 ) -> tuple[PlannedFault, ...]:
-    """Return the faults of a seed, in the order of their times.
+    """Return the faults of a seed, ordered by time.
 
-    With `standstills`, boxes stand still in place of faults that end a process; in half
-    of the cases all control boxes or all entries do so at once.
+    With `freezes`, boxes are frozen instead of faults that end a process; in half of
+    the cases, all control boxes or all entries at once.
 
-    Disks are lost and filled, and boxes replaced, one at a time, as the group bears one
-    loss; whatever else there is may overlap.
+    Only one disk is lost or filled, or box replaced, at a time, since the group
+    tolerates one loss. All other faults may overlap.
     """
     rng = random.Random(seed)
     planned: list[PlannedFault] = []
@@ -242,7 +242,7 @@
 def _draw_freezes(
     rng: random.Random, at: float, duration: float, boxes: Boxes
 ) -> list[PlannedFault]:
-    """Let one box stand still, or all of a role within some 100 ms."""
+    """Freeze one box, or all boxes of a role within 100 ms."""
     role = rng.choice([boxes.controls, boxes.entries])
     some = role if rng.random() < WHOLE_ROLE_FRACTION else (rng.choice(role),)
     return [
@@ -261,10 +261,10 @@
 
 
 def _space_disk_losses(planned: Sequence[PlannedFault]) -> tuple[PlannedFault, ...]:
-    """Drop faults of a disk that may come before the last one is mended and caught up.
+    """Drop each disk fault that could begin before the previous one is recovered from.
 
     A box that has lost its disk catches up only while the others run undisturbed, so
-    each other fault of control boxes puts the next loss off as well.
+    any other fault of a control box postpones the next permitted loss as well.
     """
     kept: list[PlannedFault] = []
     next_loss_at = 0.0
@@ -279,7 +279,7 @@
 
 
 def _disturbs_control(fault: Fault) -> bool:
-    """Tell whether a fault may keep a control box from catching up."""
+    """Return whether a fault may keep a control box from catching up."""
     match fault:
         case Kill() | KillControl() | Freeze():
             return True
