--- a/tools/soak/promise_checker.py
+++ b/tools/soak/promise_checker.py
@@ -1,4 +1,4 @@
-"""What the nodes promise, asked of what callers, servers and the operator saw."""
+"""Checks the nodes' promises against what callers, servers and the operator observed."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
     from tools.soak.soak_platform import SoakPlatform
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+"""Statuses which guarantee that a request has not run and never will."""
 FAULT_EFFECT_TIME = 4.0
-"""Seconds in which the effects of a fault last: a restart, an election, and the silence
-limit of links."""
+"""Seconds for which a fault has effects after its end: a restart, an election, and the
+silence limit of links."""
 ANSWER_SLACK = 0.5
-"""Seconds beyond a route's time limit in which its final answer is due."""
+"""Seconds beyond the time limit of a route until its answer must have ended."""
 LEAVING_SLACK = 2.0
-"""Seconds after which a leaving server gets nothing new: the bound of the tests."""
+"""Seconds after which a leaving server must get no new requests; the tests have the
+same bound."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,10 +34,10 @@
     """A promise that was not kept.
 
     Args:
-        promise: Its name.
+        promise: Name of the promise.
         at: Seconds from the start of the run.
-        request_id: Request that shows it, or an empty text.
-        detail: What was seen.
+        request_id: Request that broke it; empty if there is none.
+        detail: What was observed.
     """
 
     promise: str
@@ -50,11 +51,11 @@
 
 @dataclass
 class PromiseChecker:
-    """Checks calls as they end, and all that can be told only later at the end.
+    """Checks each call when it ends, and at the end what only then is certain.
 
     Args:
         platform: The nodes, servers and links.
-        timed: Whether bounds on time are checked, as a quiet machine allows.
+        timed: Whether time limits are checked, which needs an otherwise idle box.
     """
 
     platform: SoakPlatform
@@ -75,7 +76,7 @@
             self._check_time(call)
 
     def check_at_end(self) -> None:
-        """Check what holds for good: a late run shows only now."""
+        """Check all calls once more: a request may have run after its answer."""
         for call in self.calls:
             self._check_not_run(call)
             self._check_once(call)
@@ -87,24 +88,24 @@
         """Check a configuration that was read back.
 
         Args:
-            document: What was read.
+            document: Configuration that was read.
             least: Version that was acknowledged before the read began.
-            newest: Highest version ever sent.
+            newest: Highest version sent so far.
         """
         version = json.loads(document)["version"]
         kept = least <= version <= newest
         self._check("configuration kept", kept, "", f"read {version}, had {least}")
 
     def on_invalid_registration(self, refused: bool, detail: str) -> None:
-        """Check what became of a document that names no server."""
+        """Check that a document that is no valid registration was refused."""
         self._check("strangers refused", refused, "", detail)
 
     def check(self, promise: str, kept: bool, detail: str) -> None:
-        """Note a check that another part has made."""
+        """Record a check that was made elsewhere."""
         self._check(promise, kept, "", detail)
 
     def fail(self, promise: str, detail: str) -> None:
-        """Note a promise that another part found broken."""
+        """Record a broken promise that was found elsewhere."""
         self._check(promise, False, "", detail)
 
     def _check(self, promise: str, kept: bool, request_id: str, detail: str) -> None:
@@ -114,7 +115,7 @@
             self.broken.append(BrokenPromise(promise, at, request_id, detail))
 
     def _check_answer(self, call: Call) -> None:
-        """An answer is whole, of this request, and signed by a server that ran it."""
+        """Check that an answer is whole, of this request, and signed by its server."""
         if call.status != 200:
             return
         mine = call.headers.get(names.REQUEST_ID) == call.request_id
@@ -148,7 +149,7 @@
         self._check("answered in time", kept, call.request_id, f"took {took:.2f} s")
 
     def _check_planned_stop(self, call: Call) -> None:
-        """A planned stop ends no request that was sent to the entry."""
+        """Check that a planned stop cut no request that was sent to the entry."""
         disturbances = self.platform.disturbances
         if not disturbances.planned_work_began(call.entry, call.start, call.end):
             return
@@ -161,7 +162,7 @@
         self._check("stop cuts nothing", not call.cut, call.request_id, detail)
 
     def _check_leaving(self) -> None:
-        """A server that has left gets nothing new from any undisturbed entry."""
+        """Check that a server that has left got nothing new from undisturbed entries."""
         entries = {call.request_id: call.entry for call in self.calls}
         for server in self.platform.all_servers:
             if server.left_at is None:
@@ -182,7 +183,7 @@
         self._check("leaving is final", kept, run.request_id, detail)
 
     def _was_disturbed(self, box: str, call: Call, *, planned: bool = True) -> bool:
-        """Tell whether a box was disturbed during a call or shortly before it."""
+        """Return whether a box was disturbed during a call or shortly before it."""
         since = call.start - FAULT_EFFECT_TIME
         return self.platform.disturbances.was_disturbed(
             box, since, call.end, planned=planned
