--- a/tools/soak/pauses.py
+++ b/tools/soak/pauses.py
@@ -1,4 +1,4 @@
-"""Servers that turn all away and ask for a rest, or say in answers that they leave."""
+"""Servers that refuse everything and ask for a pause, or announce that they leave."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     from tools.soak.soak_platform import SoakPlatform
 
 MAX_INTERVAL = 1.0
-"""Longest pause between two servers that begin to rest or to leave, in seconds."""
+"""Longest interval between two servers that begin to pause or to leave, in seconds."""
 MIN_PAUSE, MAX_PAUSE = 0.6, 3.0
-"""Seconds of rest that a server asks for."""
+"""Shortest and longest pause that a server asks for, in seconds."""
 MAX_REFUSING_TIME = 3.0
-"""Longest time for which a server turns requests away, in seconds."""
+"""Longest time for which a server refuses requests, in seconds."""
 LEAVING_FRACTION = 0.2
-"""Part of the spells in which a server leaves instead, by the word of answers only."""
+"""Fraction of the turns in which a server leaves instead, announced only in answers."""
 LEAVING_TIME = 4.0
-"""Seconds from that word until it ends and starts anew."""
+"""Seconds from the announcement in answers until the server ends and restarts."""
 DRAIN_LIMIT = 2.0
-"""Seconds after such an answer in which new requests may come: the users' bound."""
+"""Seconds after such an answer in which new requests may arrive: the users' bound."""
 
 
 class ServerPauses:
-    """Has servers rest and leave at random, also several at a time.
+    """Makes servers pause and leave at random, also several at a time.
 
     Args:
         platform: The nodes, servers and links.
-        seed: Seed of the choices.
-        promises: Where checks are noted.
+        seed: Seed for servers and durations.
+        promises: Records the checks.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._promises = promises
 
     async def run(self) -> None:
-        """Go on until cancelled; what has begun ends first."""
+        """Pause servers until cancelled; pauses that have begun are ended first."""
         async with asyncio.TaskGroup() as group:
             while True:
                 await asyncio.sleep(self._rng.uniform(0, MAX_INTERVAL))
@@ -70,11 +70,11 @@
         try:
             await asyncio.sleep(LEAVING_TIME)
         finally:
-            # Its next start says nothing of the kind.
+            # The crash resets it: its next start does not announce that it leaves.
             server.crash()
 
     def check_at_end(self, *, timed: bool) -> None:
-        """Check what has reached servers against their words."""
+        """Check which requests reached servers against what these had asked for."""
         if not timed:
             return
         entries = {call.request_id: call.entry for call in self._promises.calls}
@@ -100,7 +100,7 @@
         self._promises.check("rest kept", kept, f"{rest.request_id}: {detail}")
 
     def _check_leaving(self, call: Call) -> None:
-        """Nothing that came in later than the bound reached that server."""
+        """Check that no request sent after the bound reached that server."""
         instance = call.headers.get(names.SIGNATURE, "").removeprefix("signed-")
         late = [
             later
@@ -119,7 +119,7 @@
     def _was_disturbed(
         self, entry: str, server: Server, since: float, until: float
     ) -> bool:
-        """Tell whether the entry, or its way to the server, was disturbed."""
+        """Return whether the entry, or its link to the server, was disturbed."""
         disturbances = self._platform.disturbances
         return disturbances.was_disturbed(
             entry, since - SLACK, until
