--- a/tools/soak/invalid_registrations.py
+++ b/tools/soak/invalid_registrations.py
@@ -1,4 +1,4 @@
-"""Somebody who writes to the control boxes what only looks like a registration."""
+"""Sends the control boxes documents that only look like a registration."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from tools.soak.soak_platform import SoakPlatform
 
 SEND_PAUSE = 0.1
-"""Seconds between two documents."""
+"""Interval between two documents, in seconds."""
 REFUSED = 400
 UNREACHABLE = (0, 503)
-"""Answers of a box that is gone or stands still."""
+"""Statuses of a box that is gone or frozen; 0 is no answer."""
 
 
 class InvalidRegistrations:
-    """Writes documents that name no server, for ids and addresses of real ones.
+    """Sends invalid registrations under the ids and addresses of real servers.
 
     Args:
         platform: The nodes, servers and links.
-        seed: Seed of what is written.
-        promises: Where it is checked that all of them are refused.
+        seed: Seed for the documents.
+        promises: Checks that all of them are refused.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._promises = promises
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Send documents until cancelled."""
         while True:
             await self._send()
             await asyncio.sleep(SEND_PAUSE)
@@ -52,7 +52,7 @@
         path = self._rng.choice([names.HEARTBEAT_PATH, names.LEAVE_PATH])
         document = self._malformed(server.heartbeat(self._rng.randrange(10_000)))
         if path == names.LEAVE_PATH:
-            # Only what states a wrong start is refused there.
+            # This path ignores all other fields; only a wrong start is refused.
             document = b'{"born":"%d"}' % self._rng.randrange(10_000)
         try:
             status = await tell(control, path.format(instance=instance), document)
@@ -63,7 +63,7 @@
             self._promises.on_invalid_registration(status == REFUSED, detail)
 
     def _malformed(self, valid: dict[str, Any]) -> bytes:
-        """Return a heartbeat with something wrong."""
+        """Return a malformed variant of a valid heartbeat."""
         field = self._rng.choice(["address", "service", "slots", "state", "sequence"])
         match self._rng.randrange(5):
             case 0:
--- a/tools/soak/promise_checker.py
+++ b/tools/soak/promise_checker.py
@@ -1,4 +1,4 @@
-"""Checks the nodes' promises against what callers, servers and the operator observed."""
+"""Checks the nodes' promises against what callers, servers and operators observed."""
 
 from __future__ import annotations
 
@@ -162,7 +162,7 @@
         self._check("stop cuts nothing", not call.cut, call.request_id, detail)
 
     def _check_leaving(self) -> None:
-        """Check that a server that has left got nothing new from undisturbed entries."""
+        """Check that undisturbed entries sent nothing new to a server that has left."""
         entries = {call.request_id: call.entry for call in self.calls}
         for server in self.platform.all_servers:
             if server.left_at is None:
