--- a/tests/soak/test_short.py
+++ b/tests/soak/test_short.py
@@ -1,4 +1,4 @@
-"""A short soak, and each seed that ever failed."""
+"""Short soak runs, including each seed that has failed before."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from pathlib import Path
 
 OPTIONS = SoakOptions(seconds=8.0, callers=4, timed=False)
-"""Bounds on time are not checked here, as CI may run beside other work."""
+"""Time limits are not checked here, since CI may run beside other work."""
 
 
 @pytest.mark.parametrize("seed", [41, 42])
@@ -77,5 +77,5 @@
     summary = await run_seed(tmp_path, seed, OPTIONS)
     assert not summary.broken, str(summary)
     assert summary.checked["whole answer"] > 0
-    # Once with every fault mended, and once more after all that may be lost was lost.
+    # Once after all faults are repaired, and once after the largest tolerated loss.
     assert summary.checked["recovered"] == 2
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -1,12 +1,12 @@
-"""When the soak takes a control group for whole.
+"""When the soak considers a control group complete.
 
-The story: with three control boxes, one of which may be lost, a run lost a second disk
-while the first box was still out, and nothing recovered. The box had been killed with
-its disk, and its next process had not written a line when the group was asked for; so
-the last line on its members was one of the process before, and named all three.
+Three control boxes tolerate one loss. A run wiped a second disk while the first wiped
+box had not recovered, so the group never did. The process of the first box had not
+logged anything yet when the group was checked, so its last `membership changed` line
+was from the process before, and named all three voters.
 
-The evidence, from the nodes' lines: 9.8 s `group health` of the leader misses the box
-for 1.5 s; no `started` of it before 15.0 s; 14.6 s another box starts without a disk.
+Log lines of the run: 9.8 s `group health` of the leader misses the box for 1.5 s; no
+`started` of it before 15.0 s; 14.6 s another box starts without a disk.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 def write_members(platform: SoakPlatform, box: str) -> None:
-    """Write the line of a control process that the whole group votes."""
+    """Write the log line of a control process that names the whole group as voters."""
     voters = [f"{ip}#first" for ip in platform.control_ips]
     line = {"message": "membership changed", "voters": voters, "learners": []}
     with open(platform.folder / f"{box}.log", "a", encoding="utf-8") as log:
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed from start to end."""
+"""Runs one seed of the soak from start to end."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
     from tools.soak.promise_checker import BrokenPromise
 
 MAX_CHANGE_PAUSE = 0.7
-"""Longest pause between two changes of the configuration, in seconds."""
+"""Longest interval between two changes of the configuration, in seconds."""
 RECOVERY_LIMIT = 90
-"""Seconds in which all works again once every fault is mended; far above the platform's
-15, as a machine that runs other work is slow to start processes."""
+"""Seconds in which everything must work again once all faults are repaired; far above
+the users' 15, since a box that runs other work is slow to start processes."""
 MAX_LOG_LINES = 12
-"""Log lines printed for a request of a broken promise."""
+"""Most log lines that are printed for the requests of broken promises."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """How much is run.
+    """Size of a run, and what is run in it.
 
     Args:
-        seconds: Length of the time in which faults begin.
-        entries: Entry boxes.
-        callers: Callers of each entry.
-        timed: Whether bounds on time are checked.
-        same_ids: Whether servers start again under their ids, while somebody writes
-            registrations that name none.
+        seconds: Length of the interval in which faults begin.
+        entries: Number of entry boxes.
+        callers: Callers per entry.
+        timed: Whether time limits are checked.
+        same_ids: Whether servers restart under the same id, while invalid registrations
+            are sent to the control boxes.
         deadly: Whether some requests crash the servers that begin them.
-        suspended: Whether boxes that stand still leave that time out of their steady
-            clocks.
-        evacuations: Whether an operator empties a failure domain again and again.
-        pauses: Whether servers turn all away and ask for rests, or leave by the word of
-            their answers only.
+        suspended: Whether frozen boxes are suspended, so that their steady clocks leave
+            out that time.
+        evacuations: Whether an operator repeatedly evacuates a failure domain.
+        pauses: Whether servers refuse everything and ask for pauses, or announce only
+            in answers that they leave.
     """
 
     seconds: float = 20.0
@@ -66,15 +66,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What a seed showed.
+    """Result of one seed.
 
     Args:
         seed: The seed.
-        faults: Faults injected, by kind.
-        answers: Calls by status of their answer; 0 for those that were cut.
-        checked: Checks by promise.
+        faults: Number of injected faults by kind.
+        answers: Number of calls by status; 0 for those that were cut.
+        checked: Number of checks by promise.
         broken: Promises that were not kept.
-        log_lines: Log lines on the requests of broken promises.
+        log_lines: Log lines of the requests of broken promises.
     """
 
     seed: int
@@ -96,9 +96,9 @@
     """Runs one seed.
 
     Args:
-        platform: The nodes, servers and links.
-        seed: Seed of faults and calls.
-        options: How much is run.
+        platform: The nodes, servers and links, not started yet.
+        seed: Seed for faults and calls.
+        options: Size of the run, and what is run in it.
     """
 
     def __init__(self, platform: SoakPlatform, seed: int, options: SoakOptions) -> None:
@@ -111,7 +111,7 @@
         self._sent_version = 1
 
     async def run(self) -> Summary:
-        """Return what the seed showed."""
+        """Run the seed and return its result."""
         platform = self._platform
         await platform.open()
         faults = draw_faults(
@@ -174,7 +174,7 @@
         await self._injector.inject(planned)
 
     async def _keep_changing_configuration(self, promises: PromiseChecker) -> None:
-        """Change the configuration again and again, and read it back."""
+        """Repeatedly change the configuration and read it back."""
         while True:
             self._sent_version += self._rng.randint(1, 5)
             status = await self._platform.operator.replace(document(self._sent_version))
@@ -207,22 +207,22 @@
             promises.fail("recovered", f"not within {RECOVERY_LIMIT} s: {exc}")
 
     async def _check_recovery(self, promises: PromiseChecker) -> None:
-        """With all faults mended, everything works again."""
+        """Check that everything works again once all faults are repaired."""
         await self._check_read_back(promises)
         for entry in self._platform.entry_ips:
             await self._platform.wait_ready(entry)
             await self._platform.wait_served(entry)
         await self._check_read_back(promises)
         await wait_until(
-            self._group_is_complete, "each control box votes, and none that is gone"
+            self._group_is_complete, "exactly the running control boxes are voters"
         )
         promises.checked["recovered"] += 1
 
     async def _group_is_complete(self) -> bool:
-        """Tell whether the group is made of the control boxes that run.
+        """Return whether the voters of the group are exactly the running control boxes.
 
-        Each of them has to say so: a box that lost its disk votes under its old name
-        until it has caught up, and then knows of no voters, or of a learner.
+        Each box has to report so: a box that lost its disk is a voter under its old
+        name until it has caught up; until then it knows no voters, or knows a learner.
         """
         platform = self._platform
         expected = set(platform.control_ips)
@@ -245,7 +245,7 @@
         )
 
     def _log_lines(self, broken: list[BrokenPromise]) -> tuple[str, ...]:
-        """Return the nodes' lines on the requests of broken promises."""
+        """Return the nodes' log lines of the requests of broken promises."""
         expected = {one.request_id for one in broken if one.request_id}
         log_lines = []
         for log in sorted(self._platform.folder.glob("*.log")):
@@ -256,7 +256,7 @@
 
 
 async def run_seed(folder: Path, seed: int, options: SoakOptions) -> Summary:
-    """Run one seed in an empty folder and return what it showed."""
+    """Run one seed in an empty folder and return its result."""
     platform = SoakPlatform(
         folder,
         entries=options.entries,
