--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -141,13 +141,13 @@
         """
         boxes = [path.stem for path in self._platform.folder.glob("*.log")]
         lines = [line for box in boxes for line in self._platform.log(box)]
-        fingerprints_written = {
+        written = {
             fingerprint
             for line in lines
             if line["message"] == VERDICT_WRITTEN
             for fingerprint in line["fingerprints"]
         }
-        return len(fingerprints_written) >= len(PATHS)
+        return len(written) >= len(PATHS)
 
     def _crashes_at(self, path: str) -> list[Run]:
         servers: list[Server] = list(self._platform.all_servers)
--- a/tools/soak/invalid_registrations.py
+++ b/tools/soak/invalid_registrations.py
@@ -62,22 +62,22 @@
             detail = f"status {status} for {document[:80]!r} of {instance}"
             self._promises.on_invalid_registration(status == REFUSED, detail)
 
-    def _malformed(self, valid: dict[str, Any]) -> bytes:
+    def _malformed(self, good: dict[str, Any]) -> bytes:
         """Return a malformed variant of a valid heartbeat."""
         field = self._rng.choice(["address", "service", "slots", "state", "sequence"])
         match self._rng.randrange(5):
             case 0:
                 return json.dumps(
-                    {k: v for k, v in valid.items() if k != field}
+                    {k: v for k, v in good.items() if k != field}
                 ).encode()
             case 1:
                 wrong: object = self._rng.choice([None, -1, 0.5, [], {}, True, ""])
-                return json.dumps(valid | {field: wrong}).encode()
+                return json.dumps(good | {field: wrong}).encode()
             case 2:
                 wrong = self._rng.choice([None, -1, 0, 0.5, "now", 10**30])
-                return json.dumps(valid | {"born": wrong}).encode()
+                return json.dumps(good | {"born": wrong}).encode()
             case 3:
-                whole = json.dumps(valid).encode()
+                whole = json.dumps(good).encode()
                 return whole[: self._rng.randrange(len(whole))]
             case _:
                 return self._rng.randbytes(40)
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -85,8 +85,8 @@
     log_lines: tuple[str, ...]
 
     def __str__(self) -> str:
-        outcome = "BROKEN" if self.broken else "kept"
-        parts = [f"seed {self.seed}: {outcome}", f"faults {self.faults}"]
+        verdict = "BROKEN" if self.broken else "kept"
+        parts = [f"seed {self.seed}: {verdict}", f"faults {self.faults}"]
         parts += [f"answers {dict(sorted(self.answers.items()))}"]
         parts += [f"checked {self.checked}"]
         return "\n  ".join([*parts, *map(str, self.broken), *self.log_lines])
