--- a/tools/faults.py
+++ b/tools/faults.py
@@ -113,7 +113,7 @@
     link = FaultyLink(row["sidecar_port"])
     row["sidecar_port"] = link.port
     await link.start()
-    fleet.on_close(link.close)
+    fleet.add_cleanup(link.close)
     return link
 
 
@@ -128,7 +128,7 @@
             continue
         _redirect(node.settings, fleet.replicas[name]["port"], link.port)
     await link.start()
-    fleet.on_close(link.close)
+    fleet.add_cleanup(link.close)
     return link
 
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -56,7 +56,7 @@
         self.operator_ports: list[int] = []
         self.platform_list = ""
         self._http: aiohttp.ClientSession | None = None
-        self._closers: list[Callable[[], Awaitable[None]]] = []
+        self._cleanups: list[Callable[[], Awaitable[None]]] = []
         self._clocks: dict[str, SteadyClock] = {}
 
     @property
@@ -72,17 +72,17 @@
         """End every process that was started here."""
         if self._http is not None:
             await self._http.close()
-        for closer in self._closers:
-            await closer()
+        for cleanup in self._cleanups:
+            await cleanup()
         for node in self.nodes.values():
             if node.process is not None:
                 with contextlib.suppress(ProcessLookupError):
                     node.signal(signal.SIGCONT)
                 node.kill()
 
-    def on_close(self, closer: Callable[[], Awaitable[None]]) -> None:
+    def add_cleanup(self, cleanup: Callable[[], Awaitable[None]]) -> None:
         """Have something closed with the fleet."""
-        self._closers.append(closer)
+        self._cleanups.append(cleanup)
 
     # Description
 
@@ -125,8 +125,8 @@
     ) -> None:
         """Describe an upstream with its stand-in and its sidecar."""
         port = self.ports.reserve()
-        settings = {"kind": kind, "listen": _at(port), "slots": slots, **standin}
-        self._add(name, "standin", settings, [port], port)
+        settings = {"kind": kind, "listen": _endpoint(port), "slots": slots, **standin}
+        self._add_node(name, "standin", settings, [port], port)
         inner, admin = self.ports.reserve(), self.ports.reserve()
         row = {
             "name": name,
@@ -143,18 +143,18 @@
         sidecar = {
             "identity": self._identity(f"sidecar-{name}", f"box-{name}"),
             "upstream": name,
-            "listen": _at(inner),
-            "admin": _at(admin),
+            "listen": _endpoint(inner),
+            "admin": _endpoint(admin),
             "control": self.control_endpoints(),
             "platform_list": self.platform_list,
         }
-        self._add(f"sidecar-{name}", "sidecar", sidecar, [inner, admin], admin)
+        self._add_node(f"sidecar-{name}", "sidecar", sidecar, [inner, admin], admin)
 
     def add_platform(self) -> None:
         """Describe the platform's list; before the upstreams that read it."""
         port = self.ports.reserve()
-        settings = {"kind": "platform", "listen": _at(port)}
-        self._add("platform", "standin", settings, [port], port)
+        settings = {"kind": "platform", "listen": _endpoint(port)}
+        self._add_node("platform", "standin", settings, [port], port)
         self.platform_list = self.url("platform", "/boxes")
 
     def add_entry(self, name: str, **settings: Any) -> None:
@@ -162,16 +162,16 @@
         port = self.ports.reserve()
         data = {
             "identity": self._identity(name, f"box-{name}"),
-            "listen": _at(port),
+            "listen": _endpoint(port),
             "control": self.control_endpoints(),
             **settings,
         }
-        self._add(name, "entry", data, [port], port)
+        self._add_node(name, "entry", data, [port], port)
 
     def add_control(self, count: int = 3) -> None:
         """Describe the control replicas; before entries and upstreams."""
         names = [f"control-{number}" for number in range(1, count + 1)]
-        self.replicas = {name: _at(self.ports.reserve()) for name in names}
+        self.replicas = {name: _endpoint(self.ports.reserve()) for name in names}
         for name in names:
             operator, admin = self.ports.reserve(), self.ports.reserve()
             self.operator_ports.append(operator)
@@ -180,13 +180,13 @@
             settings = {
                 "identity": self._identity(name, f"box-{name}"),
                 "replicas": self.replicas,
-                "operator": _at(operator),
-                "admin": _at(admin),
+                "operator": _endpoint(operator),
+                "admin": _endpoint(admin),
                 "data_dir": str(data_dir),
                 "operators": {"anna": sha256(OPERATOR_TOKEN)},
             }
             inner = self.replicas[name]["port"]
-            self._add(name, "control", settings, [inner, operator, admin], admin)
+            self._add_node(name, "control", settings, [inner, operator, admin], admin)
 
     def control_endpoints(self) -> list[dict[str, Any]]:
         """Return the inner addresses of the replicas."""
@@ -249,7 +249,7 @@
         for name in self.names("entry"):
             for row in self.config["upstreams"]:
                 upstream = row["name"]
-                check = partial(self._sees, name, upstream)
+                check = partial(self._is_usable, name, upstream)
                 await wait_until(check, f"{name} may use {upstream}")
 
     async def is_ready(self, name: str) -> bool:
@@ -266,8 +266,8 @@
             text = await resp.text()
         values = {}
         for line in text.splitlines():
-            head, _, value = line.rpartition(" ")
-            base, _, labels = head.partition("{")
+            series, _, value = line.rpartition(" ")
+            base, _, labels = series.partition("{")
             if base == f"leadseam_{metric}":
                 values[labels.rstrip("}")] = float(value)
         return values
@@ -357,14 +357,14 @@
                     total[key] = total.get(key, 0) + count
         return total
 
-    async def _sees(self, entry: str, upstream: str) -> bool:
+    async def _is_usable(self, entry: str, upstream: str) -> bool:
         values = await self.metric(entry, "sidecar_usable")
         return values.get(f'upstream="{upstream}"') == 1.0
 
     def _identity(self, node: str, box: str) -> dict[str, str]:
         return {"node": node, "box": box, "failure_domain": "a"}
 
-    def _add(
+    def _add_node(
         self,
         name: str,
         program: str,
@@ -375,5 +375,5 @@
         self.nodes[name] = Node(name, program, settings, ports, admin, self.folder)
 
 
-def _at(port: int) -> dict[str, Any]:
+def _endpoint(port: int) -> dict[str, Any]:
     return {"ip": LOOPBACK, "port": port}
