--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on loopback, for tests and measurements."""
+"""A fleet of real processes on the loopback address, for tests and measurements."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """All processes of a test, and their addresses.
 
     Args:
-        folder: Where settings, logs and data go.
+        folder: Folder for settings, logs and data.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -61,7 +61,7 @@
 
     @property
     def http(self) -> aiohttp.ClientSession:
-        """A client session for the whole test."""
+        """Client session that is shared by the whole test."""
         if self._http is None:
             connector = LoopConnector(keepalive=KEEPALIVE_S)
             timeout = aiohttp.ClientTimeout(total=120)
@@ -69,7 +69,7 @@
         return self._http
 
     async def close(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes of the fleet and run the cleanups."""
         if self._http is not None:
             await self._http.close()
         for cleanup in self._cleanups:
@@ -81,10 +81,10 @@
                 node.kill()
 
     def add_cleanup(self, cleanup: Callable[[], Awaitable[None]]) -> None:
-        """Have something closed with the fleet."""
+        """Register a function that is called when the fleet is closed."""
         self._cleanups.append(cleanup)
 
-    # Description
+    # Configuration
 
     def add_account(
         self,
@@ -95,7 +95,7 @@
         services: tuple[str, ...] = (),
         max_waiting: int = 2_000,
     ) -> None:
-        """Describe a client account whose key is `key-NAME`."""
+        """Add a client account whose key is `key-NAME`."""
         row = {
             "name": name,
             "share": share,
@@ -107,7 +107,7 @@
         self.config["accounts"].append(row)
 
     def add_pool(self, name: str, *, model: str = "") -> None:
-        """Describe a pool: of engines if it has a model, else of services."""
+        """Add a pool: of engines if it has a model, else of services."""
         row = {"name": name, "kind": "engine" if model else "service"}
         if model:
             row |= {"model": model, "version": "1"}
@@ -123,7 +123,7 @@
         failure_domain: str = "a",
         **standin: Any,
     ) -> None:
-        """Describe an upstream with its stand-in and its sidecar."""
+        """Add an upstream with its stand-in and its sidecar."""
         port = self.ports.reserve()
         settings = {"kind": kind, "listen": _endpoint(port), "slots": slots, **standin}
         self._add_node(name, "standin", settings, [port], port)
@@ -151,14 +151,14 @@
         self._add_node(f"sidecar-{name}", "sidecar", sidecar, [inner, admin], admin)
 
     def add_platform(self) -> None:
-        """Describe the platform's list; before the upstreams that read it."""
+        """Add the stand-in of the platform's list; call it before `add_upstream`."""
         port = self.ports.reserve()
         settings = {"kind": "platform", "listen": _endpoint(port)}
         self._add_node("platform", "standin", settings, [port], port)
         self.platform_list = self.url("platform", "/boxes")
 
     def add_entry(self, name: str, **settings: Any) -> None:
-        """Describe an entry."""
+        """Add an entry."""
         port = self.ports.reserve()
         data = {
             "identity": self._identity(name, f"box-{name}"),
@@ -169,7 +169,7 @@
         self._add_node(name, "entry", data, [port], port)
 
     def add_control(self, count: int = 3) -> None:
-        """Describe the control replicas; before entries and upstreams."""
+        """Add the control replicas; call it before `add_entry` and `add_upstream`."""
         names = [f"control-{number}" for number in range(1, count + 1)]
         self.replicas = {name: _endpoint(self.ports.reserve()) for name in names}
         for name in names:
@@ -189,13 +189,13 @@
             self._add_node(name, "control", settings, [inner, operator, admin], admin)
 
     def control_endpoints(self) -> list[dict[str, Any]]:
-        """Return the inner addresses of the replicas."""
+        """Return the inner endpoints of the control replicas."""
         return list(self.replicas.values())
 
-    # Life
+    # Processes
 
     def start(self, name: str, *extra: str) -> None:
-        """Start a process."""
+        """Write the settings of a process and start it."""
         node = self.nodes[name]
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(node.settings))
@@ -208,7 +208,7 @@
             )
 
     def make_suspendable(self, name: str) -> None:
-        """Have a process started so that it can be suspended."""
+        """Let a process be suspended later; call it before `start`."""
         self._clocks[name] = SteadyClock(self.folder / f"{name}.left-out")
 
     async def suspend(self, name: str, length: float) -> None:
@@ -223,7 +223,7 @@
         return [suspension.MODULE, str(self._clocks[node.name].file), node.program]
 
     async def start_all(self) -> None:
-        """Start everything, apply the configuration and wait until all is ready."""
+        """Start all processes, apply the configuration and wait until all are ready."""
         control = self.names("control")
         for name in control:
             self.start(name, "--found")
@@ -236,16 +236,16 @@
         await self.wait_healthy()
 
     def names(self, program: str) -> list[str]:
-        """List the processes of a program."""
+        """Return the names of the processes of a program."""
         return [node.name for node in self.nodes.values() if node.program == program]
 
     async def wait_ready(self, *names: str) -> None:
-        """Wait until processes say that they are ready."""
+        """Wait until processes report that they are ready."""
         for name in names:
             await wait_until(partial(self.is_ready, name), f"{name} is ready")
 
     async def wait_healthy(self) -> None:
-        """Wait until every entry may send work to every upstream."""
+        """Wait until every entry may use every upstream."""
         for name in self.names("entry"):
             for row in self.config["upstreams"]:
                 upstream = row["name"]
@@ -253,7 +253,7 @@
                 await wait_until(check, f"{name} may use {upstream}")
 
     async def is_ready(self, name: str) -> bool:
-        """Tell whether a process says that it is ready."""
+        """Return whether a process reports that it is ready."""
         try:
             async with self.http.get(self.url(name, "/readyz")) as resp:
                 return resp.status == 200
@@ -261,7 +261,7 @@
             return False
 
     async def metric(self, name: str, metric: str) -> dict[str, float]:
-        """Return the values of a metric by its labels, as text."""
+        """Return the values of a metric by the text of their labels."""
         async with self.http.get(self.url(name, "/metrics")) as resp:
             text = await resp.text()
         values = {}
@@ -273,7 +273,7 @@
         return values
 
     def url(self, name: str, path: str) -> str:
-        """Return a URL at the admin port (for an entry, the callers' port)."""
+        """Return a URL at the admin port (for an entry, at the callers' port)."""
         return f"http://{LOOPBACK}:{self.nodes[name].admin}{path}"
 
     # Operators
@@ -295,14 +295,14 @@
         return process.returncode, out.decode()
 
     async def apply(self) -> int:
-        """Have the described configuration accepted."""
+        """Apply the configuration by leadseamctl and return the exit code."""
         path = self.folder / "desired.yaml"
         path.write_text(yaml.safe_dump(self.config))
         code, _ = await self.ctl("apply", str(path))
         return code
 
     async def wait_in_force(self, version: int) -> None:
-        """Wait until every live node has a version in force."""
+        """Wait until a version is in force at every live node."""
         code, out = await self.ctl("--json", "wait", str(version), "--timeout", "60000")
         assert code == 0, out
 
@@ -317,7 +317,7 @@
         tokens: int = 8,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes]:
-        """Send a streamed chat request and return status and body."""
+        """Send a streaming chat request; return status and body."""
         body = {
             "model": model,
             "messages": [{"role": "user", "content": "explain the rate sheet"}],
@@ -335,7 +335,7 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes]:
-        """Send a POST of an account and return status and body."""
+        """Send a POST request of an account; return status and body."""
         all_headers = {
             "Authorization": f"Bearer key-{account}",
             "Content-Type": "application/json",
@@ -347,7 +347,7 @@
             return resp.status, await resp.read()
 
     async def runs(self) -> dict[str, int]:
-        """Return how often each named call ran, over all service stand-ins."""
+        """Return how often each named call ran, summed over the service stand-ins."""
         total: dict[str, int] = {}
         for node in self.nodes.values():
             if node.program != "standin" or node.settings["kind"] != "service":
