--- a/tools/load.py
+++ b/tools/load.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-CHUNK_END = b"data: [DONE]\n\n"
-TOKEN = b'"delta"'
+STREAM_END = b"data: [DONE]\n\n"
+TOKEN_MARKER = b'"delta"'
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,26 +38,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class RequestResult:
     """One request as its caller saw it.
 
     Args:
         account: Its account.
         start: When it was sent, in seconds.
-        first: When the first byte came, or 0.
+        first_byte_at: When the first byte came, or 0.
         end: When it ended.
         status: HTTP status; 0 for a broken connection.
-        whole: Whether the answer was complete.
+        complete: Whether the answer was complete.
         tokens: Tokens received.
         code: Stable code of an error, or empty.
     """
 
     account: str
     start: float
-    first: float
+    first_byte_at: float
     end: float
     status: int
-    whole: bool
+    complete: bool
     tokens: int
     code: str = ""
 
@@ -65,7 +65,9 @@
 class Route(Protocol):
     """Where a request goes: through an entry, or straight to an upstream."""
 
-    async def __call__(self, load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
+    async def __call__(
+        self, load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
         """Send one request and return what was seen; counts tokens as they come."""
 
 
@@ -82,14 +84,14 @@
     loads: Sequence[AccountLoad]
     route: Route
     seed: int = 1
-    seen: list[Seen] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
     stopping: bool = False
     tokens: Counter[str] = field(default_factory=Counter)
 
     async def run_for(self, seconds: float) -> None:
         """Run all callers for a time, then have them hang up."""
         callers = [
-            asyncio.create_task(self._caller(load, number))
+            asyncio.create_task(self._run_caller(load, number))
             for load in self.loads
             for number in range(load.callers)
         ]
@@ -99,12 +101,12 @@
             caller.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
 
-    async def _caller(self, load: AccountLoad, number: int) -> None:
+    async def _run_caller(self, load: AccountLoad, number: int) -> None:
         rng = random.Random(f"{self.seed}/{load.account}/{number}")
         while not self.stopping:
             size = rng.randint(*load.tokens)
             result = await self.route(load, size, self.tokens)
-            self.seen.append(result)
+            self.results.append(result)
             if result.status not in (200,):
                 await asyncio.sleep(0.1)
 
@@ -121,8 +123,8 @@
     key: str,
     account: str,
     body: bytes,
-    got: Counter[str],
-) -> Seen:
+    token_counts: Counter[str],
+) -> RequestResult:
     """Send a streamed chat and read its answer to the end.
 
     Args:
@@ -131,28 +133,30 @@
         key: Bearer key.
         account: Account of the key.
         body: The request.
-        got: Tokens by account, counted as they come.
+        token_counts: Tokens by account, counted as they come.
     """
     headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
     start = time.monotonic()
-    first = 0.0
+    first_byte_at = 0.0
     status = 0
     data = bytearray()
     with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
         async with session.post(url, data=body, headers=headers) as resp:
             status = resp.status
             async for part in resp.content.iter_any():
-                first = first or time.monotonic()
+                first_byte_at = first_byte_at or time.monotonic()
                 data += part
-                got[account] += part.count(TOKEN)
+                token_counts[account] += part.count(TOKEN_MARKER)
     end = time.monotonic()
-    whole = status == 200 and data.endswith(CHUNK_END)
-    tokens = data.count(TOKEN)
-    code = _code(bytes(data)) if status not in (0, 200) else ""
-    return Seen(account, start, first, end, status, whole, tokens, code)
+    complete = status == 200 and data.endswith(STREAM_END)
+    tokens = data.count(TOKEN_MARKER)
+    code = _error_code(bytes(data)) if status not in (0, 200) else ""
+    return RequestResult(
+        account, start, first_byte_at, end, status, complete, tokens, code
+    )
 
 
-def _code(data: bytes) -> str:
+def _error_code(data: bytes) -> str:
     with contextlib.suppress(ValueError, KeyError, TypeError):
         return str(json.loads(data)["error"]["code"])
     return "unreadable"
@@ -164,13 +168,15 @@
     """Send through entries, in turn for each account."""
     turns: dict[str, int] = {}
 
-    async def send(load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
+    async def send(
+        load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
         turn = turns.get(load.account, 0)
         turns[load.account] = turn + 1
         url = urls[load.entries[turn % len(load.entries)]]
         key = f"key-{load.account}"
         body = chat_body(model, tokens)
-        return await stream_chat(session, url, key, load.account, body, got)
+        return await stream_chat(session, url, key, load.account, body, token_counts)
 
     return send
 
@@ -192,25 +198,27 @@
     """
     in_flight: dict[str, dict[str, int]] = {}
 
-    async def send(load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
+    async def send(
+        load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
         entry = load.entries[0]
         counts = in_flight.setdefault(entry, dict.fromkeys(upstreams, 0))
         url = choose(counts)
         counts[url] += 1
         body = chat_body(model, tokens)
         try:
-            return await stream_chat(session, url, "", load.account, body, got)
+            return await stream_chat(session, url, "", load.account, body, token_counts)
         finally:
             counts[url] -= 1
 
     return send
 
 
-def least_in_flight(counts: dict[str, int]) -> str:
+def choose_least_in_flight(counts: dict[str, int]) -> str:
     """Choose the upstream with the fewest requests of this entry in flight."""
     return min(counts, key=lambda url: (counts[url], random.random()))
 
 
-def at_random(counts: dict[str, int]) -> str:
+def choose_random(counts: dict[str, int]) -> str:
     """Choose any upstream."""
     return random.choice(list(counts))
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -28,9 +28,9 @@
     AccountLoad,
     Driver,
     Route,
-    at_random,
+    choose_least_in_flight,
+    choose_random,
     entry_route,
-    least_in_flight,
     push_route,
 )
 
@@ -226,7 +226,9 @@
     cpu = (observer.cpu() - cpu_before) / elapsed
     await running
     print(f"{case}: grants {await observer.grants()}")
-    waits = [one.first - one.start for one in driver.seen if one.first]
+    waits = [
+        one.first_byte_at - one.start for one in driver.results if one.first_byte_at
+    ]
     totals = {name: round(got) for name, got in observer.samples.totals().items()}
     print(f"{case}: tokens by account {totals}")
     return Result(
@@ -238,8 +240,8 @@
         cpu=100 * cpu / observer.count,
         wait_p50=percentile(waits, 0.5),
         wait_p95=percentile(waits, 0.95),
-        requests=len(driver.seen),
-        broken=sum(not one.whole for one in driver.seen),
+        requests=len(driver.results),
+        broken=sum(not one.complete for one in driver.results),
     )
 
 
@@ -276,8 +278,8 @@
             ]
             http = fleet.http
             bound = entry_route(http, urls, MODEL)
-            random_push = push_route(http, engines, MODEL, at_random)
-            least_push = push_route(http, engines, MODEL, least_in_flight)
+            random_push = push_route(http, engines, MODEL, choose_random)
+            least_push = push_route(http, engines, MODEL, choose_least_in_flight)
 
             async def cut(fleet: Fleet) -> None:
                 pid = fleet.nodes["entry-2"].pid
--- a/tools/path_cost.py
+++ b/tools/path_cost.py
@@ -73,9 +73,9 @@
     times = []
     got: Counter[str] = Counter()
     for _ in range(LATENCY_CALLS):
-        seen = await stream_chat(fleet.http, url, key, "", chat_body(MODEL, 1), got)
-        assert seen.whole
-        times.append((seen.first - seen.start) * 1_000)
+        result = await stream_chat(fleet.http, url, key, "", chat_body(MODEL, 1), got)
+        assert result.complete
+        times.append((result.first_byte_at - result.start) * 1_000)
     return times
 
 
