--- a/tools/load.py
+++ b/tools/load.py
@@ -1,4 +1,4 @@
-"""A load driver: closed-loop callers of several accounts, and what they saw."""
+"""A load driver: closed-loop callers of several accounts, and their results."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLoad:
-    """What one account asks for.
+    """Load of one account.
 
     Args:
-        account: Its name.
+        account: Name of the account.
         callers: Requests that it keeps open at any time.
         entries: Entries that its callers use.
-        tokens: Least and most tokens of a request.
+        tokens: Fewest and most tokens of a request.
     """
 
     account: str
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestResult:
-    """One request as its caller saw it.
+    """Result of one request as its caller saw it.
 
     Args:
-        account: Its account.
-        start: When it was sent, in seconds.
-        first_byte_at: When the first byte came, or 0.
+        account: Account that sent it.
+        start: When it was sent, in seconds on the monotonic clock.
+        first_byte_at: When the first byte arrived, or 0.
         end: When it ended.
         status: HTTP status; 0 for a broken connection.
         complete: Whether the answer was complete.
         tokens: Tokens received.
-        code: Stable code of an error, or empty.
+        code: Stable error code, or empty.
     """
 
     account: str
@@ -63,22 +63,22 @@
 
 
 class Route(Protocol):
-    """Where a request goes: through an entry, or straight to an upstream."""
+    """Sends requests by one path: through an entry, or directly to an upstream."""
 
     async def __call__(
         self, load: AccountLoad, tokens: int, token_counts: Counter[str]
     ) -> RequestResult:
-        """Send one request and return what was seen; counts tokens as they come."""
+        """Send one request and return its result; count tokens as they arrive."""
 
 
 @dataclass(slots=True)
 class Driver:
-    """Keeps every account's callers busy until stopped.
+    """Keeps the callers of every account busy until stopped.
 
     Args:
-        loads: The accounts.
-        route: How requests are sent.
-        seed: Seed of the requests' sizes.
+        loads: Loads of the accounts.
+        route: Sends the requests.
+        seed: Seed for the sizes of requests.
     """
 
     loads: Sequence[AccountLoad]
@@ -89,7 +89,7 @@
     tokens: Counter[str] = field(default_factory=Counter)
 
     async def run_for(self, seconds: float) -> None:
-        """Run all callers for a time, then have them hang up."""
+        """Run all callers for some seconds, then cancel them."""
         callers = [
             asyncio.create_task(self._run_caller(load, number))
             for load in self.loads
@@ -112,7 +112,7 @@
 
 
 def chat_body(model: str, tokens: int) -> bytes:
-    """Return a streamed chat request."""
+    """Return the body of a streaming chat request."""
     body = {"model": model, "max_tokens": tokens, "stream": True, "messages": []}
     return json.dumps(body).encode()
 
@@ -125,15 +125,15 @@
     body: bytes,
     token_counts: Counter[str],
 ) -> RequestResult:
-    """Send a streamed chat and read its answer to the end.
+    """Send a streaming chat request and read its answer to the end.
 
     Args:
         session: Client session.
-        url: Where to.
+        url: URL to send to.
         key: Bearer key.
         account: Account of the key.
-        body: The request.
-        token_counts: Tokens by account, counted as they come.
+        body: Body of the request.
+        token_counts: Tokens by account, counted as they arrive.
     """
     headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
     start = time.monotonic()
@@ -165,7 +165,7 @@
 def entry_route(
     session: aiohttp.ClientSession, urls: dict[str, str], model: str
 ) -> Route:
-    """Send through entries, in turn for each account."""
+    """Return a route through entries, which each account uses in turn."""
     turns: dict[str, int] = {}
 
     async def send(
@@ -187,14 +187,16 @@
     model: str,
     choose: Callable[[dict[str, int]], str],
 ) -> Route:
-    """Send straight to an upstream chosen on arrival, as a pushing entry would.
+    """Return a route directly to upstreams, each chosen when a request arrives.
+
+    This is what an entry would do that pushes work instead of binding it late.
 
     Args:
         session: Client session.
         upstreams: URLs of the upstreams.
-        model: Model to ask for.
-        choose: Picks a URL from the requests in flight at each, as one entry sees
-            them.
+        model: Model to request.
+        choose: Chooses a URL by the number of requests in flight at each, as known to
+            one entry.
     """
     in_flight: dict[str, dict[str, int]] = {}
 
@@ -215,10 +217,10 @@
 
 
 def choose_least_in_flight(counts: dict[str, int]) -> str:
-    """Choose the upstream with the fewest requests of this entry in flight."""
+    """Return the upstream with the fewest requests of this entry in flight."""
     return min(counts, key=lambda url: (counts[url], random.random()))
 
 
 def choose_random(counts: dict[str, int]) -> str:
-    """Choose any upstream."""
+    """Return a random upstream."""
     return random.choice(list(counts))
