--- a/tools/faults.py
+++ b/tools/faults.py
@@ -33,9 +33,11 @@
         if port is not None:
             self._proxy.proxy_port = port
         self.delay = 0.0
-        self._towards = asyncio.Event()
-        self._back = asyncio.Event()
-        self._proxy.set_content_processors(self._pass_towards, self._pass_back)
+        self._to_target_open = asyncio.Event()
+        self._from_target_open = asyncio.Event()
+        self._proxy.set_content_processors(
+            self._forward_to_target, self._forward_from_target
+        )
         self.release()
 
     @property
@@ -64,19 +66,19 @@
             to_target: Hold what goes to the process behind the proxy.
             from_target: Hold what comes from it.
         """
-        _set(self._towards, not to_target)
-        _set(self._back, not from_target)
+        _set_event(self._to_target_open, not to_target)
+        _set_event(self._from_target_open, not from_target)
 
     def release(self) -> None:
         """Let everything flow again, the held bytes first."""
         self.hold(to_target=False, from_target=False)
 
-    async def hold_peer(self, pid: int, seconds: float) -> None:
+    async def hold_process(self, pid: int, seconds: float) -> None:
         """Silently hold the connections of one process, new ones too, for a time."""
-        held = asyncio.Event()
+        released = asyncio.Event()
 
         async def wait(chunk: bytes) -> bytes:
-            await held.wait()
+            await released.wait()
             return chunk
 
         end = time.monotonic() + seconds
@@ -87,20 +89,20 @@
                     client.read_processor = wait
                     client.write_processor = wait
             await asyncio.sleep(SCAN_INTERVAL)
-        held.set()
+        released.set()
 
-    async def _pass_towards(self, chunk: bytes) -> bytes:
+    async def _forward_to_target(self, chunk: bytes) -> bytes:
         await asyncio.sleep(self.delay)
-        await self._towards.wait()
+        await self._to_target_open.wait()
         return chunk
 
-    async def _pass_back(self, chunk: bytes) -> bytes:
+    async def _forward_from_target(self, chunk: bytes) -> bytes:
         await asyncio.sleep(self.delay)
-        await self._back.wait()
+        await self._from_target_open.wait()
         return chunk
 
 
-def _set(event: asyncio.Event, value: bool) -> None:
+def _set_event(event: asyncio.Event, value: bool) -> None:
     if value:
         event.set()
     else:
@@ -137,11 +139,11 @@
         endpoints = settings.get(key)
         if isinstance(endpoints, dict):
             settings[key] = {
-                name: _moved(end, old, new) for name, end in endpoints.items()
+                name: _replace_port(end, old, new) for name, end in endpoints.items()
             }
         elif isinstance(endpoints, list):
-            settings[key] = [_moved(end, old, new) for end in endpoints]
+            settings[key] = [_replace_port(end, old, new) for end in endpoints]
 
 
-def _moved(endpoint: dict[str, object], old: int, new: int) -> dict[str, object]:
+def _replace_port(endpoint: dict[str, object], old: int, new: int) -> dict[str, object]:
     return {**endpoint, "port": new if endpoint["port"] == old else endpoint["port"]}
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -283,7 +283,7 @@
 
             async def cut(fleet: Fleet) -> None:
                 pid = fleet.nodes["entry-2"].pid
-                await asyncio.gather(*(link.hold_peer(pid, CUT) for link in links))
+                await asyncio.gather(*(link.hold_process(pid, CUT) for link in links))
 
             cases: list[tuple[str, Route, Disturbance | None]] = [
                 ("push at random", random_push, None),
