--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,4 +1,4 @@
-"""Faults on the links of a fleet, by the fault-injecting proxy of aiomisc-pytest."""
+"""Faults on the links of a fleet, injected by the TCP proxy of aiomisc-pytest."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from tools.fleet import Fleet
 
 SCAN_INTERVAL = 0.02
+"""Seconds between two scans for new connections of a held process."""
 
 
 class FaultyLink:
-    """A proxy before one listening address.
+    """A proxy in front of one listening address.
 
     Args:
-        target: Port of the process behind it.
-        ip: Address of that process and of the proxy. Defaults to the loopback one.
-        port: Port to listen on. Defaults to one that the system gives.
+        target: Port of the process behind the proxy.
+        ip: Address of that process and of the proxy. Defaults to loopback.
+        port: Port to listen on. Defaults to one chosen by the system.
     """
 
     def __init__(
@@ -47,34 +48,37 @@
         return port
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         await self._proxy.start()
 
     async def close(self) -> None:
-        """Cut everything and end."""
+        """Cut all connections and stop listening."""
         self.release()
         await self._proxy.close()
 
     async def cut(self) -> None:
-        """Break all connections, as a crash of the other side would."""
+        """Cut all connections, as a crash of the other side would."""
         await self._proxy.disconnect_all()
 
     def hold(self, *, to_target: bool = True, from_target: bool = True) -> None:
-        """Silently hold what is sent, in one direction or both.
+        """Silently hold back bytes, in one direction or both.
 
         Args:
-            to_target: Hold what goes to the process behind the proxy.
-            from_target: Hold what comes from it.
+            to_target: Whether to hold bytes to the process behind the proxy.
+            from_target: Whether to hold bytes from that process.
         """
         _set_event(self._to_target_open, not to_target)
         _set_event(self._from_target_open, not from_target)
 
     def release(self) -> None:
-        """Let everything flow again, the held bytes first."""
+        """Forward bytes again in both directions, the held ones first."""
         self.hold(to_target=False, from_target=False)
 
     async def hold_process(self, pid: int, seconds: float) -> None:
-        """Silently hold the connections of one process, new ones too, for a time."""
+        """Silently hold all connections of one process for some seconds.
+
+        Connections that it opens meanwhile are held as well.
+        """
         released = asyncio.Event()
 
         async def wait(chunk: bytes) -> bytes:
@@ -110,7 +114,7 @@
 
 
 async def proxy_sidecar(fleet: Fleet, upstream: str) -> FaultyLink:
-    """Put a proxy between the entries and a sidecar; before the fleet starts."""
+    """Put a proxy between entries and a sidecar; call it before the fleet starts."""
     row = next(row for row in fleet.config["upstreams"] if row["name"] == upstream)
     link = FaultyLink(row["sidecar_port"])
     row["sidecar_port"] = link.port
@@ -120,9 +124,10 @@
 
 
 async def proxy_replica(fleet: Fleet, name: str) -> FaultyLink:
-    """Put a proxy before a replica's inner address; before the fleet starts.
+    """Put a proxy in front of the inner address of a control replica.
 
-    The other replicas and all nodes reach it through the proxy.
+    All other replicas and nodes reach it through the proxy. Call it before the fleet
+    starts.
     """
     link = FaultyLink(fleet.replicas[name]["port"])
     for node in fleet.nodes.values():
