--- a/tools/node.py
+++ b/tools/node.py
@@ -1,4 +1,4 @@
-"""One process of a fleet on loopback."""
+"""One process of a fleet on the loopback address."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 @dataclass(slots=True)
 class Node:
-    """One process of the fleet.
+    """One process of a fleet.
 
     Args:
-        name: Its name.
-        program: Module of `leadseam.cli`.
-        settings: Its settings.
+        name: Name of the process.
+        program: Module of `leadseam.cli` that it runs.
+        settings: Its settings, which are written as YAML.
         ports: Ports that it binds.
         admin: Port of its admin routes, or 0.
-        folder: Where its files are.
+        folder: Folder of its settings and log.
+        process: The running process, or None.
     """
 
     name: str
@@ -36,29 +37,29 @@
 
     @property
     def pid(self) -> int:
-        """Process id."""
+        """Id of the running process."""
         assert self.process is not None
         return self.process.pid
 
     @property
     def log(self) -> Path:
-        """File with its log lines."""
+        """Path of its log file."""
         return self.folder / f"{self.name}.log"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process without warning."""
+        """Kill the process, if it runs, and wait for its end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
             self.process = None
 
     async def wait_exit(self) -> int:
-        """Wait until the process has ended and return its exit code."""
+        """Wait until the process has ended; return its exit code."""
         process = self.process
         assert process is not None
         code = await asyncio.to_thread(process.wait)
--- a/tools/ports.py
+++ b/tools/ports.py
@@ -1,4 +1,4 @@
-"""Ports of loopback that the system hands out."""
+"""Free ports of the loopback address."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class PortPool:
-    """Hands out ports that the system reserved; each is used once."""
+    """Reserves ports that the system chose, by sockets bound to them."""
 
     def __init__(self) -> None:
-        self._held: dict[int, socket.socket] = {}
+        self._sockets: dict[int, socket.socket] = {}
 
     def reserve(self) -> int:
-        """Return a port that nobody else gets before `release`."""
+        """Return a free port that no other process can get before `release`."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((LOOPBACK, 0))
         port: int = sock.getsockname()[1]
-        self._held[port] = sock
+        self._sockets[port] = sock
         return port
 
     def release(self, port: int) -> None:
-        """Free a port for the process that is to bind it."""
-        sock = self._held.pop(port, None)
+        """Close the socket of a reserved port, so that a process can bind it."""
+        sock = self._sockets.pop(port, None)
         if sock is not None:
             sock.close()
--- a/tools/waiting.py
+++ b/tools/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for conditions of real processes."""
+"""Polls conditions of real processes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     from collections.abc import Awaitable, Callable
 
 CONDITION_TIMEOUT = 60.0
-"""Seconds after which a condition that does not hold fails its test."""
-POLL = 0.05
-"""Seconds between two looks."""
+"""Seconds after which a condition that still does not hold fails the test."""
+POLL_INTERVAL = 0.05
+"""Seconds between two checks."""
 
 
 async def wait_until(
@@ -21,14 +21,19 @@
     *,
     timeout: float = CONDITION_TIMEOUT,
 ) -> None:
-    """Wait for a condition.
+    """Poll a condition until it holds.
+
+    Args:
+        condition: Coroutine function that returns whether the condition holds.
+        what: Description of the condition, for the error message.
+        timeout: Seconds to wait at most.
 
     Raises:
-        AssertionError: If it does not hold in time.
+        AssertionError: If the condition does not hold in time.
     """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         if await condition():
             return
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_INTERVAL)
     raise AssertionError(f"timed out waiting until {what}")
