--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Copies of the project without one mechanism can be made of the sources as is."""
+"""The replacements of all variants and ablations fit the current sources."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize(("name", "change"), CHANGES, ids=lambda one: str(one)[:40])
-def test_what_is_replaced_stands_in_the_sources_once(
+def test_replaced_text_occurs_in_the_sources_once(
     name: str, change: Replacement
 ) -> None:
     text = (ROOT / SOURCES / change.file).read_text()
     assert text.count(change.old) == 1, name
 
 
-def test_a_text_that_stands_there_twice_is_not_replaced(tmp_path: Path) -> None:
+def test_a_text_that_occurs_twice_is_not_replaced(tmp_path: Path) -> None:
     file = tmp_path / SOURCES / "a.py"
     file.parent.mkdir(parents=True)
     file.write_text("x = 1\ny = 1\n")
--- a/tools/variants.py
+++ b/tools/variants.py
@@ -1,4 +1,4 @@
-"""Copies of the project in which one piece of the sources is replaced."""
+"""Copies of the project in which a piece of the sources is replaced."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Replacement:
-    """A change of one source file.
+    """Replacement of a text in one source file.
 
     Args:
         file: Source file below `src/leadseam`.
-        old: Text that stands there once.
-        new: What it becomes.
+        old: Text to replace; it must occur in the file exactly once.
+        new: Text to insert instead.
     """
 
     file: str
@@ -30,7 +30,7 @@
 
 
 def copy_project(target: Path, names: Iterable[str]) -> None:
-    """Copy files and folders of the project to an existing folder."""
+    """Copy files and folders of the project into an existing folder."""
     for name in names:
         source = ROOT / name
         if source.is_dir():
@@ -41,13 +41,16 @@
 
 
 def replace_in(copy: Path, change: Replacement) -> None:
-    """Apply a change to a copy.
+    """Apply a replacement to a copy of the project.
 
     Raises:
-        SystemExit: If the old text does not stand in the file exactly once.
+        SystemExit: If the old text does not occur in the file exactly once.
     """
     source = copy / SOURCES / change.file
     text = source.read_text()
     if text.count(change.old) != 1:
-        raise SystemExit(f"{change.file}: {change.old!r} does not stand there once")
+        raise SystemExit(
+            f"{change.file}: {change.old!r} must occur exactly once,"
+            f" but occurs {text.count(change.old)} times"
+        )
     source.write_text(text.replace(change.old, change.new))
