--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -27,16 +27,16 @@
 AT_MOST_ONCE = "tests/failures/test_at_most_once.py"
 CONFIGURATION = "tests/failures/test_configuration.py"
 LEAVING = "tests/failures/test_leaving.py"
-WHOLE = "tests/failures/test_whole_answers.py"
-SOAK = "tests/soak/test_short.py"
-REPLACED = "tests/control/test_replaced_box.py"
-RESTARTED = "tests/membership/test_incarnations.py"
+WHOLE_ANSWERS = "tests/failures/test_whole_answers.py"
+SHORT_SOAK = "tests/soak/test_short.py"
+REPLACED_BOX = "tests/control/test_replaced_box.py"
+INCARNATIONS = "tests/membership/test_incarnations.py"
 SHARES = "tests/emulate/test_shares.py"
-DEADLY = "tests/platform/test_deadly_request.py"
+DEADLY_REQUEST = "tests/platform/test_deadly_request.py"
 EVACUATIONS = "tests/control/test_evacuations.py"
 EVACUATION = "tests/platform/test_evacuation.py"
-COLD = "tests/routing/test_cold_budget.py"
-WORDS = "tests/routing/test_upstream_announcements.py"
+COLD_BUDGET = "tests/routing/test_cold_budget.py"
+ANNOUNCEMENTS = "tests/routing/test_upstream_announcements.py"
 
 VARIANTS = (
     Variant(
@@ -104,21 +104,21 @@
         "                    return await self._break_off(response, event)",
         "                    await response.write_eof()\n"
         "                    return Answered(response.status)",
-        f"{WHOLE}::test_upstream_cut_in_mid_stream_is_an_explicit_error",
+        f"{WHOLE_ANSWERS}::test_upstream_cut_in_mid_stream_is_an_explicit_error",
     ),
     Variant(
         "hanging work is not ended",
         "sidecar/agent.py",
         "            self._abort_hanging()\n",
         "            pass\n",
-        f"{WHOLE}::test_hanging_upstream_is_taken_out_and_its_work_moves",
+        f"{WHOLE_ANSWERS}::test_hanging_upstream_is_taken_out_and_its_work_moves",
     ),
     Variant(
         "a caller that goes away is not noticed",
         "sidecar/agent.py",
         "        elif running.task is not None:\n            running.task.cancel()",
         "        elif False:\n            pass",
-        f"{WHOLE}::test_caller_that_goes_away_frees_its_slot",
+        f"{WHOLE_ANSWERS}::test_caller_that_goes_away_frees_its_slot",
     ),
     Variant(
         "a stale replica feeds its nodes",
@@ -181,7 +181,7 @@
         "routing/exchange.py",
         "        return route.repeatable and runs < route.max_attempts",
         "        return True",
-        SOAK,
+        SHORT_SOAK,
     ),
     Variant(
         "a routed request that ran is told as not run",
@@ -190,35 +190,35 @@
         "                return self._give_up(reason)\n",
         "            case Broken(reason=reason):\n"
         "                return self._refuse(Reason.UPSTREAM_FULL)\n",
-        SOAK,
+        SHORT_SOAK,
     ),
     Variant(
         "a stream starts again instead of going on",
         "routing/exchange.py",
         "resume_after=self._reply.last_event",
         "resume_after=None",
-        SOAK,
+        SHORT_SOAK,
     ),
     Variant(
         "a voter that is gone stays",
         "control/membership.py",
         "    if gone_voters and len(voters) > bounds.floor:\n",
         "    if False:\n",
-        f"{REPLACED}::test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss",
+        f"{REPLACED_BOX}::test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss",
     ),
     Variant(
         "a stop is not told",
         "control/raft.py",
         "        self._stops = True\n",
         "        self._stops = False\n",
-        f"{REPLACED}::test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent",
+        f"{REPLACED_BOX}::test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent",
     ),
     Variant(
         "silences die with their leader",
         "control/liveness.py",
         "        before = self._told.get(name, self._elected_at)\n",
         "        before = self._elected_at\n",
-        f"{REPLACED}::test_the_next_leader_goes_on_counting_a_silence",
+        f"{REPLACED_BOX}::test_the_next_leader_goes_on_counting_a_silence",
     ),
     Variant(
         "replicas that are gone are not forgotten",
@@ -247,14 +247,14 @@
         "membership/registry.py",
         "    if registration.incarnation != known.incarnation:\n",
         "    if not registration.instance:\n",
-        f"{RESTARTED}::test_a_later_start_counts_whatever_its_sequence",
+        f"{INCARNATIONS}::test_a_later_start_counts_whatever_its_sequence",
     ),
     Variant(
         "leaving is final for an id",
         "membership/departures.py",
         "        return start is not None and incarnation.start <= start\n",
         "        return start is not None\n",
-        f"{RESTARTED}::test_one_that_left_comes_back_with_a_later_start",
+        f"{INCARNATIONS}::test_one_that_left_comes_back_with_a_later_start",
     ),
     Variant(
         "pools that nobody named are taken",
@@ -277,14 +277,14 @@
         "feed/crash_server.py",
         "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
-        f"{DEADLY}::test_it_is_refused_everywhere_once_three_have_ended",
+        f"{DEADLY_REQUEST}::test_it_is_refused_everywhere_once_three_have_ended",
     ),
     Variant(
         "verdicts are not written",
         "feed/crash_server.py",
         "            await self._write(self._unwritten())\n",
         "            pass\n",
-        f"{DEADLY}::test_it_stays_known_when_all_boxes_have_lost_power",
+        f"{DEADLY_REQUEST}::test_it_stays_known_when_all_boxes_have_lost_power",
     ),
     Variant(
         "a break alone speaks against a request",
@@ -299,7 +299,7 @@
         "crashes/evidence.py",
         "LATE_WEIGHT = 4\n",
         "LATE_WEIGHT = EARLY_WEIGHT\n",
-        f"{DEADLY}::test_one_that_is_hit_by_the_ends_of_others_is_served",
+        f"{DEADLY_REQUEST}::test_one_that_is_hit_by_the_ends_of_others_is_served",
     ),
     Variant(
         "nobody is acquitted",
@@ -365,7 +365,7 @@
         "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
-        f"{COLD}::test_no_second_holds_more_than_a_cold_upstream_bears",
+        f"{COLD_BUDGET}::test_no_second_holds_more_than_a_cold_upstream_bears",
     ),
     Variant(
         "entries do not hear that an upstream turns cold",
@@ -395,14 +395,14 @@
         "routing/placer.py",
         "        self._pauses.pause(row.incarnation, until)",
         "        pass",
-        f"{WORDS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
+        f"{ANNOUNCEMENTS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
     ),
     Variant(
         "nothing is asked before a request is written",
         "routing/placer.py",
         "        return not self._pauses.is_paused(row.incarnation, self._clock.now())",
         "        return True",
-        f"{WORDS}"
+        f"{ANNOUNCEMENTS}"
         "::test_what_waits_for_a_connection_goes_elsewhere_once_its_engine_rests",
     ),
     Variant(
@@ -417,21 +417,21 @@
         "routing/admission.py",
         " or not self.candidates(waiter.scope):",
         ":",
-        f"{WORDS}::test_what_waits_for_an_engine_is_refused_once_all_rest",
+        f"{ANNOUNCEMENTS}::test_what_waits_for_an_engine_is_refused_once_all_rest",
     ),
     Variant(
         "the end of a pause is a step of load",
         "routing/pauses.py",
         "        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL",
         "        return True",
-        f"{WORDS}::test_the_end_of_a_rest_is_no_step_of_load",
+        f"{ANNOUNCEMENTS}::test_the_end_of_a_rest_is_no_step_of_load",
     ),
     Variant(
         "the word of leaving in answers is not read",
         "platform/headers.py",
         "            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),",
         "",
-        f"{WORDS}::test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice",
+        f"{ANNOUNCEMENTS}::test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice",
     ),
     Variant(
         "a full plain pool lets nobody wait",
