--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms of the product, and the test of each that fails without it."""
+"""Variants of the sources without one mechanism, and the test that must then fail."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One mechanism taken away.
+    """Variant of the sources in which one mechanism is disabled.
 
     Args:
-        name: Its name.
+        name: What the variant does wrong.
         file: Source file below `src/leadseam`.
-        old: Text that stands there once.
-        new: What it becomes.
+        old: Text that is replaced; it occurs there exactly once.
+        new: Text that replaces it.
         test: Test that must fail.
     """
 
@@ -40,28 +40,28 @@
 
 VARIANTS = (
     Variant(
-        "lost links are retried",
+        "requests on lost links are retried although they may run only once",
         "entry/retry.py",
         "    if req.repeatable:\n        return Retry(reason.value",
         "    if True:\n        return Retry(reason.value",
         f"{AT_MOST_ONCE}::test_links_cut_again_and_again",
     ),
     Variant(
-        "a lost link counts as not run",
+        "a request on a lost link counts as not run",
         "entry/sidecars.py",
         "item.events.put_nowait(LinkLost() if started else NeverStarted())",
         "item.events.put_nowait(NeverStarted())",
         f"{AT_MOST_ONCE}::test_signs_of_a_started_call_are_held_back",
     ),
     Variant(
-        "an answer nobody reads keeps its window",
+        "an answer that nobody reads keeps its window closed",
         "sidecar/agent.py",
         "            running.window.open()\n",
         "            pass\n",
         f"{AT_MOST_ONCE}::test_large_answer_to_a_dead_entry_frees_its_slot",
     ),
     Variant(
-        "a question leaves no tombstone",
+        "asking for an attempt leaves no tombstone",
         "sidecar/attempts.py",
         "        self.refuse(key)\n",
         "        self._states.setdefault(key, AttemptState.NEVER)\n"
@@ -78,28 +78,28 @@
         f"{AT_MOST_ONCE}::test_two_resends_at_once_run_once",
     ),
     Variant(
-        "runs unclaimed without a quorum",
+        "requests run without a claim while there is no quorum",
         "entry/http.py",
         "            case Verdict.GRANTED:",
         "            case Verdict.GRANTED | Verdict.UNAVAILABLE:",
         f"{AT_MOST_ONCE}::test_no_quorum_means_not_run",
     ),
     Variant(
-        "leaving does not end grants",
+        "a leaving or draining sidecar still grants",
         "sidecar/agent.py",
         "not (self.leaving or draining)",
         "True",
         f"{LEAVING}::test_no_new_work_and_nothing_cut",
     ),
     Variant(
-        "a stopping sidecar does not wait",
+        "a stopping sidecar does not wait for its running requests",
         "sidecar/program.py",
         "        await self.agent.wait_idle()\n",
         "",
         f"{LEAVING}::test_planned_stop_of_every_entry_and_sidecar_in_turn",
     ),
     Variant(
-        "a broken answer ends like a whole one",
+        "a broken answer ends like a complete one",
         "entry/relay.py",
         "                    return await self._break_off(response, event)",
         "                    await response.write_eof()\n"
@@ -107,49 +107,49 @@
         f"{WHOLE_ANSWERS}::test_upstream_cut_in_mid_stream_is_an_explicit_error",
     ),
     Variant(
-        "hanging work is not ended",
+        "hanging requests are not aborted",
         "sidecar/agent.py",
         "            self._abort_hanging()\n",
         "            pass\n",
         f"{WHOLE_ANSWERS}::test_hanging_upstream_is_taken_out_and_its_work_moves",
     ),
     Variant(
-        "a caller that goes away is not noticed",
+        "a request goes on after its caller has disconnected",
         "sidecar/agent.py",
         "        elif running.task is not None:\n            running.task.cancel()",
         "        elif False:\n            pass",
         f"{WHOLE_ANSWERS}::test_caller_that_goes_away_frees_its_slot",
     ),
     Variant(
-        "a stale replica feeds its nodes",
+        "a stale replica still feeds its nodes",
         "control/replica.py",
         "return not self.failure and self._raft.is_current(self._clock.now())",
         "return not self.failure",
         f"{CONFIGURATION}::test_node_without_control_is_not_ready",
     ),
     Variant(
-        "equal versions both win",
+        "two changes of the same version are both accepted",
         "control/state.py",
         "        if change.expect_version != version:",
         "        if change.expect_version < version - 1:",
         f"{CONFIGURATION}::test_operators_race_with_equal_versions",
     ),
     Variant(
-        "a resend is a new change",
+        "a resent change is applied again",
         "control/state.py",
         "        if known is not None:\n            return known\n",
         "",
         f"{CONFIGURATION}::test_resend_gets_the_first_answer",
     ),
     Variant(
-        "acknowledged before it is synced",
+        "changes are acknowledged before they are on disk",
         "control/storage.py",
         "        while view:\n            view = view[os.write(self._fd, view) :]\n",
         "        return\n",
         f"{CONFIGURATION}::test_all_replicas_killed_at_once",
     ),
     Variant(
-        "votes without a look at the log",
+        "votes are granted without comparing the logs",
         "control/raft.py",
         "return (last_term, last_index) >= mine",
         "return True",
@@ -170,21 +170,21 @@
         "tests/test_fairness.py",
     ),
     Variant(
-        "sidecars do not hear of each other",
+        "sidecars ignore the service reported by others",
         "fairness/ledger.py",
         "            if row.served >= known[0]:",
         "            if False:",
         "tests/test_fairness.py",
     ),
     Variant(
-        "routed requests that must not repeat run again",
+        "routed requests that may run only once run again",
         "routing/exchange.py",
         "        return route.repeatable and runs < route.max_attempts",
         "        return True",
         SHORT_SOAK,
     ),
     Variant(
-        "a routed request that ran is told as not run",
+        "a routed request that ran is reported as not run",
         "routing/exchange.py",
         "            case Broken(reason=reason):\n"
         "                return self._give_up(reason)\n",
@@ -193,35 +193,35 @@
         SHORT_SOAK,
     ),
     Variant(
-        "a stream starts again instead of going on",
+        "a resumed stream starts again from the beginning",
         "routing/exchange.py",
         "resume_after=self._reply.last_event",
         "resume_after=None",
         SHORT_SOAK,
     ),
     Variant(
-        "a voter that is gone stays",
+        "a voter that is gone is not removed",
         "control/membership.py",
         "    if gone_voters and len(voters) > bounds.floor:\n",
         "    if False:\n",
         f"{REPLACED_BOX}::test_a_box_that_goes_after_its_successor_has_come_costs_no_later_loss",
     ),
     Variant(
-        "a stop is not told",
+        "a planned stop is not announced",
         "control/raft.py",
         "        self._stops = True\n",
         "        self._stops = False\n",
         f"{REPLACED_BOX}::test_a_box_that_says_that_it_stops_is_replaced_without_being_found_silent",
     ),
     Variant(
-        "silences die with their leader",
+        "a new leader forgets how long boxes have been silent",
         "control/liveness.py",
         "        before = self._told.get(name, self._elected_at)\n",
         "        before = self._elected_at\n",
         f"{REPLACED_BOX}::test_the_next_leader_goes_on_counting_a_silence",
     ),
     Variant(
-        "replicas that are gone are not forgotten",
+        "nodes keep the addresses of replicas that are gone",
         "feed/directory.py",
         "        kept = [endpoint for endpoint in self._order if endpoint in wanted]\n",
         "        kept = list(self._order)\n",
@@ -229,35 +229,35 @@
         "::test_a_box_that_nobody_names_any_more_is_not_tried_again",
     ),
     Variant(
-        "service never fades",
+        "service received never decays",
         "routing/usage.py",
         "        return self.value * exp(-max(now - self.at, 0) / DECAY_TIME)\n",
         "        return self.value\n",
         "tests/routing/test_usage.py::test_service_fades_steadily",
     ),
     Variant(
-        "the stated capacity is believed",
+        "the stated capacity is used even if engines deliver less",
         "routing/usage.py",
         "    return served if asked > SCARCITY_RATIO * served else capacity\n",
         "    return capacity\n",
         f"{SHARES}::test_floods_get_alike_where_engines_give_less_than_is_stated",
     ),
     Variant(
-        "an id stands for one start",
+        "starts under the same id are not told apart",
         "membership/registry.py",
         "    if registration.incarnation != known.incarnation:\n",
         "    if not registration.instance:\n",
         f"{INCARNATIONS}::test_a_later_start_counts_whatever_its_sequence",
     ),
     Variant(
-        "leaving is final for an id",
+        "a later start under an id that has left is refused",
         "membership/departures.py",
         "        return start is not None and incarnation.start <= start\n",
         "        return start is not None\n",
         f"{INCARNATIONS}::test_one_that_left_comes_back_with_a_later_start",
     ),
     Variant(
-        "pools that nobody named are taken",
+        "registrations for pools without configuration are accepted",
         "feed/server.py",
         "        return self._has_configured_pool(registration) or",
         "        return True or",
@@ -265,7 +265,7 @@
         "::test_upstreams_of_a_pool_that_nobody_named_are_handed_on_once_it_is",
     ),
     Variant(
-        "attempts at earlier starts go on",
+        "attempts at earlier incarnations are not ended",
         "routing/restarts.py",
         "            on_restart()\n",
         "            pass\n",
@@ -273,7 +273,7 @@
         "::test_what_runs_at_an_earlier_start_is_not_waited_for",
     ),
     Variant(
-        "nobody is told of upstreams that have ended",
+        "ended upstreams are not reported to the entries",
         "feed/crash_server.py",
         "        self._broadcast(Crashes(reported))\n",
         "        pass\n",
@@ -287,7 +287,7 @@
         f"{DEADLY_REQUEST}::test_it_stays_known_when_all_boxes_have_lost_power",
     ),
     Variant(
-        "a break alone speaks against a request",
+        "a broken connection alone counts against a request",
         "crashes/suspects.py",
         "                case Presence.GONE:\n",
         "                case Presence.GONE | Presence.SERVES:\n",
@@ -295,14 +295,14 @@
         "::test_an_upstream_that_is_not_heard_any_more_has_ended",
     ),
     Variant(
-        "each end weighs the same",
+        "early and late ends of an upstream weigh the same",
         "crashes/evidence.py",
         "LATE_WEIGHT = 4\n",
         "LATE_WEIGHT = EARLY_WEIGHT\n",
         f"{DEADLY_REQUEST}::test_one_that_is_hit_by_the_ends_of_others_is_served",
     ),
     Variant(
-        "nobody is acquitted",
+        "suspects are never cleared",
         "crashes/suspects.py",
         "        return self.table.void(suspect.fingerprint, now)\n",
         "        return None\n",
@@ -316,7 +316,7 @@
         "tests/platform/test_suspended_box.py",
     ),
     Variant(
-        "timers are not looked at after a suspension",
+        "timers are not checked after a suspension",
         "routing/gateway.py",
         "            exchange.reset_deadline_timer()\n",
         "            pass\n",
@@ -331,7 +331,7 @@
         f"{EVACUATIONS}::TestOrders",
     ),
     Variant(
-        "an order counts whatever came before it",
+        "an order is applied although others were applied since",
         "control/evacuations.py",
         "        if row.switches != expected or self.is_full_for(domain):",
         "        if self.is_full_for(domain):",
@@ -361,14 +361,14 @@
         "::test_evacuations_are_kept_in_a_snapshot_and_older_ones_are_read",
     ),
     Variant(
-        "each entry uses all that a cold upstream bears",
+        "each entry uses the whole rate of a cold upstream",
         "routing/cold_budget.py",
         "            return max(int(rate / entries), 1)",
         "            return int(rate)",
         f"{COLD_BUDGET}::test_no_second_holds_more_than_a_cold_upstream_bears",
     ),
     Variant(
-        "entries do not hear that an upstream turns cold",
+        "entries are not notified that an upstream turns cold",
         "membership/registry.py",
         "        changed = changed or _cold_moved(row, registration, now)\n",
         "",
@@ -376,14 +376,14 @@
         "::test_a_server_that_turns_cold_gets_its_part_of_the_rate",
     ),
     Variant(
-        "bounds by region are ignored",
+        "region limits are ignored",
         "routing/placer.py",
         "self._feed.view.pool(scope.pool, scope.regions)",
         "self._feed.view.pool(scope.pool)",
         f"{EVACUATION}::test_bodies_stay_within_the_regions_of_route_and_account",
     ),
     Variant(
-        "a body is not read before it is refused",
+        "a connection is closed before a refused body is read",
         "platform/first_bytes.py",
         "        if self._body_left <= 0 and self._transport is not None:",
         "        if self._transport is not None:",
@@ -391,14 +391,14 @@
         "::test_a_refusal_is_whole_true_and_ends_the_connection",
     ),
     Variant(
-        "a pause is not kept",
+        "pauses of upstreams are ignored",
         "routing/placer.py",
         "        self._pauses.pause(row.incarnation, until)",
         "        pass",
         f"{ANNOUNCEMENTS}::test_callers_do_not_notice_that_two_of_five_engines_rest",
     ),
     Variant(
-        "nothing is asked before a request is written",
+        "a pause is not checked before a request is written",
         "routing/placer.py",
         "        return not self._pauses.is_paused(row.incarnation, self._clock.now())",
         "        return True",
@@ -406,42 +406,42 @@
         "::test_what_waits_for_a_connection_goes_elsewhere_once_its_engine_rests",
     ),
     Variant(
-        "a connection is used without asking",
+        "a connection is used without checking for a pause",
         "routing/client.py",
         "        if not _may_send.get()():",
         "        if False:",
         "tests/routing/test_withheld.py",
     ),
     Variant(
-        "what waits is not refused once all rest",
+        "waiting requests are not refused once all upstreams pause",
         "routing/admission.py",
         " or not self.candidates(waiter.scope):",
         ":",
         f"{ANNOUNCEMENTS}::test_what_waits_for_an_engine_is_refused_once_all_rest",
     ),
     Variant(
-        "the end of a pause is a step of load",
+        "the end of a pause lets the full load return at once",
         "routing/pauses.py",
         "        return row.credit > 0 or now - row.sent_at >= TRIAL_INTERVAL",
         "        return True",
         f"{ANNOUNCEMENTS}::test_the_end_of_a_rest_is_no_step_of_load",
     ),
     Variant(
-        "the word of leaving in answers is not read",
+        "leave announcements in answers are ignored",
         "platform/headers.py",
         "            leaving=names.LEAVING_SET in headers.getall(names.LEAVING, []),",
         "",
         f"{ANNOUNCEMENTS}::test_one_that_leaves_gets_nothing_new_and_callers_do_not_notice",
     ),
     Variant(
-        "a full plain pool lets nobody wait",
+        "requests do not wait for a full plain pool",
         "routing/placer.py",
         "        return placement if taken < MAX_PER_SLOT * row.slots else None",
         "        return placement",
         "tests/emulate/test_plain_entries.py",
     ),
     Variant(
-        "who got least of a plain pool does not go first",
+        "a plain pool's queue ignores how much each account received",
         "routing/plain_queue.py",
         "        return self._level(waiter, now), waiter.arrived",
         "        return 0.0, waiter.arrived",
