--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,12 +1,12 @@
-"""Write copies of the project, each without one mechanism, to measure its worth.
+"""Write copies of the project, each without one mechanism, to measure its effect.
 
 Usage:
   ablation --list
   ablation FOLDER [NAME ...]
 
-Each copy is a folder below FOLDER with all that a build and a run need, and goes by the
-mechanism's name; `whole` has them all. What is played in the copies, and how often, is
-up to who measures.
+Each copy is a folder below FOLDER that is named after the mechanism and has all files
+that a build and a run need; `whole` is the copy with all mechanisms. What is measured
+in the copies, and how often, is up to the user.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ablation:
-    """One mechanism that can be taken away.
+    """Mechanism that can be disabled.
 
     Args:
-        name: Its name.
-        purpose: What it is for.
-        changes: What takes it away.
+        name: Name of the mechanism and of the copy without it.
+        purpose: What the mechanism does.
+        changes: Replacements that disable it.
     """
 
     name: str
@@ -40,7 +40,7 @@
 ABLATIONS = (
     Ablation(
         "estimate-by-engine",
-        "the first token's time is learned for each engine, not for each pool",
+        "the time to the first token is estimated per engine, not per pool",
         (
             Replacement(
                 "routing/estimate.py",
@@ -51,7 +51,7 @@
     ),
     Ablation(
         "reading-ahead",
-        "reading ahead at an engine is bounded below what is in time",
+        "reading ahead at an engine is limited to less than the deadline allows",
         (
             Replacement(
                 "routing/admission.py",
@@ -62,7 +62,7 @@
     ),
     Ablation(
         "beyond-bound",
-        "accounts beyond their stated share get only an engine with nothing to read",
+        "accounts beyond their stated share get only engines with nothing to read",
         (
             Replacement(
                 "routing/admission.py",
@@ -85,7 +85,7 @@
     ),
     Ablation(
         "leads",
-        "accounts ahead of one that is short leave it room",
+        "accounts that are ahead leave capacity to one that is short of its share",
         (
             Replacement(
                 "routing/usage.py",
@@ -96,7 +96,7 @@
     ),
     Ablation(
         "wait-for-room",
-        "a request waits as long as it can be in time",
+        "a request waits for capacity as long as it can still meet its deadline",
         (
             Replacement(
                 "routing/admission.py",
@@ -129,7 +129,7 @@
     ),
     Ablation(
         "early-candidates",
-        "an attempt that elects nobody is repeated soon",
+        "an election without a winner is repeated soon",
         (
             Replacement(
                 "control/election.py",
@@ -140,7 +140,7 @@
     ),
     Ablation(
         "silence-watch",
-        "an upstream that falls silent is given up where another may take over",
+        "a request leaves an upstream that falls silent if another one may run it",
         (
             Replacement(
                 "routing/exchange.py",
@@ -152,7 +152,7 @@
     ),
     Ablation(
         "left-alone",
-        "an upstream that fails many requests gets no new work for a while",
+        "an upstream that fails many requests is excluded for some time",
         (
             Replacement(
                 "routing/health.py",
@@ -163,7 +163,7 @@
     ),
     Ablation(
         "busy-refusals",
-        "an entry short of processor time refuses, those ahead of others first",
+        "an entry short of processor time refuses requests, accounts ahead first",
         (
             Replacement(
                 "routing/gateway.py",
@@ -179,7 +179,7 @@
     ),
     Ablation(
         "retries",
-        "a request that may run again is sent to another upstream",
+        "a request that may run again is retried at another upstream",
         (
             Replacement(
                 "routing/exchange.py",
@@ -202,7 +202,7 @@
     wanted = set(args["NAME"])
     for name, changes in _copies():
         if not wanted or name in wanted:
-            _write(folder / name, changes)
+            _write_copy(folder / name, changes)
             print(folder / name)
 
 
@@ -210,7 +210,7 @@
     return [(WHOLE, ()), *((one.name, one.changes) for one in ABLATIONS)]
 
 
-def _write(copy: Path, changes: tuple[Replacement, ...]) -> None:
+def _write_copy(copy: Path, changes: tuple[Replacement, ...]) -> None:
     copy.mkdir(parents=True)
     copy_project(copy, COPIED)
     for change in changes:
