--- a/tools/broken_variants.py
+++ b/tools/broken_variants.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from tools.mechanisms import Variant
 
-LIMIT = 240
+TEST_TIMEOUT = 240
 
 
 class Verdict(StrEnum):
@@ -54,7 +54,7 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            return Verdict.FAILED if process.wait(LIMIT) == 1 else Verdict.MISSED
+            return Verdict.FAILED if process.wait(TEST_TIMEOUT) == 1 else Verdict.MISSED
         except subprocess.TimeoutExpired:
             process.terminate()
             process.wait()
