--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -51,7 +51,7 @@
     ),
     Ablation(
         "reading-ahead",
-        "reading ahead at an engine is limited to less than the deadline allows",
+        "reading ahead at an engine is limited below what would still be in time",
         (
             Replacement(
                 "routing/admission.py",
@@ -96,7 +96,7 @@
     ),
     Ablation(
         "wait-for-room",
-        "a request waits for capacity as long as it can still meet its deadline",
+        "a request waits for capacity as long as it can still be in time",
         (
             Replacement(
                 "routing/admission.py",
--- a/tools/broken_variants.py
+++ b/tools/broken_variants.py
@@ -1,11 +1,11 @@
-"""Show that each proof fails on a variant of the code without its mechanism.
+"""Check that the test of each mechanism fails on a variant of the code without it.
 
 Usage:
   broken_variants [NAME ...]
   broken_variants --list
 
-Each variant is a copy of the sources with one replacement. A proof that still passes on
-its variant proves nothing, and is reported as MISSED.
+Each variant is a copy of the sources with one replacement. A test that still passes on
+its variant does not test the mechanism, and is reported as MISSED.
 """
 
 from __future__ import annotations
@@ -27,10 +27,11 @@
     from tools.mechanisms import Variant
 
 TEST_TIMEOUT = 240
+"""Seconds after which the test of a variant is ended."""
 
 
 class Verdict(StrEnum):
-    """How the proof of a variant ended."""
+    """How the test of a variant ended."""
 
     FAILED = "failed as it must"
     ENDLESS = "did not end"
@@ -38,7 +39,7 @@
 
 
 def run_variant(variant: Variant) -> Verdict:
-    """Run a variant's test and tell how it ended."""
+    """Run the test of a variant and return how it ended."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
         copy_project(copy, ("src", "tests", "tools", "pyproject.toml"))
