--- a/tools/gap.py
+++ b/tools/gap.py
@@ -18,7 +18,9 @@
 
     def add(self, tokens: dict[str, float]) -> None:
         """Add a sample of cumulative tokens by account."""
-        row = {name: tokens.get(name, 0.0) / share for name, share in self._items()}
+        row = {
+            name: tokens.get(name, 0.0) / share for name, share in self._share_items()
+        }
         self.rows.append(row)
 
     def gap(self, *, skip: int = 0) -> float:
@@ -33,24 +35,24 @@
         """
         names = list(self.shares)
         rows = self.rows[skip:]
-        worst = 0.0
+        largest = 0.0
         for position, one in enumerate(names):
             for other in names[position + 1 :]:
                 series = [row[one] - row[other] for row in rows]
-                worst = max(worst, max(series) - min(series))
-        return worst
+                largest = max(largest, max(series) - min(series))
+        return largest
 
     def totals(self) -> dict[str, float]:
         """Return what each account got over the run, divided by its share."""
         first, last = self.rows[0], self.rows[-1]
         return {name: last[name] - first[name] for name in self.shares}
 
-    def _items(self) -> list[tuple[str, int]]:
+    def _share_items(self) -> list[tuple[str, int]]:
         return list(self.shares.items())
 
 
 def gap_bound(
-    *, slots: int, sidecars: int, longest: int, rate: float, lag: float
+    *, slots: int, sidecars: int, max_tokens: int, rate: float, lag: float
 ) -> float:
     """Return the stated bound of the gap, in tokens at equal shares.
 
@@ -62,11 +64,11 @@
     Args:
         slots: Slots of the pool.
         sidecars: Sidecars, each of which fetches one request ahead.
-        longest: Tokens of the longest request.
+        max_tokens: Tokens of the longest request.
         rate: Tokens a second of the whole pool.
         lag: Seconds until service is known everywhere.
     """
-    return 2 * ((slots + sidecars) * longest + rate * lag)
+    return 2 * ((slots + sidecars) * max_tokens + rate * lag)
 
 
 def percentile(values: list[float], fraction: float) -> float:
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -303,7 +303,7 @@
     print(report(results))
     slots = ENGINES * SLOTS
     rate = SLOTS * sum(1_000 / interval for interval in TOKEN_INTERVALS)
-    limit = gap_bound(slots=slots, sidecars=ENGINES, longest=160, rate=rate, lag=LAG)
+    limit = gap_bound(slots=slots, sidecars=ENGINES, max_tokens=160, rate=rate, lag=LAG)
     print(f"Stated bound of the gap: {limit:.0f} tokens.")
 
 
