--- a/tools/gap.py
+++ b/tools/gap.py
@@ -1,4 +1,4 @@
-"""The fairness gap and utilisation from samples of service over time."""
+"""Computes the fairness gap from samples of service over time."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 @dataclass(slots=True)
 class ServiceSamples:
-    """Cumulative tokens of each account at points in time.
+    """Samples of the cumulative tokens of each account.
 
     Args:
         shares: Share of each backlogged account.
+        rows: Samples in order of time: tokens by account, divided by its share.
     """
 
     shares: dict[str, int]
@@ -26,12 +27,12 @@
     def gap(self, *, skip: int = 0) -> float:
         """Return the largest gap between two accounts over any interval.
 
-        Args:
-            skip: Samples at the start to leave out. Defaults to 0.
+        The gap over an interval is the difference between the tokens that the two
+        accounts received in it, each divided by its share. Its maximum over all
+        intervals is the spread of the running difference.
 
-        The gap over an interval is the difference of what the two got in it, each
-        divided by its share; over all intervals that is the spread of the running
-        difference.
+        Args:
+            skip: Number of samples to skip at the start. Defaults to 0.
         """
         names = list(self.shares)
         rows = self.rows[skip:]
@@ -43,7 +44,7 @@
         return largest
 
     def totals(self) -> dict[str, float]:
-        """Return what each account got over the run, divided by its share."""
+        """Return the tokens of each account over the run, divided by its share."""
         first, last = self.rows[0], self.rows[-1]
         return {name: last[name] - first[name] for name in self.shares}
 
@@ -56,23 +57,24 @@
 ) -> float:
     """Return the stated bound of the gap, in tokens at equal shares.
 
-    At a grant, the chosen account is behind every other as far as the sidecar knows; it
-    knows all but the service of the last `lag` seconds. What the account then has in
-    flight may turn out longer than reserved, on every slot at the most. Either account
-    of a pair may be the one ahead. See docs/design/fairness.md.
+    When a sidecar grants, the chosen account is behind all others as far as the sidecar
+    knows, which is all service but that of the last `lag` seconds. The requests that
+    the account then has in flight may run longer than reserved, at most on every slot.
+    Either account of a pair may be the one ahead, hence the factor 2. See
+    docs/design/fairness.md.
 
     Args:
         slots: Slots of the pool.
-        sidecars: Sidecars, each of which fetches one request ahead.
+        sidecars: Sidecars of the pool, each of which fetches one request ahead.
         max_tokens: Tokens of the longest request.
-        rate: Tokens a second of the whole pool.
+        rate: Tokens per second of the whole pool.
         lag: Seconds until service is known everywhere.
     """
     return 2 * ((slots + sidecars) * max_tokens + rate * lag)
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Return a percentile by the nearest rank; 0 for no values."""
+    """Return a percentile by nearest rank; 0 if there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
