--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -12,36 +12,42 @@
 import yaml
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
-INNER, OPERATOR, ADMIN, PUBLIC, SERVER = 7001, 7101, 7201, 8080, 9000
-HASH = "replace-with-leadseamctl-hash-key"
+INNER_PORT, OPERATOR_PORT, ADMIN_PORT, PUBLIC_PORT, SERVER_PORT = (
+    7001,
+    7101,
+    7201,
+    8080,
+    9000,
+)
+KEY_HASH = "replace-with-leadseamctl-hash-key"
 
 
-def at(ip: str, port: int) -> dict[str, Any]:
+def endpoint(ip: str, port: int) -> dict[str, Any]:
     """Return an endpoint."""
     return {"ip": ip, "port": port}
 
 
-def write(path: Path, data: Any) -> None:
+def write_yaml(path: Path, data: Any) -> None:
     """Write a YAML file."""
     path.write_text(yaml.safe_dump(data, sort_keys=False))
 
 
-def upstreams(
-    domains: tuple[str, ...], pools: list[tuple[str, int, int]], net: int
+def upstream_rows(
+    domains: tuple[str, ...], pools: list[tuple[str, int, int]], subnet: int
 ) -> list[dict[str, Any]]:
     """Return upstream rows, spread over the failure domains."""
     rows: list[dict[str, Any]] = []
     for pool, count, slots in pools:
         for number in range(1, count + 1):
-            ip = f"10.{net}.{len(rows) + 10}.1"
+            ip = f"10.{subnet}.{len(rows) + 10}.1"
             rows.append(
                 {
                     "name": f"{pool}-{number}",
                     "pool": pool,
                     "ip": ip,
-                    "port": SERVER,
+                    "port": SERVER_PORT,
                     "sidecar_ip": ip,
-                    "sidecar_port": INNER,
+                    "sidecar_port": INNER_PORT,
                     "slots": slots,
                     "box": f"box-{pool}-{number}",
                     "failure_domain": domains[(number - 1) % len(domains)],
@@ -53,26 +59,28 @@
 def write_site(
     name: str,
     domains: tuple[str, ...],
-    net: int,
+    subnet: int,
     pools: list[dict[str, Any]],
     counts: list[tuple[str, int, int]],
     accounts: list[dict[str, Any]],
-    rules: list[dict[str, Any]],
+    never_repeat: list[dict[str, Any]],
 ) -> None:
     """Write one user's folder: a fleet and one settings file for each program."""
     folder = EXAMPLES / name
-    rows = upstreams(domains, counts, net)
+    rows = upstream_rows(domains, counts, subnet)
     fleet = {
         "accounts": accounts,
         "pools": pools,
         "upstreams": rows,
-        "never_repeat": rules,
+        "never_repeat": never_repeat,
+    }
+    write_yaml(folder / "fleet.yaml", fleet)
+    replicas = {
+        f"control-{n}": endpoint(f"10.{subnet}.{n}.1", INNER_PORT) for n in (1, 2, 3)
     }
-    write(folder / "fleet.yaml", fleet)
-    replicas = {f"control-{n}": at(f"10.{net}.{n}.1", INNER) for n in (1, 2, 3)}
     control = list(replicas.values())
     for number, domain in enumerate(domains, 1):
-        ip = f"10.{net}.{number}.1"
+        ip = f"10.{subnet}.{number}.1"
         settings = {
             "identity": {
                 "node": f"control-{number}",
@@ -80,22 +88,22 @@
                 "failure_domain": domain,
             },
             "replicas": replicas,
-            "operator": at(ip, OPERATOR),
-            "admin": at(ip, ADMIN),
+            "operator": endpoint(ip, OPERATOR_PORT),
+            "admin": endpoint(ip, ADMIN_PORT),
             "data_dir": "/var/lib/leadseam",
-            "operators": {"anna": HASH},
+            "operators": {"anna": KEY_HASH},
         }
-        write(folder / f"control-{number}.yaml", settings)
+        write_yaml(folder / f"control-{number}.yaml", settings)
     entry = {
         "identity": {
             "node": "entry-1",
             "box": "box-entry-1",
             "failure_domain": domains[0],
         },
-        "listen": at(f"10.{net}.4.1", PUBLIC),
+        "listen": endpoint(f"10.{subnet}.4.1", PUBLIC_PORT),
         "control": control,
     }
-    write(folder / "entry-1.yaml", entry)
+    write_yaml(folder / "entry-1.yaml", entry)
     first = rows[0]
     sidecar = {
         "identity": {
@@ -104,15 +112,15 @@
             "failure_domain": first["failure_domain"],
         },
         "upstream": first["name"],
-        "listen": at(first["ip"], INNER),
-        "admin": at(first["ip"], ADMIN),
+        "listen": endpoint(first["ip"], INNER_PORT),
+        "admin": endpoint(first["ip"], ADMIN_PORT),
         "control": control,
-        "platform_list": f"http://10.{net}.0.1:9900/boxes",
+        "platform_list": f"http://10.{subnet}.0.1:9900/boxes",
     }
-    write(folder / f"sidecar-{first['name']}.yaml", sidecar)
+    write_yaml(folder / f"sidecar-{first['name']}.yaml", sidecar)
 
 
-def account(
+def account_row(
     name: str, share: int, models: tuple[str, ...], services: tuple[str, ...]
 ) -> dict[str, Any]:
     """Return an account row without keys."""
@@ -125,23 +133,25 @@
     }
 
 
-def riga() -> None:
+def write_riga() -> None:
     """Write Riga's kiosk fleet: 6 engines, 3 transaction servers, 16 accounts."""
     pools = [
         {"name": "rates-1", "kind": "engine", "model": "rates", "version": "1"},
         {"name": "slips", "kind": "service"},
     ]
     places = ("centrs", "pardaugava", "purvciems", "market", "airport")
-    accounts = [account("compliance", 8, ("rates",), ("slips",))]
+    accounts = [account_row("compliance", 8, ("rates",), ("slips",))]
     for place in places:
         for kind, share in (("tellers", 4), ("screens", 1), ("receipts", 1)):
-            accounts.append(account(f"{place}-{kind}", share, ("rates",), ("slips",)))
-    rules = [{"name": "slips-once", "pool": "slips", "path_prefix": "/"}]
+            accounts.append(
+                account_row(f"{place}-{kind}", share, ("rates",), ("slips",))
+            )
+    never_repeat = [{"name": "slips-once", "pool": "slips", "path_prefix": "/"}]
     counts = [("rates-1", 6, 8), ("slips", 3, 16)]
-    write_site("riga", places[:3], 20, pools, counts, accounts, rules)
+    write_site("riga", places[:3], 20, pools, counts, accounts, never_repeat)
 
 
-def clachan() -> None:
+def write_clachan() -> None:
     """Write Clachan Plates: 5 engines, 3 ordering servers, 16 accounts."""
     pools = [
         {"name": "menus-1", "kind": "engine", "model": "menus", "version": "1"},
@@ -149,24 +159,24 @@
     ]
     domains = ("hall-leith", "hall-govan", "hall-perth")
     accounts = [
-        account("payments", 8, (), ("orders",)),
-        account("dispatch", 8, (), ("orders",)),
-        account("diners", 6, ("menus",), ("orders",)),
-        account("allergens", 2, ("menus",), ("orders",)),
+        account_row("payments", 8, (), ("orders",)),
+        account_row("dispatch", 8, (), ("orders",)),
+        account_row("diners", 6, ("menus",), ("orders",)),
+        account_row("allergens", 2, ("menus",), ("orders",)),
     ]
-    accounts += [account(f"partner-{n}", 1, ("menus",), ()) for n in range(1, 13)]
-    rules = [
+    accounts += [account_row(f"partner-{n}", 1, ("menus",), ()) for n in range(1, 13)]
+    never_repeat = [
         {"name": "payments-once", "account": "payments", "pool": "orders"},
         {"name": "tickets-once", "account": "allergens", "pool": "orders"},
     ]
     counts = [("menus-1", 5, 8), ("orders", 3, 16)]
-    write_site("clachan", domains, 30, pools, counts, accounts, rules)
+    write_site("clachan", domains, 30, pools, counts, accounts, never_repeat)
 
 
 def main() -> None:
     """Write all examples."""
-    riga()
-    clachan()
+    write_riga()
+    write_clachan()
 
 
 if __name__ == "__main__":
