--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -23,12 +23,12 @@
 
 
 def endpoint(ip: str, port: int) -> dict[str, Any]:
-    """Return an endpoint."""
+    """Return the settings of an endpoint."""
     return {"ip": ip, "port": port}
 
 
 def write_yaml(path: Path, data: Any) -> None:
-    """Write a YAML file."""
+    """Write data to a YAML file, with keys in the given order."""
     path.write_text(yaml.safe_dump(data, sort_keys=False))
 
 
@@ -65,7 +65,7 @@
     accounts: list[dict[str, Any]],
     never_repeat: list[dict[str, Any]],
 ) -> None:
-    """Write one user's folder: a fleet and one settings file for each program."""
+    """Write the folder of one site: a fleet and settings for each kind of program."""
     folder = EXAMPLES / name
     rows = upstream_rows(domains, counts, subnet)
     fleet = {
@@ -123,7 +123,7 @@
 def account_row(
     name: str, share: int, models: tuple[str, ...], services: tuple[str, ...]
 ) -> dict[str, Any]:
-    """Return an account row without keys."""
+    """Return an account row without key hashes."""
     return {
         "name": name,
         "share": share,
@@ -134,7 +134,7 @@
 
 
 def write_riga() -> None:
-    """Write Riga's kiosk fleet: 6 engines, 3 transaction servers, 16 accounts."""
+    """Write the Riga site: 6 engines, 3 transaction servers, 16 accounts."""
     pools = [
         {"name": "rates-1", "kind": "engine", "model": "rates", "version": "1"},
         {"name": "slips", "kind": "service"},
@@ -152,7 +152,7 @@
 
 
 def write_clachan() -> None:
-    """Write Clachan Plates: 5 engines, 3 ordering servers, 16 accounts."""
+    """Write the Clachan Plates site: 5 engines, 3 ordering servers, 16 accounts."""
     pools = [
         {"name": "menus-1", "kind": "engine", "model": "menus", "version": "1"},
         {"name": "orders", "kind": "service"},
