--- a/tools/measure.py
+++ b/tools/measure.py
@@ -39,20 +39,20 @@
 SLOTS = 4
 TOKEN_INTERVALS = (8, 8, 10, 10, 14, 20)
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-FLOOD = "menus"
+FLOOD_ACCOUNT = "menus"
 SAMPLE_INTERVAL = 0.2
-LAG = 0.3
-CUT = 6.0
+SERVICE_LAG = 0.3
+CUT_TIME = 6.0
 CUT_ENGINES = ("engine-1", "engine-2", "engine-3")
-FILLING = 6.0
-TICKS = os.sysconf("SC_CLK_TCK")
+FILL_TIME = 6.0
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 Disturbance = Callable[[Fleet], Coroutine[None, None, None]]
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class CaseResult:
     """One row of the report."""
 
     case: str
@@ -67,7 +67,7 @@
     broken: int
 
 
-def riga(folder: Path) -> Fleet:
+def riga_fleet(folder: Path) -> Fleet:
     """Describe Riga: 6 engines, 3 services, 3 domains, 16 accounts, 3 entries."""
     fleet = Fleet(folder)
     domains = ("centrs", "pardaugava", "purvciems")
@@ -117,8 +117,8 @@
 
 def loads() -> list[AccountLoad]:
     """One flood of long requests, five backlogged accounts, ten small ones."""
-    flood = AccountLoad(FLOOD, 200, ENTRIES, (40, 160))
-    tied = [
+    flood = AccountLoad(FLOOD_ACCOUNT, 200, ENTRIES, (40, 160))
+    steady = [
         AccountLoad(f"desk-{number}", 12, (ENTRIES[number % 3],), (5, 60))
         for number in range(5)
     ]
@@ -126,7 +126,7 @@
         AccountLoad(f"kiosk-{number}", 1, (ENTRIES[number % 3],), (4, 12))
         for number in range(10)
     ]
-    return [flood, *tied, *small]
+    return [flood, *steady, *small]
 
 
 def backlogged() -> dict[str, int]:
@@ -137,7 +137,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 class Observer:
@@ -186,7 +186,9 @@
         return len(self._nodes)
 
 
-async def sample(driver: Driver, samples: ServiceSamples, seconds: float) -> None:
+async def sample_service(
+    driver: Driver, samples: ServiceSamples, seconds: float
+) -> None:
     """Sample service as callers receive it, token by token."""
     end = time.monotonic() + seconds
     while time.monotonic() < end and not driver.stopping:
@@ -200,18 +202,18 @@
     route: Route,
     seconds: float,
     disturb: Disturbance | None = None,
-) -> Result:
+) -> CaseResult:
     """Run one case against a running fleet."""
     driver = Driver(loads(), route)
     observer = Observer(fleet)
-    running = asyncio.create_task(driver.run_for(FILLING + seconds))
-    await sample(driver, observer.samples, FILLING)
+    running = asyncio.create_task(driver.run_for(FILL_TIME + seconds))
+    await sample_service(driver, observer.samples, FILL_TIME)
     filled = len(observer.samples.rows)
     start = time.monotonic()
     bytes_before, cpu_before = await observer.control_bytes(), observer.cpu()
     busy_before = await observer.busy_seconds()
     disturbance = asyncio.create_task(disturb(fleet)) if disturb else None
-    await sample(driver, observer.samples, seconds)
+    await sample_service(driver, observer.samples, seconds)
     end = time.monotonic()
     elapsed = end - start
     if disturbance is not None:
@@ -231,7 +233,7 @@
     ]
     totals = {name: round(got) for name, got in observer.samples.totals().items()}
     print(f"{case}: tokens by account {totals}")
-    return Result(
+    return CaseResult(
         case=case,
         gap=observer.samples.gap(),
         steady_gap=observer.samples.gap(skip=filled),
@@ -245,7 +247,7 @@
     )
 
 
-def report(results: list[Result]) -> str:
+def format_table(results: list[CaseResult]) -> str:
     """Format the results as a table."""
     lines = [
         "| case | gap, tokens | gap once filled | utilisation |"
@@ -267,7 +269,7 @@
     """Run all cases and print the table."""
     results = []
     with tempfile.TemporaryDirectory() as folder:
-        fleet = riga(Path(folder))
+        fleet = riga_fleet(Path(folder))
         links = [await proxy_sidecar(fleet, name) for name in CUT_ENGINES]
         try:
             await fleet.start_all()
@@ -277,33 +279,37 @@
                 fleet.url(f"engine-{number + 1}", path) for number in range(ENGINES)
             ]
             http = fleet.http
-            bound = entry_route(http, urls, MODEL)
+            late_binding = entry_route(http, urls, MODEL)
             random_push = push_route(http, engines, MODEL, choose_random)
             least_push = push_route(http, engines, MODEL, choose_least_in_flight)
 
-            async def cut(fleet: Fleet) -> None:
+            async def cut_from_half(fleet: Fleet) -> None:
                 pid = fleet.nodes["entry-2"].pid
-                await asyncio.gather(*(link.hold_process(pid, CUT) for link in links))
+                await asyncio.gather(
+                    *(link.hold_process(pid, CUT_TIME) for link in links)
+                )
 
             cases: list[tuple[str, Route, Disturbance | None]] = [
                 ("push at random", random_push, None),
                 ("push, least in flight", least_push, None),
-                ("late binding", bound, None),
-                ("late binding, entry restarted", bound, restart_entry),
-                ("late binding, sidecar restarted", bound, restart_sidecar),
-                ("late binding, entry cut from half", bound, cut),
+                ("late binding", late_binding, None),
+                ("late binding, entry restarted", late_binding, restart_entry),
+                ("late binding, sidecar restarted", late_binding, restart_sidecar),
+                ("late binding, entry cut from half", late_binding, cut_from_half),
             ]
             for case, route, disturb in cases:
                 if only in (None, case):
                     result = await run_case(fleet, case, route, seconds, disturb)
                     results.append(result)
-                    print(report([result]).splitlines()[-1], flush=True)
+                    print(format_table([result]).splitlines()[-1], flush=True)
         finally:
             await fleet.close()
-    print(report(results))
+    print(format_table(results))
     slots = ENGINES * SLOTS
     rate = SLOTS * sum(1_000 / interval for interval in TOKEN_INTERVALS)
-    limit = gap_bound(slots=slots, sidecars=ENGINES, max_tokens=160, rate=rate, lag=LAG)
+    limit = gap_bound(
+        slots=slots, sidecars=ENGINES, max_tokens=160, rate=rate, lag=SERVICE_LAG
+    )
     print(f"Stated bound of the gap: {limit:.0f} tokens.")
 
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -29,7 +29,7 @@
 from tools.fleet import OPERATOR_TOKEN, Fleet
 from tools.gap import percentile
 from tools.load import chat_body
-from tools.measure import cpu_seconds, riga
+from tools.measure import cpu_seconds, riga_fleet
 from tools.ports import LOOPBACK
 
 IN_FORCE = re.compile(r'"time": (\d+).*"configuration in force", "version": (\d+)')
@@ -198,7 +198,7 @@
 async def main_async(count: int, only_storm: bool) -> None:
     """Measure and print everything."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = riga(Path(folder))
+        fleet = riga_fleet(Path(folder))
         try:
             await fleet.start_all()
             if only_storm:
