--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,4 +1,4 @@
-"""Measure fairness gap, utilisation, control traffic and waits, policy by policy.
+"""Measure fairness gap, utilisation, control traffic and waits for each policy.
 
 Usage:
   measure [--seconds N] [--case NAME]
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseResult:
-    """One row of the report."""
+    """Result of one case; a row of the printed table."""
 
     case: str
     gap: float
@@ -68,7 +68,7 @@
 
 
 def riga_fleet(folder: Path) -> Fleet:
-    """Describe Riga: 6 engines, 3 services, 3 domains, 16 accounts, 3 entries."""
+    """Return Riga's fleet: 6 engines, 3 services, 3 domains, 16 accounts, 3 entries."""
     fleet = Fleet(folder)
     domains = ("centrs", "pardaugava", "purvciems")
     fleet.add_control()
@@ -98,17 +98,17 @@
 
 
 async def restart_entry(fleet: Fleet) -> None:
-    """Kill an entry and start it without state."""
+    """Kill an entry and restart it without its state."""
     await restart(fleet, "entry-2")
 
 
 async def restart_sidecar(fleet: Fleet) -> None:
-    """Kill a sidecar and start it without state."""
+    """Kill a sidecar and restart it without its state."""
     await restart(fleet, "sidecar-engine-4")
 
 
 async def restart(fleet: Fleet, name: str) -> None:
-    """Kill a process and start it again."""
+    """Kill a process, restart it and wait until it is ready."""
     await asyncio.sleep(1)
     fleet.nodes[name].kill()
     fleet.start(name)
@@ -116,7 +116,7 @@
 
 
 def loads() -> list[AccountLoad]:
-    """One flood of long requests, five backlogged accounts, ten small ones."""
+    """Return one flood of long requests, five backlogged and ten small accounts."""
     flood = AccountLoad(FLOOD_ACCOUNT, 200, ENTRIES, (40, 160))
     steady = [
         AccountLoad(f"desk-{number}", 12, (ENTRIES[number % 3],), (5, 60))
@@ -141,7 +141,7 @@
 
 
 class Observer:
-    """Samples service and costs while a driver runs."""
+    """Reads service and cost counters of a fleet while a driver runs."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.samples = ServiceSamples(backlogged())
@@ -149,7 +149,7 @@
         self._nodes = fleet.names("entry") + fleet.names("sidecar")
 
     async def busy_seconds(self) -> float:
-        """Return the time that the engines' slots were busy, as they count it."""
+        """Return the busy time of all engine slots, as counted by the engines."""
         total = 0.0
         for row in self._fleet.config["upstreams"]:
             if row["pool"] == "kiosk":
@@ -160,7 +160,7 @@
         return total
 
     async def grants(self) -> dict[str, float]:
-        """Return grants so far by how they ended, summed over the sidecars."""
+        """Return the number of grants by outcome, summed over the sidecars."""
         totals: dict[str, float] = {}
         for name in self._fleet.names("sidecar"):
             values = await self._fleet.metric(name, "grants_total")
@@ -169,7 +169,7 @@
         return totals
 
     async def control_bytes(self) -> dict[str, float]:
-        """Return control bytes sent so far by each entry and sidecar."""
+        """Return the control bytes sent so far by each entry and sidecar."""
         totals = {}
         for name in self._nodes:
             sent = await self._fleet.metric(name, "link_control_sent_bytes_total")
@@ -177,19 +177,19 @@
         return totals
 
     def cpu(self) -> float:
-        """Return processor seconds of entries and sidecars so far."""
+        """Return the processor seconds used so far by entries and sidecars."""
         return sum(cpu_seconds(self._fleet.nodes[name].pid) for name in self._nodes)
 
     @property
     def count(self) -> int:
-        """Number of nodes observed."""
+        """Number of observed nodes."""
         return len(self._nodes)
 
 
 async def sample_service(
     driver: Driver, samples: ServiceSamples, seconds: float
 ) -> None:
-    """Sample service as callers receive it, token by token."""
+    """Sample the tokens that callers have received, for some seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end and not driver.stopping:
         samples.add(dict(driver.tokens))
@@ -220,7 +220,7 @@
         await disturbance
     busy = (await observer.busy_seconds() - busy_before) / elapsed
     bytes_after = await observer.control_bytes()
-    # A restarted process counts from zero again.
+    # The counter of a restarted process starts at zero again.
     control = {
         name: max(late - bytes_before[name], 0) / elapsed
         for name, late in bytes_after.items()
@@ -248,7 +248,7 @@
 
 
 def format_table(results: list[CaseResult]) -> str:
-    """Format the results as a table."""
+    """Return the results as a Markdown table."""
     lines = [
         "| case | gap, tokens | gap once filled | utilisation |"
         " control B/s, worst node | CPU % a node | wait p50 s | wait p95 s |"
