--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -33,17 +33,17 @@
 from tools.ports import LOOPBACK
 
 IN_FORCE = re.compile(r'"time": (\d+).*"configuration in force", "version": (\d+)')
-PAUSE = 0.05
+POLL_INTERVAL = 0.05
 STORM_CALLS = 200
 
 
-def client(fleet: Fleet) -> OperatorClient:
+def operator_client(fleet: Fleet) -> OperatorClient:
     """Return a client of all replicas."""
     ends = [Endpoint(ip=LOOPBACK, port=port) for port in fleet.operator_ports]
     return OperatorClient(ends, OPERATOR_TOKEN)
 
 
-async def change(operator: OperatorClient, turn: int) -> tuple[int, float, float]:
+async def send_change(operator: OperatorClient, turn: int) -> tuple[int, float, float]:
     """Make one change; return its version, when it was sent and acknowledged (ms)."""
     current = await operator.get()
     operation = Drain("kiosk-1", turn % 2 == 0)
@@ -60,34 +60,38 @@
 
 def in_force_times(fleet: Fleet) -> dict[int, float]:
     """Return when each version was in force on the last node (ms), from the logs."""
-    last: dict[int, float] = {}
+    in_force_at: dict[int, float] = {}
     for name in (*fleet.names("entry"), *fleet.names("sidecar")):
         for when, version in IN_FORCE.findall(fleet.nodes[name].log.read_text()):
             number = int(version)
-            last[number] = max(last.get(number, 0.0), float(when))
-    return last
+            in_force_at[number] = max(in_force_at.get(number, 0.0), float(when))
+    return in_force_at
 
 
 async def leader_name(fleet: Fleet) -> str:
     """Return the name of the leader."""
     while True:
-        for _, reply in await client(fleet).status():
+        for _, reply in await operator_client(fleet).status():
             if reply is not None and reply.role == "leader" and reply.current:
                 return str(reply.identity).partition("#")[0]
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(POLL_INTERVAL)
 
 
-async def propagation(fleet: Fleet, case: str, count: int) -> str:
+async def describe_propagation(fleet: Fleet, case: str, count: int) -> str:
     """Make changes and describe how long they took to be in force everywhere."""
-    operator = client(fleet)
-    made = []
+    operator = operator_client(fleet)
+    changes = []
     for turn in range(count):
-        made.append(await change(operator, turn))
-        await asyncio.sleep(PAUSE)
-    await fleet.wait_in_force(made[-1][0])
-    last = in_force_times(fleet)
-    delays = [last[version] - acked for version, _, acked in made if version in last]
-    acks = [acked - sent for _, sent, acked in made]
+        changes.append(await send_change(operator, turn))
+        await asyncio.sleep(POLL_INTERVAL)
+    await fleet.wait_in_force(changes[-1][0])
+    in_force_at = in_force_times(fleet)
+    delays = [
+        in_force_at[version] - acked
+        for version, _, acked in changes
+        if version in in_force_at
+    ]
+    acks = [acked - sent for _, sent, acked in changes]
     return (
         f"{case}: {len(delays)} changes, in force on the last node after the"
         f" acknowledgement: p50 {percentile(delays, 0.5):.0f} ms,"
@@ -97,15 +101,15 @@
     )
 
 
-async def failover(fleet: Fleet, rounds: int) -> str:
+async def describe_failover(fleet: Fleet, rounds: int) -> str:
     """Kill the leader and time the next acknowledged change."""
     times = []
-    operator = client(fleet)
+    operator = operator_client(fleet)
     for turn in range(rounds):
         old = await leader_name(fleet)
         fleet.nodes[old].kill()
         start = time.monotonic()
-        await change_until_accepted(operator, turn)
+        await send_change_until_accepted(operator, turn)
         times.append(time.monotonic() - start)
         fleet.start(old)
         await fleet.wait_ready(old)
@@ -113,17 +117,17 @@
     return f"failover, kill to next acknowledged change: {listed} s"
 
 
-async def change_until_accepted(operator: OperatorClient, turn: int) -> None:
+async def send_change_until_accepted(operator: OperatorClient, turn: int) -> None:
     """Repeat a change until it is acknowledged."""
     while True:
         try:
-            await change(operator, turn)
+            await send_change(operator, turn)
             return
         except UnavailableError:
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL)
 
 
-async def idle_cost(fleet: Fleet, seconds: float) -> str:
+async def describe_idle_cost(fleet: Fleet, seconds: float) -> str:
     """Describe control bytes and processor time of each program without load."""
     lines = []
     for program in ("entry", "sidecar", "control"):
@@ -145,30 +149,30 @@
     return sum(sent.values()), cpu_seconds(fleet.nodes[name].pid)
 
 
-async def feed_bytes(fleet: Fleet, count: int) -> str:
+async def describe_feed_bytes(fleet: Fleet, count: int) -> str:
     """Describe the bytes that a change costs each subscriber."""
-    operator = client(fleet)
-    before = await all_feed_bytes(fleet)
+    operator = operator_client(fleet)
+    before = await total_feed_bytes(fleet)
     for turn in range(count):
-        version, _, _ = await change(operator, turn)
+        version, _, _ = await send_change(operator, turn)
     await fleet.wait_in_force(version)
     nodes = len(fleet.names("entry")) + len(fleet.names("sidecar"))
-    each = (await all_feed_bytes(fleet) - before) / count / nodes
+    each = (await total_feed_bytes(fleet) - before) / count / nodes
     return f"feed: {each:.0f} B for each change and node"
 
 
-async def all_feed_bytes(fleet: Fleet) -> float:
+async def total_feed_bytes(fleet: Fleet) -> float:
     """Return feed bytes sent so far by all replicas."""
     values = [await fleet.metric(n, "feed_bytes_total") for n in fleet.names("control")]
     return sum(sum(value.values()) for value in values)
 
 
-async def retry_storm(fleet: Fleet) -> str:
+async def describe_retry_storm(fleet: Fleet) -> str:
     """Have every engine fail and count attempts for each caller's request."""
     engines = [n for n in fleet.names("standin") if n.startswith("engine")]
     for name in engines:
         await fleet.http.put(fleet.url(name, "/standin/mode/refuse"))
-    before = await all_started(fleet, engines)
+    before = await total_started(fleet, engines)
     url = fleet.url("entry-1", "/v1/chat/completions")
     headers = {"Authorization": "Bearer key-menus"}
 
@@ -180,13 +184,13 @@
 
     for _ in range(STORM_CALLS // 10):
         await asyncio.gather(*(call() for _ in range(10)))
-    started = await all_started(fleet, engines) - before
+    started = await total_started(fleet, engines) - before
     for name in engines:
         await fleet.http.put(fleet.url(name, "/standin/mode/normal"))
     return f"retry storm: {started / STORM_CALLS:.2f} attempts for each request"
 
 
-async def all_started(fleet: Fleet, engines: list[str]) -> int:
+async def total_started(fleet: Fleet, engines: list[str]) -> int:
     """Return requests that the engines have started."""
     total = 0
     for name in engines:
@@ -202,19 +206,25 @@
         try:
             await fleet.start_all()
             if only_storm:
-                print(await retry_storm(fleet))
+                print(await describe_retry_storm(fleet))
                 return
-            print(await idle_cost(fleet, 5), flush=True)
-            print(await propagation(fleet, "all replicas well", count), flush=True)
-            print(await feed_bytes(fleet, 10), flush=True)
+            print(await describe_idle_cost(fleet, 5), flush=True)
+            print(
+                await describe_propagation(fleet, "all replicas well", count),
+                flush=True,
+            )
+            print(await describe_feed_bytes(fleet, 10), flush=True)
             frozen = await leader_name(fleet)
             fleet.nodes[frozen].signal(signal.SIGSTOP)
-            await change_until_accepted(client(fleet), 1)
-            print(await propagation(fleet, "one replica frozen", count), flush=True)
+            await send_change_until_accepted(operator_client(fleet), 1)
+            print(
+                await describe_propagation(fleet, "one replica frozen", count),
+                flush=True,
+            )
             fleet.nodes[frozen].signal(signal.SIGCONT)
             await fleet.wait_ready(frozen)
-            print(await failover(fleet, 5), flush=True)
-            print(await retry_storm(fleet), flush=True)
+            print(await describe_failover(fleet, 5), flush=True)
+            print(await describe_retry_storm(fleet), flush=True)
         finally:
             await fleet.close()
 
