--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -1,4 +1,4 @@
-"""Measure the control plane: time until in force, failover, feed bytes, storms.
+"""Measure the control plane: propagation, failover, feed bytes and retry storms.
 
 Usage:
   measure_control [--changes N] [--storm]
@@ -38,13 +38,13 @@
 
 
 def operator_client(fleet: Fleet) -> OperatorClient:
-    """Return a client of all replicas."""
+    """Return an operator client of all replicas."""
     ends = [Endpoint(ip=LOOPBACK, port=port) for port in fleet.operator_ports]
     return OperatorClient(ends, OPERATOR_TOKEN)
 
 
 async def send_change(operator: OperatorClient, turn: int) -> tuple[int, float, float]:
-    """Make one change; return its version, when it was sent and acknowledged (ms)."""
+    """Send a change; return its version, and when it was sent and acknowledged (ms)."""
     current = await operator.get()
     operation = Drain("kiosk-1", turn % 2 == 0)
     request = pb.ApplyRequest(
@@ -59,7 +59,7 @@
 
 
 def in_force_times(fleet: Fleet) -> dict[int, float]:
-    """Return when each version was in force on the last node (ms), from the logs."""
+    """Return from the logs when each version was in force on the last node (ms)."""
     in_force_at: dict[int, float] = {}
     for name in (*fleet.names("entry"), *fleet.names("sidecar")):
         for when, version in IN_FORCE.findall(fleet.nodes[name].log.read_text()):
@@ -78,7 +78,7 @@
 
 
 async def describe_propagation(fleet: Fleet, case: str, count: int) -> str:
-    """Make changes and describe how long they took to be in force everywhere."""
+    """Send changes and describe how long they took to be in force everywhere."""
     operator = operator_client(fleet)
     changes = []
     for turn in range(count):
@@ -102,7 +102,7 @@
 
 
 async def describe_failover(fleet: Fleet, rounds: int) -> str:
-    """Kill the leader and time the next acknowledged change."""
+    """Kill the leader in rounds; describe the times to the next acknowledged change."""
     times = []
     operator = operator_client(fleet)
     for turn in range(rounds):
@@ -118,7 +118,7 @@
 
 
 async def send_change_until_accepted(operator: OperatorClient, turn: int) -> None:
-    """Repeat a change until it is acknowledged."""
+    """Send a change repeatedly until it is acknowledged."""
     while True:
         try:
             await send_change(operator, turn)
@@ -128,7 +128,7 @@
 
 
 async def describe_idle_cost(fleet: Fleet, seconds: float) -> str:
-    """Describe control bytes and processor time of each program without load."""
+    """Describe the control bytes and processor time of each program without load."""
     lines = []
     for program in ("entry", "sidecar", "control"):
         names = fleet.names(program)
@@ -144,13 +144,13 @@
 
 
 async def node_cost(fleet: Fleet, name: str) -> tuple[float, float]:
-    """Return control bytes sent and processor seconds so far."""
+    """Return the control bytes sent and processor seconds used so far by a node."""
     sent = await fleet.metric(name, "link_control_sent_bytes_total")
     return sum(sent.values()), cpu_seconds(fleet.nodes[name].pid)
 
 
 async def describe_feed_bytes(fleet: Fleet, count: int) -> str:
-    """Describe the bytes that a change costs each subscriber."""
+    """Describe the feed bytes per change and subscriber."""
     operator = operator_client(fleet)
     before = await total_feed_bytes(fleet)
     for turn in range(count):
@@ -162,13 +162,13 @@
 
 
 async def total_feed_bytes(fleet: Fleet) -> float:
-    """Return feed bytes sent so far by all replicas."""
+    """Return the feed bytes sent so far by all replicas."""
     values = [await fleet.metric(n, "feed_bytes_total") for n in fleet.names("control")]
     return sum(sum(value.values()) for value in values)
 
 
 async def describe_retry_storm(fleet: Fleet) -> str:
-    """Have every engine fail and count attempts for each caller's request."""
+    """Let every engine refuse; describe the attempts for each caller's request."""
     engines = [n for n in fleet.names("standin") if n.startswith("engine")]
     for name in engines:
         await fleet.http.put(fleet.url(name, "/standin/mode/refuse"))
@@ -191,7 +191,7 @@
 
 
 async def total_started(fleet: Fleet, engines: list[str]) -> int:
-    """Return requests that the engines have started."""
+    """Return the number of requests that the engines have started."""
     total = 0
     for name in engines:
         async with fleet.http.get(fleet.url(name, "/standin")) as resp:
@@ -200,7 +200,7 @@
 
 
 async def main_async(count: int, only_storm: bool) -> None:
-    """Measure and print everything."""
+    """Run all measurements and print their results."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = riga_fleet(Path(folder))
         try:
