--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -42,14 +42,14 @@
     from tools.platform.nodes import Answer
     from tools.platform.standin import Run
 
-GOOD_PAUSE = 0.02
+GOOD_INTERVAL = 0.02
 """Seconds between two good requests of a caller."""
-DEADLY_PAUSE = 0.3
+DEADLY_INTERVAL = 0.3
 MASS_INTERVAL = 0.1
 """Seconds between two draws of upstreams that crash by themselves."""
 CONVICTION_WEIGHT = 3
 """Upstreams after whose end a request is refused."""
-LOOKS = 100_000
+CHECKS = 100_000
 """Calls of which the cost of a look is the mean."""
 
 
@@ -82,8 +82,8 @@
         deadly: Deadly requests by status.
         crashes: Runs that crashed an upstream, in the order of time.
         verdicts: Requests that are refused in the end.
-        by_themselves: Upstreams that crashed under no request.
-        innocent: Good requests that were refused as crashing upstreams.
+        spontaneous_crashes: Upstreams that crashed under no request.
+        wrongly_refused: Good requests that were refused as crashing upstreams.
     """
 
     callers: int
@@ -91,8 +91,8 @@
     deadly: Counter[int] = field(default_factory=Counter)
     crashes: list[Run] = field(default_factory=list)
     verdicts: int = 0
-    by_themselves: int = 0
-    innocent: set[str] = field(default_factory=set)
+    spontaneous_crashes: int = 0
+    wrongly_refused: set[str] = field(default_factory=set)
 
     def __str__(self) -> str:
         late = self.crashes[CONVICTION_WEIGHT:]
@@ -100,7 +100,7 @@
         return (
             f"| {self.callers} | {sum(self.deadly.values())} | {len(self.crashes)}"
             f" | {after:.2f} | {self.good[200]} / {self.good[502]} / {self.good[503]}"
-            f" | {self.verdicts} | {self.by_themselves} | {len(self.innocent)} |"
+            f" | {self.verdicts} | {self.spontaneous_crashes} | {len(self.wrongly_refused)} |"
         )
 
 
@@ -127,7 +127,7 @@
                 group.create_task(self._call_deadly(number))
             for number in range(self._load.good):
                 group.create_task(self._call_good(number))
-            group.create_task(self._crash_by_themselves())
+            group.create_task(self._crash_spontaneously())
         servers = self._platform.of("plain")
         runs = [run for server in servers for run in server.crashes]
         self.row.crashes = sorted(runs, key=lambda run: run.at)
@@ -139,7 +139,7 @@
                 return
             answer = await self._call(turn, "/safe/deadly")
             self.row.deadly[answer.status] += 1
-            await asyncio.sleep(DEADLY_PAUSE)
+            await asyncio.sleep(DEADLY_INTERVAL)
 
     async def _call_good(self, number: int) -> None:
         for turn in itertools.count(number):
@@ -152,17 +152,17 @@
                 status = answer.status
                 self.row.good[status] += 1
                 if b'"crashes_upstreams"' in answer.body:
-                    self.row.innocent.add(path)
-                await asyncio.sleep(GOOD_PAUSE)
+                    self.row.wrongly_refused.add(path)
+                await asyncio.sleep(GOOD_INTERVAL)
                 if status == 200:
                     break
 
-    async def _crash_by_themselves(self) -> None:
+    async def _crash_spontaneously(self) -> None:
         while time.monotonic() < self._end and self._load.mass:
             await asyncio.sleep(MASS_INTERVAL)
             for server in self._platform.of("plain"):
                 if self._rng.random() < self._load.mass * MASS_INTERVAL:
-                    self.row.by_themselves += server.crash()
+                    self.row.spontaneous_crashes += server.crash()
 
     async def _call(self, turn: int, path: str) -> Answer:
         entries = self._platform.entry_ips
@@ -193,7 +193,7 @@
             await platform.close()
 
 
-def cost_of_a_look() -> float:
+def check_cost() -> float:
     """Return the microseconds of one look while nothing is suspected."""
     guard = CrashGuard(
         feed=cast("Any", None),
@@ -202,8 +202,8 @@
         running=(),
     )
     admitted = cast("Any", SimpleNamespace(account="bank", body=b"x" * 2_000))
-    took = timeit.timeit(lambda: guard.refusal(admitted), number=LOOKS)
-    return took / LOOKS * 1e6
+    elapsed = timeit.timeit(lambda: guard.refusal(admitted), number=CHECKS)
+    return elapsed / CHECKS * 1e6
 
 
 def main() -> None:
@@ -223,7 +223,7 @@
     print("|---|---|---|---|---|---|---|---|")
     for callers in args["--callers"].split(","):
         print(asyncio.run(measure(int(callers), load)))
-    print(f"a look while nothing is suspected: {cost_of_a_look():.2f} us")
+    print(f"a look while nothing is suspected: {check_cost():.2f} us")
 
 
 if __name__ == "__main__":
