--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -1,8 +1,8 @@
-"""Measure what a request costs that crashes each upstream which begins it.
+"""Measure the cost of a request that crashes each upstream which begins it.
 
-Two entries, four plain upstreams, real processes. Some callers send the request again
-0.3 s after each answer, through one entry after the other; others send good ones, each
-again until it is answered or the row ends.
+Two entries and four plain upstreams run as real processes. Some callers send the deadly
+request again 0.3 s after each answer, alternating between the entries. Others send good
+requests and resend each until it is answered or the row ends.
 
 Usage:
   measure_crashes [options]
@@ -10,12 +10,13 @@
 
 Options:
   --seconds S     Length of each row [default: 10].
-  --callers LIST  Callers of the deadly request, with commas [default: 1,2,4,8].
+  --callers LIST  Numbers of callers of the deadly request; one row for each
+                  [default: 1,2,4,8].
   --good N        Callers of good requests [default: 6].
   --run-time S    Seconds that a good request runs [default: 0.02].
-  --mass PART     Part of the upstreams that crash each second by themselves
+  --mass PART     Fraction of the upstreams that crash spontaneously each second
                   [default: 0].
-  --hot           All good callers send the same request, again and again.
+  --hot           All good callers send the same request repeatedly.
 """
 
 from __future__ import annotations
@@ -43,25 +44,25 @@
     from tools.platform.standin import Run
 
 GOOD_INTERVAL = 0.02
-"""Seconds between two good requests of a caller."""
+"""Seconds between two good requests of one caller."""
 DEADLY_INTERVAL = 0.3
 MASS_INTERVAL = 0.1
-"""Seconds between two draws of upstreams that crash by themselves."""
+"""Seconds between two random choices of upstreams that crash spontaneously."""
 CONVICTION_WEIGHT = 3
-"""Upstreams after whose end a request is refused."""
+"""Crashed upstreams after which a request is refused."""
 CHECKS = 100_000
-"""Calls of which the cost of a look is the mean."""
+"""Number of calls over which the cost of a check is averaged."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What is there beside the deadly request.
+    """Load beside the deadly request.
 
     Args:
         seconds: Length of a row.
         good: Callers of good requests.
-        run_time: Seconds that one of these runs.
-        mass: Part of the upstreams that crash each second by themselves.
+        run_time: Seconds that a good request runs.
+        mass: Fraction of the upstreams that crash spontaneously each second.
         hot: Whether all good requests are the same.
     """
 
@@ -74,16 +75,16 @@
 
 @dataclass
 class Row:
-    """What one number of callers showed.
+    """Results for one number of callers.
 
     Args:
         callers: Callers of the deadly request.
         good: Good requests by status.
         deadly: Deadly requests by status.
-        crashes: Runs that crashed an upstream, in the order of time.
-        verdicts: Requests that are refused in the end.
-        spontaneous_crashes: Upstreams that crashed under no request.
-        wrongly_refused: Good requests that were refused as crashing upstreams.
+        crashes: Runs that crashed an upstream, in order of time.
+        verdicts: Requests that are refused at the end.
+        spontaneous_crashes: Upstreams that crashed without a deadly request.
+        wrongly_refused: Paths of good requests that were refused as deadly.
     """
 
     callers: int
@@ -105,12 +106,12 @@
 
 
 class Experiment:
-    """Callers of one row.
+    """Runs the callers of one row.
 
     Args:
         platform: Running nodes and servers.
         callers: Callers of the deadly request.
-        load: What is there beside it.
+        load: Load beside the deadly request.
     """
 
     def __init__(self, platform: Platform, callers: int, load: Load) -> None:
@@ -121,7 +122,7 @@
         self.row = Row(callers)
 
     async def run(self) -> None:
-        """Call until the end."""
+        """Run all callers until the row ends, and collect its results."""
         async with asyncio.TaskGroup() as group:
             for number in range(self.row.callers):
                 group.create_task(self._call_deadly(number))
@@ -176,7 +177,7 @@
 
 
 async def measure(callers: int, load: Load) -> Row:
-    """Return what one number of callers shows."""
+    """Return the results for one number of callers."""
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(Path(folder))
         try:
@@ -194,7 +195,7 @@
 
 
 def check_cost() -> float:
-    """Return the microseconds of one look while nothing is suspected."""
+    """Return the microseconds of one check while no request is suspected."""
     guard = CrashGuard(
         feed=cast("Any", None),
         client=cast("Any", None),
