--- a/tools/path_cost.py
+++ b/tools/path_cost.py
@@ -55,7 +55,7 @@
         )
 
 
-def describe(folder: Path, *, slots: int, interval: int) -> Fleet:
+def single_path_fleet(folder: Path, *, slots: int, interval: int) -> Fleet:
     """Describe one entry, one sidecar and one engine."""
     fleet = Fleet(folder)
     fleet.add_control()
@@ -68,43 +68,45 @@
     return fleet
 
 
-async def first_token(fleet: Fleet, url: str, key: str) -> list[float]:
+async def first_token_times(fleet: Fleet, url: str, key: str) -> list[float]:
     """Return milliseconds to the first token of calls made one after another."""
     times = []
-    got: Counter[str] = Counter()
+    received: Counter[str] = Counter()
     for _ in range(LATENCY_CALLS):
-        result = await stream_chat(fleet.http, url, key, "", chat_body(MODEL, 1), got)
+        result = await stream_chat(
+            fleet.http, url, key, "", chat_body(MODEL, 1), received
+        )
         assert result.complete
         times.append((result.first_byte_at - result.start) * 1_000)
     return times
 
 
-async def added_latency(folder: Path) -> str:
+async def describe_added_latency(folder: Path) -> str:
     """Compare calls through entry and sidecar with direct calls, in turns."""
-    fleet = describe(folder, slots=8, interval=0)
+    fleet = single_path_fleet(folder, slots=8, interval=0)
     try:
         await fleet.start_all()
         direct_url, path_url = fleet.url("engine-1", PATH), fleet.url("entry-1", PATH)
         direct: list[float] = []
-        through: list[float] = []
+        through_path: list[float] = []
         for _ in range(3):
-            direct += await first_token(fleet, direct_url, "")
-            through += await first_token(fleet, path_url, "key-tellers")
-        added = statistics.median(through) - statistics.median(direct)
+            direct += await first_token_times(fleet, direct_url, "")
+            through_path += await first_token_times(fleet, path_url, "key-tellers")
+        added = statistics.median(through_path) - statistics.median(direct)
         return (
             f"first token: direct median {statistics.median(direct):.2f} ms, through"
-            f" entry and sidecar {statistics.median(through):.2f} ms,"
-            f" added {added:.2f} ms ({len(through)} calls each)"
+            f" entry and sidecar {statistics.median(through_path):.2f} ms,"
+            f" added {added:.2f} ms ({len(through_path)} calls each)"
         )
     finally:
         await fleet.close()
 
 
-async def token_cost(
+async def measure_token_cost(
     folder: Path, streams: int, seconds: float, interval: int
 ) -> PathCost:
     """Measure processor time for each token at a number of open streams."""
-    fleet = describe(folder, slots=streams, interval=interval)
+    fleet = single_path_fleet(folder, slots=streams, interval=interval)
     try:
         await fleet.start_all()
         async with aiohttp.ClientSession(
@@ -116,23 +118,23 @@
             driver = Driver([load], route)
             running = asyncio.create_task(driver.run_for(seconds + WARM_UP))
             await asyncio.sleep(WARM_UP)
-            before = costs(fleet)
+            before = processor_seconds(fleet)
             tokens, start = driver.tokens["tellers"], time.monotonic()
             await asyncio.sleep(seconds - 0.5)
-            after = costs(fleet)
-            got = driver.tokens["tellers"] - tokens
+            after = processor_seconds(fleet)
+            received = driver.tokens["tellers"] - tokens
             elapsed = time.monotonic() - start
             await running
     finally:
         await fleet.close()
     entry, sidecar = (
-        (late - early) / got * 1_000_000
+        (late - early) / received * 1_000_000
         for late, early in zip(after, before, strict=True)
     )
-    return PathCost(streams, got / elapsed, entry, sidecar)
+    return PathCost(streams, received / elapsed, entry, sidecar)
 
 
-async def request_cost(folder: Path, parallel: int, seconds: float) -> str:
+async def describe_request_cost(folder: Path, parallel: int, seconds: float) -> str:
     """Measure short calls of a plain service, so many at a time."""
     fleet = Fleet(folder)
     fleet.add_control()
@@ -144,7 +146,7 @@
     fleet.add_entry("entry-1")
     done = 0
 
-    async def caller(end: float) -> None:
+    async def run_caller(end: float) -> None:
         nonlocal done
         while time.monotonic() < end:
             status, _ = await fleet.post(
@@ -154,10 +156,10 @@
 
     try:
         await fleet.start_all()
-        before = costs(fleet)
+        before = processor_seconds(fleet)
         end = time.monotonic() + seconds
-        await asyncio.gather(*(caller(end) for _ in range(parallel)))
-        after = costs(fleet)
+        await asyncio.gather(*(run_caller(end) for _ in range(parallel)))
+        after = processor_seconds(fleet)
     finally:
         await fleet.close()
     entry, sidecar = (
@@ -170,7 +172,7 @@
     )
 
 
-def costs(fleet: Fleet) -> tuple[float, float]:
+def processor_seconds(fleet: Fleet) -> tuple[float, float]:
     """Return processor seconds of the entry and of the sidecar so far."""
     entry = cpu_seconds(fleet.nodes["entry-1"].pid)
     sidecar = cpu_seconds(fleet.nodes["sidecar-engine-1"].pid)
@@ -180,13 +182,17 @@
 async def main_async(seconds: float) -> None:
     """Measure and print everything."""
     with tempfile.TemporaryDirectory() as folder:
-        print(await added_latency(Path(folder)), flush=True)
+        print(await describe_added_latency(Path(folder)), flush=True)
     for parallel in (4, 16, 64):
         with tempfile.TemporaryDirectory() as folder:
-            print(await request_cost(Path(folder), parallel, seconds), flush=True)
+            print(
+                await describe_request_cost(Path(folder), parallel, seconds), flush=True
+            )
     for streams in (4, 16, 48):
         with tempfile.TemporaryDirectory() as folder:
-            print(await token_cost(Path(folder), streams, seconds, 20), flush=True)
+            print(
+                await measure_token_cost(Path(folder), streams, seconds, 20), flush=True
+            )
 
 
 def main() -> None:
