--- a/tools/path_cost.py
+++ b/tools/path_cost.py
@@ -1,4 +1,4 @@
-"""What the path costs: added latency, and processor time for each token.
+"""Measure the cost of the path: added latency, and processor time per token.
 
 Usage:
   path_cost [--seconds N]
@@ -37,10 +37,10 @@
     """Costs at one load.
 
     Args:
-        streams: Streams open at a time.
-        tokens: Tokens a second.
-        entry: Processor microseconds of the entry for each token.
-        sidecar: Processor microseconds of the sidecar for each token.
+        streams: Number of concurrent streams.
+        tokens: Tokens per second.
+        entry: Processor microseconds of the entry per token.
+        sidecar: Processor microseconds of the sidecar per token.
     """
 
     streams: int
@@ -56,7 +56,7 @@
 
 
 def single_path_fleet(folder: Path, *, slots: int, interval: int) -> Fleet:
-    """Describe one entry, one sidecar and one engine."""
+    """Return a fleet with one entry, one sidecar and one engine."""
     fleet = Fleet(folder)
     fleet.add_control()
     fleet.add_pool("rates-1", model=MODEL)
@@ -69,7 +69,7 @@
 
 
 async def first_token_times(fleet: Fleet, url: str, key: str) -> list[float]:
-    """Return milliseconds to the first token of calls made one after another."""
+    """Return the milliseconds to the first token of sequential calls."""
     times = []
     received: Counter[str] = Counter()
     for _ in range(LATENCY_CALLS):
@@ -82,7 +82,7 @@
 
 
 async def describe_added_latency(folder: Path) -> str:
-    """Compare calls through entry and sidecar with direct calls, in turns."""
+    """Compare calls through entry and sidecar with direct calls, in alternation."""
     fleet = single_path_fleet(folder, slots=8, interval=0)
     try:
         await fleet.start_all()
@@ -105,7 +105,7 @@
 async def measure_token_cost(
     folder: Path, streams: int, seconds: float, interval: int
 ) -> PathCost:
-    """Measure processor time for each token at a number of open streams."""
+    """Measure the processor time per token at a number of concurrent streams."""
     fleet = single_path_fleet(folder, slots=streams, interval=interval)
     try:
         await fleet.start_all()
@@ -135,7 +135,7 @@
 
 
 async def describe_request_cost(folder: Path, parallel: int, seconds: float) -> str:
-    """Measure short calls of a plain service, so many at a time."""
+    """Describe the cost of short calls of a plain service by concurrent callers."""
     fleet = Fleet(folder)
     fleet.add_control()
     fleet.add_pool("slips")
@@ -173,14 +173,14 @@
 
 
 def processor_seconds(fleet: Fleet) -> tuple[float, float]:
-    """Return processor seconds of the entry and of the sidecar so far."""
+    """Return the processor seconds used so far by the entry and by the sidecar."""
     entry = cpu_seconds(fleet.nodes["entry-1"].pid)
     sidecar = cpu_seconds(fleet.nodes["sidecar-engine-1"].pid)
     return entry, sidecar
 
 
 async def main_async(seconds: float) -> None:
-    """Measure and print everything."""
+    """Run all measurements and print their results."""
     with tempfile.TemporaryDirectory() as folder:
         print(await describe_added_latency(Path(folder)), flush=True)
     for parallel in (4, 16, 64):
