--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -83,7 +83,7 @@
         deadly: Deadly requests by status.
         crashes: Runs that crashed an upstream, in order of time.
         verdicts: Requests that are refused at the end.
-        spontaneous_crashes: Upstreams that crashed without a deadly request.
+        spontaneous: Upstreams that crashed without a request that caused it.
         wrongly_refused: Paths of good requests that were refused as deadly.
     """
 
@@ -92,7 +92,7 @@
     deadly: Counter[int] = field(default_factory=Counter)
     crashes: list[Run] = field(default_factory=list)
     verdicts: int = 0
-    spontaneous_crashes: int = 0
+    spontaneous: int = 0
     wrongly_refused: set[str] = field(default_factory=set)
 
     def __str__(self) -> str:
@@ -101,7 +101,7 @@
         return (
             f"| {self.callers} | {sum(self.deadly.values())} | {len(self.crashes)}"
             f" | {after:.2f} | {self.good[200]} / {self.good[502]} / {self.good[503]}"
-            f" | {self.verdicts} | {self.spontaneous_crashes} | {len(self.wrongly_refused)} |"
+            f" | {self.verdicts} | {self.spontaneous} | {len(self.wrongly_refused)} |"
         )
 
 
@@ -163,7 +163,7 @@
             await asyncio.sleep(MASS_INTERVAL)
             for server in self._platform.of("plain"):
                 if self._rng.random() < self._load.mass * MASS_INTERVAL:
-                    self.row.spontaneous_crashes += server.crash()
+                    self.row.spontaneous += server.crash()
 
     async def _call(self, turn: int, path: str) -> Answer:
         entries = self._platform.entry_ips
