--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -20,9 +20,9 @@
 import uvloop
 from docopt import docopt
 
-from tools.slopes.decisions import message_sizes, plain_slopes
+from tools.slopes.decisions import compute_slopes, message_sizes
 from tools.slopes.links import link_slopes
-from tools.slopes.sampling import async_slope, slope_of
+from tools.slopes.sampling import measure_async_slope, measure_slope
 
 
 async def main_async(only: str | None) -> None:
@@ -30,12 +30,12 @@
     print(f"Python {platform.python_version()}, {psutil.cpu_count()} processors")
     print("| slope | per unit | intercept | correlation | spread | points |")
     print("|---|---|---|---|---|---|")
-    for name, unit, causes, measure in plain_slopes():
+    for name, unit, sizes, measure in compute_slopes():
         if only in (None, name):
-            print(slope_of(name, unit, causes, measure), flush=True)
-    for name, unit, causes, run in link_slopes():
+            print(measure_slope(name, unit, sizes, measure), flush=True)
+    for name, unit, sizes, run in link_slopes():
         if only in (None, name):
-            print(await async_slope(name, unit, causes, run), flush=True)
+            print(await measure_async_slope(name, unit, sizes, run), flush=True)
     if only is None:
         for name, size in message_sizes().items():
             print(f"{name}: {size} B")
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -35,7 +35,7 @@
 )
 from leadseam.wire.feed import Current, Delta, LoadRow, LoadSums, UsageRow
 from tests.routing.samples import make_request, make_upstream
-from tools.slopes.sampling import cpu_of, memory_of
+from tools.slopes.sampling import measure_cpu, measure_memory
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -83,10 +83,10 @@
     """Encode and decode a frame of service rows."""
     message = Service(service_rows(count))
 
-    def work() -> None:
+    def workload() -> None:
         decode_frame(encode_frame([message]))
 
-    return cpu_of(work, 40)
+    return measure_cpu(workload, 40)
 
 
 def cpu_merge(count: int) -> float:
@@ -99,13 +99,13 @@
     names = [row.account for row in rows]
     tick = iter(range(1, 10**9))
 
-    def work() -> None:
+    def workload() -> None:
         grown = next(tick)
         changed = [ServiceRow(n, 10**13 + grown, 0, 0) for n in names]
         merge.update("s0", changed)
         merge.report("s1", names)
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def cpu_grant(count: int) -> float:
@@ -117,14 +117,14 @@
         row = BacklogRow(f"account-{number:04d}", 10**6, 0)
         scheduler.set_backlog("entry-1", row, 0)
 
-    def work() -> None:
+    def workload() -> None:
         (lease,) = scheduler.schedule(0)
         scheduler.start("entry-1", lease.grant, lease.account)
         ledger.charge(lease.account, 1_000)
         ledger.reserve(lease.account, -lease.reserved)
         scheduler.finish(lease.account, 1_000)
 
-    return cpu_of(work, 100)
+    return measure_cpu(workload, 100)
 
 
 def cpu_change(count: int) -> float:
@@ -132,12 +132,12 @@
     state = state_with(count)
     versions = iter(range(1, 10**6))
 
-    def work() -> None:
+    def workload() -> None:
         version = next(versions)
         operation = Put(Account("account-0000", share=1 + version % 9))
         state.apply(Change(f"c{version}", version, (operation,), "anna"))
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def cpu_claim_batch(count: int) -> float:
@@ -145,7 +145,7 @@
     state = ControlState()
     numbers = iter(range(1, 10**9))
 
-    def work() -> None:
+    def workload() -> None:
         commands = tuple(
             Acquire("account-0001", f"key-{next(numbers)}", 1, "o" * 32)
             for _ in range(count)
@@ -153,7 +153,7 @@
         state.apply(Claims(commands, 1))
         encode(commands)
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def sums_size(count: int) -> float:
@@ -167,7 +167,7 @@
     return float(len(encode(LoadSums(rows, usage))))
 
 
-def cpu_placing(count: int) -> float:
+def cpu_place(count: int) -> float:
     """Place a request at one of so many engines, half of their slots in use."""
     rng = random.Random(1)
     balancer = Balancer(random.Random(1))
@@ -179,7 +179,7 @@
     for row in rows:
         balancer.loads.begin(row.incarnation, Load(requests=rng.randrange(13)))
 
-    def work() -> None:
+    def workload() -> None:
         parts = (
             PromptPart(f"subject-{rng.randrange(400)}", 568),
             PromptPart("own", 1_800),
@@ -188,7 +188,7 @@
         order = balancer.orders.order_for(Scope("p"), rows, req)
         balancer.place(order, req, profile, 212, 0, ahead=100)
 
-    return cpu_of(work, 2_000)
+    return measure_cpu(workload, 2_000)
 
 
 def waiting_requests(count: int) -> WaitingQueue:
@@ -231,7 +231,7 @@
     return merge
 
 
-def plain_slopes() -> list[tuple[str, str, tuple[int, ...], Callable[[int], float]]]:
+def compute_slopes() -> list[tuple[str, str, tuple[int, ...], Callable[[int], float]]]:
     """List the slopes without I/O."""
     return [
         ("service frame", "B/row", ACCOUNTS, frame_size),
@@ -242,25 +242,25 @@
         ("grant", "us/waiting account", ACCOUNTS, cpu_grant),
         ("apply a change", "us/account", ACCOUNTS, cpu_change),
         ("shared sums", "B/row", ACCOUNTS, sums_size),
-        ("placing", "us/engine", ENGINES, cpu_placing),
+        ("placing", "us/engine", ENGINES, cpu_place),
         ("claim batch", "us/claim", (16, 64, 256), cpu_claim_batch),
         (
             "waiting request, 2 KB body",
             "B/request",
             (500, 2_000, 8_000),
-            lambda count: memory_of(waiting_requests, count),
+            lambda count: measure_memory(waiting_requests, count),
         ),
         (
             "claim held",
             "B/claim",
             (500, 2_000, 8_000),
-            lambda count: memory_of(claims_held, count),
+            lambda count: measure_memory(claims_held, count),
         ),
         (
             "merge of 10 sidecars",
             "B/account",
             ACCOUNTS,
-            lambda count: memory_of(merged_rows, count),
+            lambda count: measure_memory(merged_rows, count),
         ),
     ]
 
--- a/tools/slopes/links.py
+++ b/tools/slopes/links.py
@@ -26,26 +26,26 @@
 
 
 async def with_links(
-    count: int, work: Callable[[list[Link], list[Link]], Awaitable[float]]
+    count: int, workload: Callable[[list[Link], list[Link]], Awaitable[float]]
 ) -> float:
     """Open so many links on loopback and hand both ends to `work`."""
-    far: list[Link] = []
+    remote_links: list[Link] = []
     traffic = Traffic()
 
     async def accept(link: Link) -> None:
-        far.append(link)
+        remote_links.append(link)
         async for _ in link.messages():
             pass
 
     server = await listen(LOOPBACK, 0, accept, traffic)
     port = next(iter(server.sockets)).getsockname()[1]
-    near: list[Link] = []
+    local_links: list[Link] = []
     contexts = [dial(LOOPBACK, port, traffic) for _ in range(count)]
     for context in contexts:
-        near.append(await context.__aenter__())
-    readers = [asyncio.create_task(drain(link)) for link in near]
+        local_links.append(await context.__aenter__())
+    readers = [asyncio.create_task(drain(link)) for link in local_links]
     try:
-        return await work(near, far)
+        return await workload(local_links, remote_links)
     finally:
         for reader in readers:
             reader.cancel()
@@ -63,37 +63,37 @@
 async def cpu_chunks(per_second: int) -> float:
     """Send chunks of 60 bytes over one link for a second; both ends counted."""
 
-    async def work(near: list[Link], _: list[Link]) -> float:
+    async def workload(local_links: list[Link], _: list[Link]) -> float:
         before, start = cpu_now(), time.monotonic()
         for tick in range(100):
             for number in range(per_second // 100):
-                near[0].send(Chunk(number, tick, bytes(60)))
+                local_links[0].send(Chunk(number, tick, bytes(60)))
             await asyncio.sleep(max(0.0, start + (tick + 1) / 100 - time.monotonic()))
         return (cpu_now() - before) / (time.monotonic() - start) * 1_000
 
-    return await with_links(1, work)
+    return await with_links(1, workload)
 
 
 async def cpu_idle_links(count: int) -> float:
     """Hold idle links, with their keepalives, for two seconds; both ends counted."""
 
-    async def work(near: list[Link], far: list[Link]) -> float:
-        del near, far
+    async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
+        del local_links, remote_links
         before, start = cpu_now(), time.monotonic()
         await asyncio.sleep(2)
         return (cpu_now() - before) / (time.monotonic() - start) * 1_000
 
-    return await with_links(count, work)
+    return await with_links(count, workload)
 
 
 async def resident_with_links(count: int) -> float:
     """Return resident bytes of this process while it holds so many links."""
 
-    async def work(near: list[Link], far: list[Link]) -> float:
-        del near, far
+    async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
+        del local_links, remote_links
         return float(psutil.Process().memory_info().rss)
 
-    return await with_links(count, work)
+    return await with_links(count, workload)
 
 
 async def memory_links(count: int) -> float:
@@ -112,16 +112,16 @@
 async def cpu_heartbeats(count: int) -> float:
     """Send a feed heartbeat to so many subscribers; cost of one round, both ends."""
 
-    async def work(near: list[Link], far: list[Link]) -> float:
-        del far
+    async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
+        del remote_links
         before = cpu_now()
         for _ in range(10):
-            for link in near:
+            for link in local_links:
                 link.send(Current(12_345))
             await asyncio.sleep(0.05)
         return (cpu_now() - before) / 10 * 1_000
 
-    return await with_links(count, work)
+    return await with_links(count, workload)
 
 
 async def claims_per_second(parallel: int) -> float:
@@ -147,7 +147,7 @@
     end = time.monotonic() + seconds
     done = 0
 
-    async def caller(number: int) -> None:
+    async def run_caller(number: int) -> None:
         nonlocal done
         turn = 0
         while time.monotonic() < end:
@@ -158,7 +158,7 @@
             status, _ = await fleet.post("entry-1", path, "tellers", b"{}", headers)
             done += status == 200
 
-    await asyncio.gather(*(caller(number) for number in range(parallel)))
+    await asyncio.gather(*(run_caller(number) for number in range(parallel)))
     return done / seconds
 
 
--- a/tools/slopes/sampling.py
+++ b/tools/slopes/sampling.py
@@ -14,7 +14,7 @@
 
 SAMPLES = 5
 IO_SAMPLES = 3
-MICROS = 1_000_000
+MICROSECONDS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,21 +36,21 @@
     @property
     def line(self) -> tuple[float, float]:
         """Slope and intercept by least squares."""
-        causes = [cause for cause, _ in self.points]
+        sizes = [size for size, _ in self.points]
         costs = [cost for _, cost in self.points]
-        fit = statistics.linear_regression(causes, costs)
+        fit = statistics.linear_regression(sizes, costs)
         return fit.slope, fit.intercept
 
     @property
     def correlation(self) -> float:
         """How much of a line the points are; 1 is exact."""
-        causes = [cause for cause, _ in self.points]
+        sizes = [size for size, _ in self.points]
         costs = [cost for _, cost in self.points]
-        return statistics.correlation(causes, costs)
+        return statistics.correlation(sizes, costs)
 
     def __str__(self) -> str:
         slope, intercept = self.line
-        points = ", ".join(f"{cause:g}: {cost:.4g}" for cause, cost in self.points)
+        points = ", ".join(f"{size:g}: {cost:.4g}" for size, cost in self.points)
         return (
             f"| {self.name} | {slope:.4g} {self.unit} | {intercept:.4g} |"
             f" {self.correlation:.3f} | {self.spread:.0%} | {points} |"
@@ -63,7 +63,7 @@
     return usage.ru_utime + usage.ru_stime
 
 
-def repeated(measure: Callable[[], float]) -> tuple[float, float]:
+def sample_repeatedly(measure: Callable[[], float]) -> tuple[float, float]:
     """Return the median of `SAMPLES` runs and their relative spread."""
     values = [measure() for _ in range(SAMPLES)]
     median = statistics.median(values)
@@ -71,51 +71,51 @@
     return median, spread
 
 
-def slope_of(
-    name: str, unit: str, causes: tuple[int, ...], measure: Callable[[int], float]
+def measure_slope(
+    name: str, unit: str, sizes: tuple[int, ...], measure: Callable[[int], float]
 ) -> Slope:
     """Measure a cost at each cause."""
     points = []
     spreads = []
-    for cause in causes:
-        median, spread = repeated(lambda cause=cause: measure(cause))  # type: ignore[misc]
-        points.append((float(cause), median))
+    for size in sizes:
+        median, spread = sample_repeatedly(lambda size=size: measure(size))  # type: ignore[misc]
+        points.append((float(size), median))
         spreads.append(spread)
     return Slope(name, unit, tuple(points), max(spreads))
 
 
-def cpu_of(work: Callable[[], None], repeat: int) -> float:
+def measure_cpu(workload: Callable[[], None], repeat: int) -> float:
     """Return processor microseconds of one call of `work`."""
     before = cpu_now()
     for _ in range(repeat):
-        work()
-    return (cpu_now() - before) / repeat * MICROS
+        workload()
+    return (cpu_now() - before) / repeat * MICROSECONDS
 
 
-def memory_of(make: Callable[[int], object], count: int) -> float:
+def measure_memory(build: Callable[[int], object], count: int) -> float:
     """Return the bytes that an object of some size takes in a fresh measurement."""
     gc.collect()
     tracemalloc.start()
-    held = make(count)
+    built = build(count)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del held
+    del built
     return float(size)
 
 
-async def async_slope(
+async def measure_async_slope(
     name: str,
     unit: str,
-    causes: tuple[int, ...],
+    sizes: tuple[int, ...],
     measure: Callable[[int], Awaitable[float]],
     samples: int = IO_SAMPLES,
 ) -> Slope:
     """Measure a cost at each cause, with I/O."""
     points = []
     spreads = []
-    for cause in causes:
-        values = [await measure(cause) for _ in range(samples)]
+    for size in sizes:
+        values = [await measure(size) for _ in range(samples)]
         median = statistics.median(values)
-        points.append((float(cause), median))
+        points.append((float(size), median))
         spreads.append((max(values) - min(values)) / median if median else 0.0)
     return Slope(name, unit, tuple(points), max(spreads))
