--- a/tools/slopes/__init__.py
+++ b/tools/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Measure how costs grow: bytes, processor time and memory against what causes them."""
+"""Measures how costs grow: bytes, processor time and memory against load sizes."""
--- a/tools/slopes/__main__.py
+++ b/tools/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Measure how costs grow: bytes, processor time and memory against what causes them.
+"""Measure how costs grow: bytes, processor time and memory against load sizes.
 
 Usage:
   slopes [--only NAME]
@@ -7,9 +7,9 @@
 Options:
   --only NAME  Only this slope.
 
-Every slope is a line through at least three points. Links are real (loopback, the
-project's own codec); the peers are small fakes in one process. Processor time is the
-measured process's own, from the system's accounting.
+Every slope is a line fitted to at least three points. Links are real (loopback, the
+project's own codec); the peers are small fakes in one process. Processor time is that
+of the measured process, as accounted by the system.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 async def main_async(only: str | None) -> None:
-    """Measure and print everything."""
+    """Run all measurements and print their results."""
     print(f"Python {platform.python_version()}, {psutil.cpu_count()} processors")
     print("| slope | per unit | intercept | correlation | spread | points |")
     print("|---|---|---|---|---|---|")
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -1,4 +1,4 @@
-"""Costs of the parts that have no I/O: messages, decisions, what they hold."""
+"""Costs of the parts without I/O: messages, decisions, and the state they hold."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def service_rows(count: int) -> tuple[ServiceRow, ...]:
-    """Return rows as large as they are after a month of service."""
+    """Return rows with counters as large as after a month of service."""
     return tuple(
         ServiceRow(f"account-{number:04d}", 10**12 + number, 10**6, 10**9)
         for number in range(count)
@@ -53,23 +53,23 @@
 
 
 def frame_size(count: int) -> float:
-    """Return the bytes of a frame with so many service rows."""
+    """Return the bytes of a frame with this many service rows."""
     return float(len(encode_frame([Service(service_rows(count))])))
 
 
 def backlog_size(count: int) -> float:
-    """Return the bytes of a frame with so many backlog rows."""
+    """Return the bytes of a frame with this many backlog rows."""
     rows = tuple(BacklogRow(f"account-{n:04d}", 40, 30_000) for n in range(count))
     return float(len(encode_frame([Backlog(rows)])))
 
 
 def snapshot_size(count: int) -> float:
-    """Return the bytes of a snapshot with so many accounts."""
+    """Return the bytes of a snapshot with this many accounts."""
     return float(len(state_with(count).save()))
 
 
 def state_with(count: int) -> ControlState:
-    """Return a control state with so many accounts."""
+    """Return a control state with this many accounts."""
     state = ControlState()
     rows = tuple(
         Put(Account(f"account-{n:04d}", key_hashes=(f"{n:064x}",)))
@@ -80,7 +80,7 @@
 
 
 def cpu_service_codec(count: int) -> float:
-    """Encode and decode a frame of service rows."""
+    """Return the cost of encoding and decoding a frame of service rows."""
     message = Service(service_rows(count))
 
     def workload() -> None:
@@ -90,7 +90,7 @@
 
 
 def cpu_merge(count: int) -> float:
-    """Merge and report rows at an entry that knows 10 sidecars."""
+    """Return the cost of merging and reporting rows at an entry with 10 sidecars."""
     merge = ServiceMerge()
     rows = service_rows(count)
     for number in range(10):
@@ -109,7 +109,7 @@
 
 
 def cpu_grant(count: int) -> float:
-    """Pick, grant, start and finish once with so many accounts waiting."""
+    """Return the cost of one grant, start and finish; this many accounts wait."""
     ledger = Ledger()
     scheduler = Scheduler(ledger, Picker(ledger), lambda _: 1)
     scheduler.slots = 1
@@ -128,7 +128,7 @@
 
 
 def cpu_change(count: int) -> float:
-    """Apply one change of an account to a state with so many."""
+    """Return the cost of changing one account in a state with this many accounts."""
     state = state_with(count)
     versions = iter(range(1, 10**6))
 
@@ -141,7 +141,7 @@
 
 
 def cpu_claim_batch(count: int) -> float:
-    """Encode, decode and apply a batch of so many claims."""
+    """Return the cost of encoding, decoding and applying this many claims at once."""
     state = ControlState()
     numbers = iter(range(1, 10**9))
 
@@ -157,7 +157,7 @@
 
 
 def sums_size(count: int) -> float:
-    """Return the bytes of shared sums, half of the rows engines, half accounts."""
+    """Return the bytes of shared sums: half of the rows are engines, half accounts."""
     half = count // 2
     rows = tuple(
         LoadRow(Incarnation(f"i-{n:010x}").digest(), 9, 9_000, 250_000)
@@ -168,7 +168,7 @@
 
 
 def cpu_place(count: int) -> float:
-    """Place a request at one of so many engines, half of their slots in use."""
+    """Return the cost of placing at one of this many engines; half the slots are used."""
     rng = random.Random(1)
     balancer = Balancer(random.Random(1))
     profile = EngineProfile(slots=12, memory_tokens=559_032)
@@ -192,7 +192,7 @@
 
 
 def waiting_requests(count: int) -> WaitingQueue:
-    """Return a queue of requests with bodies of 2 KB, without their HTTP side."""
+    """Return a queue of requests with bodies of 2 KB, without their HTTP objects."""
     queue = WaitingQueue(max_bytes=10**12)
     for number in range(count):
         req = CallerRequest(
@@ -212,7 +212,7 @@
 
 
 def claims_held(count: int) -> ControlState:
-    """Return a state that holds so many claims."""
+    """Return a control state that holds this many claims."""
     state = ControlState()
     commands = tuple(
         Acquire(f"account-{n % 100}", f"key-{n:08d}", n, f"{n:032x}")
@@ -223,7 +223,7 @@
 
 
 def merged_rows(count: int) -> ServiceMerge:
-    """Return an entry's merge of 10 sidecars with so many accounts each."""
+    """Return an entry's merge of 10 sidecars with this many accounts each."""
     merge = ServiceMerge()
     for number in range(10):
         merge.connect(f"s{number}", 1)
@@ -232,7 +232,7 @@
 
 
 def compute_slopes() -> list[tuple[str, str, tuple[int, ...], Callable[[int], float]]]:
-    """List the slopes without I/O."""
+    """Return name, unit, sizes and measurement of each slope without I/O."""
     return [
         ("service frame", "B/row", ACCOUNTS, frame_size),
         ("backlog frame", "B/row", ACCOUNTS, backlog_size),
@@ -266,7 +266,7 @@
 
 
 def message_sizes() -> dict[str, int]:
-    """Return the bytes of single frames that CAPACITY.md counts."""
+    """Return the bytes of the single frames that CAPACITY.md refers to."""
     row = BacklogRow("account-0001", 40, 30_000)
     operation = Put(Account("account-0001", share=5, key_hashes=("f" * 64,)))
     return {
--- a/tools/slopes/links.py
+++ b/tools/slopes/links.py
@@ -1,4 +1,4 @@
-"""Costs of real links, both ends in this process, and of calls through a fleet."""
+"""Costs of real links with both ends in this process, and of calls through a fleet."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 async def with_links(
     count: int, workload: Callable[[list[Link], list[Link]], Awaitable[float]]
 ) -> float:
-    """Open so many links on loopback and hand both ends to `work`."""
+    """Open this many links on loopback and pass both ends to `workload`."""
     remote_links: list[Link] = []
     traffic = Traffic()
 
@@ -55,13 +55,13 @@
 
 
 async def drain(link: Link) -> None:
-    """Read a link to its end."""
+    """Read and discard the messages of a link until it closes."""
     async for _ in link.messages():
         pass
 
 
 async def cpu_chunks(per_second: int) -> float:
-    """Send chunks of 60 bytes over one link for a second; both ends counted."""
+    """Send chunks of 60 bytes over one link for a second; counts both ends."""
 
     async def workload(local_links: list[Link], _: list[Link]) -> float:
         before, start = cpu_now(), time.monotonic()
@@ -75,7 +75,7 @@
 
 
 async def cpu_idle_links(count: int) -> float:
-    """Hold idle links, with their keepalives, for two seconds; both ends counted."""
+    """Keep idle links with keepalives open for two seconds; counts both ends."""
 
     async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
         del local_links, remote_links
@@ -87,7 +87,7 @@
 
 
 async def resident_with_links(count: int) -> float:
-    """Return resident bytes of this process while it holds so many links."""
+    """Return the resident bytes of this process while this many links are open."""
 
     async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
         del local_links, remote_links
@@ -97,7 +97,7 @@
 
 
 async def memory_links(count: int) -> float:
-    """Return resident bytes of a fresh process that holds both ends of links."""
+    """Return the resident bytes of a new process that holds both ends of the links."""
     code = (
         "import uvloop; from tools.slopes.links import resident_with_links as run;"
         f"print(uvloop.run(run({count})))"
@@ -110,7 +110,7 @@
 
 
 async def cpu_heartbeats(count: int) -> float:
-    """Send a feed heartbeat to so many subscribers; cost of one round, both ends."""
+    """Send a feed heartbeat to this many subscribers; cost per round, both ends."""
 
     async def workload(local_links: list[Link], remote_links: list[Link]) -> float:
         del remote_links
@@ -125,7 +125,7 @@
 
 
 async def claims_per_second(parallel: int) -> float:
-    """Send keyed calls through one entry with so many at a time."""
+    """Send keyed calls through one entry by this many concurrent callers."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder))
         fleet.add_control()
@@ -143,7 +143,7 @@
 
 
 async def keyed_calls(fleet: Fleet, parallel: int, seconds: float) -> float:
-    """Return keyed calls a second, each with a fresh key."""
+    """Return the keyed calls per second, each call with a new key."""
     end = time.monotonic() + seconds
     done = 0
 
@@ -165,7 +165,7 @@
 def link_slopes() -> list[
     tuple[str, str, tuple[int, ...], Callable[[int], Awaitable[float]]]
 ]:
-    """List the slopes over real links."""
+    """Return name, unit, sizes and measurement of each slope over real links."""
     return [
         (
             "chunks on a link, both ends",
--- a/tools/slopes/sampling.py
+++ b/tools/slopes/sampling.py
@@ -1,4 +1,4 @@
-"""Repeated samples of a cost, and the line through them."""
+"""Samples costs repeatedly and fits a line to them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A line through measured points.
+    """A line fitted to measured points.
 
     Args:
-        name: What is measured.
+        name: Name of the cost.
         unit: Unit of the slope.
-        points: Pairs of cause and cost.
+        points: Pairs of size and cost.
         spread: Largest relative spread between repeated samples of a point.
     """
 
@@ -43,7 +43,7 @@
 
     @property
     def correlation(self) -> float:
-        """How much of a line the points are; 1 is exact."""
+        """Correlation of the points; 1 is an exact line."""
         sizes = [size for size, _ in self.points]
         costs = [cost for _, cost in self.points]
         return statistics.correlation(sizes, costs)
@@ -58,13 +58,13 @@
 
 
 def cpu_now() -> float:
-    """Return processor seconds of this process so far."""
+    """Return the processor seconds used so far by this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
 def sample_repeatedly(measure: Callable[[], float]) -> tuple[float, float]:
-    """Return the median of `SAMPLES` runs and their relative spread."""
+    """Return the median of `SAMPLES` measurements and their relative spread."""
     values = [measure() for _ in range(SAMPLES)]
     median = statistics.median(values)
     spread = (max(values) - min(values)) / median if median else 0.0
@@ -74,7 +74,7 @@
 def measure_slope(
     name: str, unit: str, sizes: tuple[int, ...], measure: Callable[[int], float]
 ) -> Slope:
-    """Measure a cost at each cause."""
+    """Measure a cost at each size."""
     points = []
     spreads = []
     for size in sizes:
@@ -85,7 +85,7 @@
 
 
 def measure_cpu(workload: Callable[[], None], repeat: int) -> float:
-    """Return processor microseconds of one call of `work`."""
+    """Return the processor microseconds of one call of `workload`."""
     before = cpu_now()
     for _ in range(repeat):
         workload()
@@ -93,7 +93,7 @@
 
 
 def measure_memory(build: Callable[[int], object], count: int) -> float:
-    """Return the bytes that an object of some size takes in a fresh measurement."""
+    """Return the traced bytes that an object of some size takes."""
     gc.collect()
     tracemalloc.start()
     built = build(count)
@@ -110,7 +110,7 @@
     measure: Callable[[int], Awaitable[float]],
     samples: int = IO_SAMPLES,
 ) -> Slope:
-    """Measure a cost at each cause, with I/O."""
+    """Measure a cost at each size by a coroutine."""
     points = []
     spreads = []
     for size in sizes:
