--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-LIST = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_RED_FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 """Entries at the most: a longer list hides what it lists."""
 
 
@@ -35,7 +35,7 @@
         return f"{self.test}: {self.seen} ({self.issue}; {self.command})"
 
 
-def read_known_red(path: Path = LIST) -> tuple[KnownRed, ...]:
+def read_known_red(path: Path = KNOWN_RED_FILE) -> tuple[KnownRed, ...]:
     """Return the entries of the list; none if there is no file.
 
     Raises:
@@ -45,8 +45,10 @@
         return ()
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     entries = tuple(_read_line(line) for line in lines)
-    if len(entries) > MOST:
-        raise ValueError(f"{path.name}: {len(entries)} tests, {MOST} at the most")
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(
+            f"{path.name}: {len(entries)} tests, {MAX_ENTRIES} at the most"
+        )
     return entries
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.known_red import LIST, KnownRed, read_known_red
+from tests.known_red import KNOWN_RED_FILE, KnownRed, read_known_red
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -39,7 +39,7 @@
 
 
 def test_every_listed_test_exists() -> None:
-    root = LIST.parent
+    root = KNOWN_RED_FILE.parent
     for entry in read_known_red():
         path, _, name = entry.test.partition("::")
         assert f"def {name.split('[')[0]}(" in (root / path).read_text()
