--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -47,7 +47,7 @@
     entries = tuple(_read_line(line) for line in lines)
     if len(entries) > MAX_ENTRIES:
         raise ValueError(
-            f"{path.name}: {len(entries)} tests, {MAX_ENTRIES} at the most"
+            f"{path.name}: {len(entries)} tests, at most {MAX_ENTRIES} permitted"
         )
     return entries
 
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -168,7 +168,7 @@
 
 
 def cpu_place(count: int) -> float:
-    """Return the cost of placing at one of this many engines; half the slots are used."""
+    """Return the cost of placing at this many engines, half of their slots in use."""
     rng = random.Random(1)
     balancer = Balancer(random.Random(1))
     profile = EngineProfile(slots=12, memory_tokens=559_032)
