--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -21,7 +21,7 @@
     from pathlib import Path
 
 
-async def test_a_box_that_was_replaced_since_tells_what_it_wrote(
+async def test_verdicts_written_by_a_replaced_box_count(
     tmp_path: Path,
 ) -> None:
     def log(box: str) -> list[dict[str, Any]]:
@@ -40,7 +40,7 @@
     assert await deadly._verdicts_written()
 
 
-async def test_a_server_that_was_stopped_does_not_crash_and_come_back() -> None:
+async def test_a_stopped_server_does_not_crash_and_restart() -> None:
     # In CI a deadly request reached a server while it was being stopped. The server
     # restarted on the port of its successor, which then failed: the port was in use.
     server = Server("127.0.0.41", 0, "plain", ["127.0.0.1:1"])
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -23,7 +23,7 @@
     import pytest
 
 
-async def test_a_process_that_has_written_nothing_is_no_part_of_a_whole_group(
+async def test_group_is_incomplete_until_a_restarted_process_logs_its_members(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tools.platform.nodes.subprocess.Popen", lambda *_, **__: None)
@@ -31,20 +31,20 @@
     try:
         for box in platform.control_ips:
             platform.start(box)
-            write_members(platform, box)
+            log_membership(platform, box)
         soak = SoakRun(platform, 1, SoakOptions())
         assert await soak._group_is_complete()
         wiped = platform.control_ips[1]
         platform.start(wiped, founding=False)
         assert not await soak._group_is_complete()
-        write_members(platform, wiped)
+        log_membership(platform, wiped)
         assert await soak._group_is_complete()
     finally:
         platform.processes.clear()
         await platform.http.close()
 
 
-def write_members(platform: SoakPlatform, box: str) -> None:
+def log_membership(platform: SoakPlatform, box: str) -> None:
     """Write the log line of a control process that names the whole group as voters."""
     voters = [f"{ip}#first" for ip in platform.control_ips]
     line = {"message": "membership changed", "voters": voters, "learners": []}
