--- a/tools/measure.py
+++ b/tools/measure.py
@@ -42,9 +42,12 @@
 FLOOD_ACCOUNT = "menus"
 SAMPLE_INTERVAL = 0.2
 SERVICE_LAG = 0.3
+"""Seconds until service is known everywhere; a term of the stated bound of the gap."""
 CUT_TIME = 6.0
+"""Seconds for which an entry is cut from the engines of `CUT_ENGINES`."""
 CUT_ENGINES = ("engine-1", "engine-2", "engine-3")
 FILL_TIME = 6.0
+"""Seconds of load before utilisation and costs are measured."""
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
--- a/tools/path_cost.py
+++ b/tools/path_cost.py
@@ -30,6 +30,7 @@
 PATH = "/v1/chat/completions"
 LATENCY_CALLS = 300
 WARM_UP = 1.0
+"""Seconds of load before the processor time is measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tools/ports.py
+++ b/tools/ports.py
@@ -5,6 +5,7 @@
 import socket
 
 LOOPBACK = "127.0.0.1"
+"""Address that all processes of a fleet listen on."""
 
 
 class PortPool:
