--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -18,10 +18,10 @@
 from leadseam.schema import operator_pb2 as pb
 from leadseam.schema.convert import operation_to_message
 from leadseam.settings.models import Endpoint
-from tools.faults import before_replica
+from tools.faults import proxy_replica
 from tools.fleet import OPERATOR_TOKEN
 from tools.ports import LOOPBACK
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -74,7 +74,7 @@
         ]
         return len(found) == 1
 
-    await until(known, "one replica leads")
+    await wait_until(known, "one replica leads")
     return found[0]
 
 
@@ -136,10 +136,10 @@
 
 async def test_partitioned_replica_sends_no_configuration(fleet: Fleet) -> None:
     describe(fleet)
-    links = {name: await before_replica(fleet, name) for name in CONTROL}
+    links = {name: await proxy_replica(fleet, name) for name in CONTROL}
     await fleet.start_all()
     old = await leader(fleet)
-    links[old].hold(towards=True, back=False)
+    links[old].hold(to_target=True, from_target=False)
     code, reply = await change(fleet, 6)
     assert code == 0
     await fleet.wait_in_force(reply["version"])
@@ -160,14 +160,14 @@
     first, second = (name for name in CONTROL if name != leading)
     lose_disk(fleet, first)
     fleet.start(first)
-    await until(lambda: replaced(fleet, first), f"{first} votes on its new disk")
+    await wait_until(lambda: replaced(fleet, first), f"{first} votes on its new disk")
     fleet.nodes[second].kill()
     code, reply = await change(fleet, 9)
     assert code == 0
     await fleet.wait_in_force(reply["version"])
     lose_disk(fleet, second)
     fleet.start(second)
-    await until(lambda: replaced(fleet, second), f"{second} votes on its new disk")
+    await wait_until(lambda: replaced(fleet, second), f"{second} votes on its new disk")
     assert await share_in_force(fleet) == 9
     assert_never_fell(fleet)
 
@@ -249,12 +249,12 @@
     await fleet.start_all()
     for name in CONTROL[:2]:
         fleet.nodes[name].kill()
-    await until(
+    await wait_until(
         lambda: is_not_ready(fleet, CONTROL[2]), "the last replica is not ready"
     )
     fleet.nodes["entry-1"].kill()
     fleet.start("entry-1")
-    await until(
+    await wait_until(
         lambda: has_subscribed(fleet, "entry-1"), "entry-1 follows the last replica"
     )
     await asyncio.sleep(OBSERVATION_TIME)
--- a/tests/failures/test_whole_answers.py
+++ b/tests/failures/test_whole_answers.py
@@ -8,9 +8,9 @@
 
 import aiohttp
 
-from tools.faults import before_sidecar
+from tools.faults import proxy_sidecar
 from tools.ports import LOOPBACK
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.fleet import Fleet
@@ -84,7 +84,7 @@
 
 async def test_link_cut_in_mid_stream_never_looks_complete(fleet: Fleet) -> None:
     describe(fleet)
-    link = await before_sidecar(fleet, "engine-1")
+    link = await proxy_sidecar(fleet, "engine-1")
     await fleet.start_all()
     asked = asyncio.gather(*(send_chat(fleet, 40 + number) for number in range(24)))
     while not asked.done():
@@ -115,9 +115,11 @@
         whole, data = await send_chat(fleet, 5)
         assert whole
         assert words(data) == expected(5)
-    await until(lambda: is_out_after_chats(fleet), "engine-1 is taken out")
+    await wait_until(lambda: is_out_after_chats(fleet), "engine-1 is taken out")
     await set_mode(fleet, "engine-1", "normal")
-    await until(lambda: is_in_service(fleet, "engine-1"), "engine-1 is back in service")
+    await wait_until(
+        lambda: is_in_service(fleet, "engine-1"), "engine-1 is back in service"
+    )
 
 
 async def test_hanging_upstream_is_taken_out_and_its_work_moves(fleet: Fleet) -> None:
@@ -147,16 +149,16 @@
         assert whole
         assert words(data) == expected(10)
     writer.close()
-    await until(lambda: is_idle(fleet, "engine-1"), "the slow caller's work ended")
+    await wait_until(lambda: is_idle(fleet, "engine-1"), "the slow caller's work ended")
 
 
 async def test_caller_that_disconnects_frees_its_slot(fleet: Fleet) -> None:
     describe(fleet, interval=50)
     await fleet.start_all()
     task = asyncio.create_task(send_chat(fleet, 10_000))
-    await until(lambda: is_busy(fleet, "engine-1"), "engine-1 is busy")
+    await wait_until(lambda: is_busy(fleet, "engine-1"), "engine-1 is busy")
     task.cancel()
-    await until(lambda: is_idle(fleet, "engine-1"), "the work was cancelled")
+    await wait_until(lambda: is_idle(fleet, "engine-1"), "the work was cancelled")
 
 
 async def is_out_after_chats(fleet: Fleet) -> bool:
--- a/tests/platform/test_deadly_request.py
+++ b/tests/platform/test_deadly_request.py
@@ -30,7 +30,7 @@
 
 from leadseam.crashes.evidence import EARLY_LIMIT
 from leadseam.platform import names
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer, Platform
@@ -72,7 +72,7 @@
             for server, count in zip(servers, counts, strict=True)
         )
 
-    await until(up, "all servers are up and used")
+    await wait_until(up, "all servers are up and used")
 
 
 def count_crashes(servers: list[Server]) -> int:
@@ -128,7 +128,7 @@
         answers = [await resend(platform, round_) for round_ in range(2)]
         return all(answer.status == 200 for answer in answers)
 
-    await until(served, "the request is served again")
+    await wait_until(served, "the request is served again")
     assert json.loads(await run_verdicts_command("--json", control)) == []
 
 
@@ -203,7 +203,7 @@
     async def has_begun() -> bool:
         return sum(map(runs, servers)) > before
 
-    await until(has_begun, "the long request runs")
+    await wait_until(has_begun, "the long request runs")
     return next(
         server
         for server in servers
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -13,7 +13,7 @@
 from leadseam.platform import names
 from tools.platform.nodes import document
 from tools.platform.operator import post_bytes
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -28,7 +28,7 @@
         for server, zone in zip(platform.servers_of(service), zones, strict=True):
             server.zone = zone
             acks = server.acks
-            await until(
+            await wait_until(
                 partial(_acked_by_all_boxes, server, acks), f"{zone} is registered"
             )
 
@@ -51,7 +51,7 @@
                 domains
             )
 
-        await until(has_logged, f"{entry} treats {domains} as evacuated")
+        await wait_until(has_logged, f"{entry} treats {domains} as evacuated")
 
 
 async def call_all(platform: Platform) -> None:
@@ -93,7 +93,7 @@
             len(s.runs) > b for s, b in zip(evacuated_servers, before, strict=True)
         )
 
-    await until(served_again, "the domain serves again")
+    await wait_until(served_again, "the domain serves again")
 
 
 async def test_running_requests_finish_in_an_evacuated_domain(
@@ -110,7 +110,7 @@
     async def runs() -> bool:
         return any(server.count("running") for server in platform.servers_of("model"))
 
-    await until(runs, "the request runs")
+    await wait_until(runs, "the request runs")
     assert await platform.operator.switch("a", evacuated=True) == 200
     for server in platform.servers_of("model"):
         server.release.set()
@@ -142,7 +142,7 @@
         return bool(changes) and not changes[-1]["evacuated"]
 
     # A follower that has not applied the restore answers 503 for another reason.
-    await until(has_applied_both, "the box has applied both orders")
+    await wait_until(has_applied_both, "the box has applied both orders")
     # Still within the time in which the first order may be sent again.
     status = await post_bytes(box, names.EVACUATE_PATH.format(domain="b"), b"")
     lines = [
@@ -192,7 +192,9 @@
     for server, zone in zip(platform.servers_of("plain"), zones, strict=True):
         server.zone = zone
         acks = server.acks
-        await until(partial(_acked_by_all_boxes, server, acks), f"{zone} is registered")
+        await wait_until(
+            partial(_acked_by_all_boxes, server, acks), f"{zone} is registered"
+        )
     routes = json.loads(document(2))["routes"]
     routes[0]["allowedRegions"] = ["east", "west"]
     routes[1]["allowedRegions"] = ["north"]
@@ -207,7 +209,7 @@
         async def key_is_in_force(entry: str = entry) -> bool:
             return (await platform.call(entry, "/once/x", key="k-west")).status == 200
 
-        await until(key_is_in_force, "the allowed regions are in force")
+        await wait_until(key_is_in_force, "the allowed regions are in force")
 
     for server in platform.servers_of("plain"):
         server.runs.clear()
@@ -242,7 +244,7 @@
                 assert (await platform.call(entry, "/once/x")).status == 200
             return len(cold.runs) <= before + 2
 
-        await until(is_limited, "the entry limits the cold server")
+        await wait_until(is_limited, "the entry limits the cold server")
     before = len(cold.runs)
     for number in range(CALLS):
         await platform.call(platform.entry_ips[number % 2], "/once/x")
@@ -257,7 +259,7 @@
             await platform.call(platform.entry_ips[number % 2], "/once/x")
         return len(cold.runs) > seen + CALLS
 
-    await until(serves_again, "the server is warm again")
+    await wait_until(serves_again, "the server is warm again")
 
 
 async def test_operators_evacuate_and_list_on_a_control_box(
--- a/tests/platform/test_replaced_box.py
+++ b/tests/platform/test_replaced_box.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import document
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -43,7 +43,7 @@
     async def votes() -> bool:
         return box in platform.last_voters(box)
 
-    await until(votes, f"{box} votes")
+    await wait_until(votes, f"{box} votes")
 
 
 async def wait_for_voters(platform: Platform, box: str, expected: set[str]) -> None:
@@ -52,4 +52,4 @@
     async def has_voters() -> bool:
         return platform.last_voters(box) == expected
 
-    await until(has_voters, f"the voters are {sorted(expected)}")
+    await wait_until(has_voters, f"the voters are {sorted(expected)}")
--- a/tests/platform/test_restarted_server.py
+++ b/tests/platform/test_restarted_server.py
@@ -16,7 +16,7 @@
 from leadseam.platform import names
 from tools.platform.operator import post_bytes
 from tools.platform.standin import Server
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Platform
@@ -59,7 +59,7 @@
         whole = all(answer.status == 200 for answer in answers)
         return whole and len(server.runs) == runs + len(paths)
 
-    await until(answered, f"{server.ip} answers")
+    await wait_until(answered, f"{server.ip} answers")
 
 
 async def test_a_server_may_start_again_under_its_id_after_leaving(
@@ -87,7 +87,7 @@
     async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(has_new_heartbeats, "heartbeats after the late word")
+    await wait_until(has_new_heartbeats, "heartbeats after the late word")
     await wait_served_only_by(platform, server)
 
 
@@ -106,7 +106,7 @@
     async def running() -> bool:
         return sum(not run.ended for run in first.runs) == len(held)
 
-    await until(running, "both requests run")
+    await wait_until(running, "both requests run")
     # It has started again at another address; its old connections stay open.
 
     second = await add_plain_server(platform, platform.server_ips[5], born=SECOND_START)
@@ -155,7 +155,7 @@
     async def has_new_heartbeats() -> bool:
         return server.acks > acks + 2
 
-    await until(has_new_heartbeats, "heartbeats after those of strangers")
+    await wait_until(has_new_heartbeats, "heartbeats after those of strangers")
     await wait_served_only_by(platform, server)
     for control in platform.control_ips:
         assert platform.processes[control].poll() is None
--- a/tests/soak/test_deadly.py
+++ b/tests/soak/test_deadly.py
@@ -1,8 +1,8 @@
-"""What the callers of deadly requests take for written.
+"""Deadly requests in the soak: verdicts that count as written, and crashes.
 
 Seed 7501 with --deadly --suspended waited for verdicts in vain in two of five runs: the
 control box that wrote them was replaced later in the run, and only the logs of the
-boxes there now were read. The logs of the second one show both lines at that box.
+current boxes were read. The logs of the second run show both lines at that box.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from multidict import CIMultiDict
 
 from tools.platform.standin import Run, Server
-from tools.soak.deadly import WRITTEN, Deadly
-from tools.soak.ledger import Ledger
+from tools.soak.deadly import VERDICT_WRITTEN, DeadlyCallers
+from tools.soak.disturbances import DisturbanceLog
 
 if TYPE_CHECKING:
     from pathlib import Path
 
 
-async def test_a_box_that_was_replaced_since_tells_what_it_wrote(
+async def test_verdicts_written_by_a_replaced_box_count(
     tmp_path: Path,
 ) -> None:
     def log(box: str) -> list[dict[str, Any]]:
         text = (tmp_path / f"{box}.log").read_text()
         return [json.loads(line) for line in text.splitlines()]
 
-    world = SimpleNamespace(folder=tmp_path, control_ips=["127.0.2.1"], log=log)
-    deadly = Deadly(cast("Any", world), 1, cast("Any", None))
+    platform = SimpleNamespace(folder=tmp_path, control_ips=["127.0.2.1"], log=log)
+    deadly = DeadlyCallers(cast("Any", platform), 1, cast("Any", None))
     lines = {"127.0.0.22": ["a"], "127.0.2.1": []}
     for box, fingerprints in lines.items():
-        line = {"message": WRITTEN, "fingerprints": fingerprints}
+        line = {"message": VERDICT_WRITTEN, "fingerprints": fingerprints}
         (tmp_path / f"{box}.log").write_text(json.dumps(line) + "\n")
-    assert not await deadly._is_written()
-    line = {"message": WRITTEN, "fingerprints": ["a", "b"]}
+    assert not await deadly._verdicts_written()
+    line = {"message": VERDICT_WRITTEN, "fingerprints": ["a", "b"]}
     (tmp_path / "127.0.0.22.log").write_text(json.dumps(line) + "\n")
-    assert await deadly._is_written()
+    assert await deadly._verdicts_written()
 
 
-async def test_a_server_that_was_stopped_does_not_crash_and_come_back() -> None:
-    # In CI a request that crashes servers reached one while it was taken away, which
-    # came back where its successor was to listen: its port was in use.
+async def test_a_stopped_server_does_not_crash_and_restart() -> None:
+    # In CI a deadly request reached a server while it was being stopped. The server
+    # restarted on the port of its successor, which then failed: the port was in use.
     server = Server("127.0.0.41", 0, "plain", ["127.0.0.1:1"])
     await server.start()
     await server.stop()
@@ -51,12 +51,12 @@
 
 
 def test_crashes_are_disturbances_of_their_servers() -> None:
-    # A stream that was cut as its only two servers crashed was held against the
-    # planned stop of its entry in CI; its lines show the attempt that broke.
+    # In CI a stream was cut because its only two servers crashed, but it was blamed on
+    # the planned stop of its entry; the log lines show the attempt that broke.
     run = Run("d1", "POST", "/safe/deadly", b"", CIMultiDict(), at=50.0)
     server = Server("127.0.0.41", 0, "plain", [], crashes=[run])
-    ledger = Ledger()
-    world = SimpleNamespace(ever=[server], ledger=ledger)
-    Deadly(cast("Any", world), 1, cast("Any", None)).at_end(timed=False)
-    assert ledger.touched("127.0.0.41", 50.1, 50.2, planned=False)
-    assert not ledger.touched("127.0.0.42", 50.1, 50.2)
+    disturbances = DisturbanceLog()
+    platform = SimpleNamespace(all_servers=[server], disturbances=disturbances)
+    DeadlyCallers(cast("Any", platform), 1, cast("Any", None)).check_at_end(timed=False)
+    assert disturbances.was_disturbed("127.0.0.41", 50.1, 50.2, planned=False)
+    assert not disturbances.was_disturbed("127.0.0.42", 50.1, 50.2)
--- a/tests/soak/test_whole_group.py
+++ b/tests/soak/test_whole_group.py
@@ -1,12 +1,12 @@
-"""When the soak takes a control group for whole.
+"""When the soak considers a control group complete.
 
-The story: with three control boxes, one of which may be lost, a run lost a second disk
-while the first box was still out, and nothing recovered. The box had been killed with
-its disk, and its next process had not written a line when the group was asked for; so
-the last line on its members was one of the process before, and named all three.
+Three control boxes tolerate one loss. A run wiped a second disk while the first wiped
+box had not recovered, so the group never did. The process of the first box had not
+logged anything yet when the group was checked, so its last `membership changed` line
+was from the process before, and named all three voters.
 
-The evidence, from the nodes' lines: 9.8 s `group health` of the leader misses the box
-for 1.5 s; no `started` of it before 15.0 s; 14.6 s another box starts without a disk.
+Log lines of the run: 9.8 s `group health` of the leader misses the box for 1.5 s; no
+`started` of it before 15.0 s; 14.6 s another box starts without a disk.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import json
 from typing import TYPE_CHECKING
 
-from tools.soak.run import Size, Soak
-from tools.soak.world import World
+from tools.soak.run import SoakOptions, SoakRun
+from tools.soak.soak_platform import SoakPlatform
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -23,30 +23,30 @@
     import pytest
 
 
-async def test_a_process_that_has_written_nothing_is_no_part_of_a_whole_group(
+async def test_group_is_incomplete_until_a_restarted_process_logs_its_members(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tools.platform.nodes.subprocess.Popen", lambda *_, **__: None)
-    world = World(tmp_path)
+    platform = SoakPlatform(tmp_path)
     try:
-        for box in world.control_ips:
-            world.start(box)
-            write_members(world, box)
-        soak = Soak(world, 1, Size())
-        assert await soak._is_whole()
-        wiped = world.control_ips[1]
-        world.start(wiped, bootstrap=False)
-        assert not await soak._is_whole()
-        write_members(world, wiped)
-        assert await soak._is_whole()
+        for box in platform.control_ips:
+            platform.start(box)
+            log_membership(platform, box)
+        soak = SoakRun(platform, 1, SoakOptions())
+        assert await soak._group_is_complete()
+        wiped = platform.control_ips[1]
+        platform.start(wiped, bootstrap=False)
+        assert not await soak._group_is_complete()
+        log_membership(platform, wiped)
+        assert await soak._group_is_complete()
     finally:
-        world.processes.clear()
-        await world.http.close()
+        platform.processes.clear()
+        await platform.http.close()
 
 
-def write_members(world: World, box: str) -> None:
-    """Write the line of a control process that the whole group votes."""
-    voters = [f"{ip}#first" for ip in world.control_ips]
+def log_membership(platform: SoakPlatform, box: str) -> None:
+    """Write the log line of a control process that names the whole group as voters."""
+    voters = [f"{ip}#first" for ip in platform.control_ips]
     line = {"message": "membership changed", "voters": voters, "learners": []}
-    with open(world.folder / f"{box}.log", "a", encoding="utf-8") as log:
+    with open(platform.folder / f"{box}.log", "a", encoding="utf-8") as log:
         log.write(json.dumps(line) + "\n")
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,4 +1,4 @@
-"""Faults on the links of a fleet, by the fault-injecting proxy of aiomisc-pytest."""
+"""Faults on the links of a fleet, injected by the TCP proxy of aiomisc-pytest."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from tools.fleet import Fleet
 
 SCAN_INTERVAL = 0.02
+"""Seconds between two scans for new connections of a held process."""
 
 
 class FaultyLink:
-    """A proxy before one listening address.
+    """A proxy in front of one listening address.
 
     Args:
-        target: Port of the process behind it.
-        ip: Address of that process and of the proxy. Defaults to the loopback one.
-        port: Port to listen on. Defaults to one that the system gives.
+        target: Port of the process behind the proxy.
+        ip: Address of that process and of the proxy. Defaults to loopback.
+        port: Port to listen on. Defaults to one chosen by the system.
     """
 
     def __init__(
@@ -33,9 +34,11 @@
         if port is not None:
             self._proxy.proxy_port = port
         self.delay = 0.0
-        self._towards = asyncio.Event()
-        self._back = asyncio.Event()
-        self._proxy.set_content_processors(self._pass_towards, self._pass_back)
+        self._to_target_open = asyncio.Event()
+        self._from_target_open = asyncio.Event()
+        self._proxy.set_content_processors(
+            self._forward_to_target, self._forward_from_target
+        )
         self.release()
 
     @property
@@ -45,38 +48,41 @@
         return port
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         await self._proxy.start()
 
     async def close(self) -> None:
-        """Cut everything and end."""
+        """Cut all connections and stop listening."""
         self.release()
         await self._proxy.close()
 
     async def cut(self) -> None:
-        """Break all connections, as a crash of the other side would."""
+        """Cut all connections, as a crash of the other side would."""
         await self._proxy.disconnect_all()
 
-    def hold(self, *, towards: bool = True, back: bool = True) -> None:
-        """Silently hold what is sent, in one direction or both.
+    def hold(self, *, to_target: bool = True, from_target: bool = True) -> None:
+        """Silently hold back bytes, in one direction or both.
 
         Args:
-            towards: Hold what goes to the process behind the proxy.
-            back: Hold what comes from it.
+            to_target: Whether to hold bytes to the process behind the proxy.
+            from_target: Whether to hold bytes from that process.
         """
-        _set(self._towards, not towards)
-        _set(self._back, not back)
+        _set_event(self._to_target_open, not to_target)
+        _set_event(self._from_target_open, not from_target)
 
     def release(self) -> None:
-        """Let everything flow again, the held bytes first."""
-        self.hold(towards=False, back=False)
+        """Forward bytes again in both directions, the held ones first."""
+        self.hold(to_target=False, from_target=False)
 
-    async def hold_peer(self, pid: int, seconds: float) -> None:
-        """Silently hold the connections of one process, new ones too, for a time."""
-        held = asyncio.Event()
+    async def hold_process(self, pid: int, seconds: float) -> None:
+        """Silently hold all connections of one process for some seconds.
+
+        Connections that it opens meanwhile are held as well.
+        """
+        released = asyncio.Event()
 
         async def wait(chunk: bytes) -> bytes:
-            await held.wait()
+            await released.wait()
             return chunk
 
         end = time.monotonic() + seconds
@@ -87,40 +93,41 @@
                     client.read_processor = wait
                     client.write_processor = wait
             await asyncio.sleep(SCAN_INTERVAL)
-        held.set()
+        released.set()
 
-    async def _pass_towards(self, chunk: bytes) -> bytes:
+    async def _forward_to_target(self, chunk: bytes) -> bytes:
         await asyncio.sleep(self.delay)
-        await self._towards.wait()
+        await self._to_target_open.wait()
         return chunk
 
-    async def _pass_back(self, chunk: bytes) -> bytes:
+    async def _forward_from_target(self, chunk: bytes) -> bytes:
         await asyncio.sleep(self.delay)
-        await self._back.wait()
+        await self._from_target_open.wait()
         return chunk
 
 
-def _set(event: asyncio.Event, value: bool) -> None:
+def _set_event(event: asyncio.Event, value: bool) -> None:
     if value:
         event.set()
     else:
         event.clear()
 
 
-async def before_sidecar(fleet: Fleet, upstream: str) -> FaultyLink:
-    """Put a proxy between the entries and a sidecar; before the fleet starts."""
+async def proxy_sidecar(fleet: Fleet, upstream: str) -> FaultyLink:
+    """Put a proxy between entries and a sidecar; call it before the fleet starts."""
     row = next(row for row in fleet.config["upstreams"] if row["name"] == upstream)
     link = FaultyLink(row["sidecar_port"])
     row["sidecar_port"] = link.port
     await link.start()
-    fleet.on_close(link.close)
+    fleet.add_cleanup(link.close)
     return link
 
 
-async def before_replica(fleet: Fleet, name: str) -> FaultyLink:
-    """Put a proxy before a replica's inner address; before the fleet starts.
+async def proxy_replica(fleet: Fleet, name: str) -> FaultyLink:
+    """Put a proxy in front of the inner address of a control replica.
 
-    The other replicas and all nodes reach it through the proxy.
+    All other replicas and nodes reach it through the proxy. Call it before the fleet
+    starts.
     """
     link = FaultyLink(fleet.replicas[name]["port"])
     for node in fleet.nodes.values():
@@ -128,7 +135,7 @@
             continue
         _redirect(node.settings, fleet.replicas[name]["port"], link.port)
     await link.start()
-    fleet.on_close(link.close)
+    fleet.add_cleanup(link.close)
     return link
 
 
@@ -137,11 +144,11 @@
         endpoints = settings.get(key)
         if isinstance(endpoints, dict):
             settings[key] = {
-                name: _moved(end, old, new) for name, end in endpoints.items()
+                name: _replace_port(end, old, new) for name, end in endpoints.items()
             }
         elif isinstance(endpoints, list):
-            settings[key] = [_moved(end, old, new) for end in endpoints]
+            settings[key] = [_replace_port(end, old, new) for end in endpoints]
 
 
-def _moved(endpoint: dict[str, object], old: int, new: int) -> dict[str, object]:
+def _replace_port(endpoint: dict[str, object], old: int, new: int) -> dict[str, object]:
     return {**endpoint, "port": new if endpoint["port"] == old else endpoint["port"]}
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,4 +1,4 @@
-"""A load driver: closed-loop callers of several accounts, and what they saw."""
+"""A load driver: closed-loop callers of several accounts, and their results."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-CHUNK_END = b"data: [DONE]\n\n"
-TOKEN = b'"delta"'
+STREAM_END = b"data: [DONE]\n\n"
+TOKEN_MARKER = b'"delta"'
 
 
 @dataclass(frozen=True, slots=True)
 class AccountLoad:
-    """What one account asks for.
+    """Load of one account.
 
     Args:
-        account: Its name.
+        account: Name of the account.
         callers: Requests that it keeps open at any time.
         entries: Entries that its callers use.
-        tokens: Least and most tokens of a request.
+        tokens: Fewest and most tokens of a request.
     """
 
     account: str
@@ -38,58 +38,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """One request as its caller saw it.
+class RequestResult:
+    """Result of one request as its caller saw it.
 
     Args:
-        account: Its account.
-        start: When it was sent, in seconds.
-        first: When the first byte came, or 0.
+        account: Account that sent it.
+        start: When it was sent, in seconds on the monotonic clock.
+        first_byte_at: When the first byte arrived, or 0.
         end: When it ended.
         status: HTTP status; 0 for a broken connection.
-        whole: Whether the answer was complete.
+        complete: Whether the answer was complete.
         tokens: Tokens received.
-        code: Stable code of an error, or empty.
+        code: Stable error code, or empty.
     """
 
     account: str
     start: float
-    first: float
+    first_byte_at: float
     end: float
     status: int
-    whole: bool
+    complete: bool
     tokens: int
     code: str = ""
 
 
 class Route(Protocol):
-    """Where a request goes: through an entry, or straight to an upstream."""
+    """Sends requests by one path: through an entry, or directly to an upstream."""
 
-    async def __call__(self, load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
-        """Send one request and return what was seen; counts tokens as they come."""
+    async def __call__(
+        self, load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
+        """Send one request and return its result; count tokens as they arrive."""
 
 
 @dataclass(slots=True)
 class Driver:
-    """Keeps every account's callers busy until stopped.
+    """Keeps the callers of every account busy until stopped.
 
     Args:
-        loads: The accounts.
-        route: How requests are sent.
-        seed: Seed of the requests' sizes.
+        loads: Loads of the accounts.
+        route: Sends the requests.
+        seed: Seed for the sizes of requests.
     """
 
     loads: Sequence[AccountLoad]
     route: Route
     seed: int = 1
-    seen: list[Seen] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
     stopping: bool = False
     tokens: Counter[str] = field(default_factory=Counter)
 
     async def run_for(self, seconds: float) -> None:
-        """Run all callers for a time, then have them hang up."""
+        """Run all callers for some seconds, then cancel them."""
         callers = [
-            asyncio.create_task(self._caller(load, number))
+            asyncio.create_task(self._run_caller(load, number))
             for load in self.loads
             for number in range(load.callers)
         ]
@@ -99,18 +101,18 @@
             caller.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
 
-    async def _caller(self, load: AccountLoad, number: int) -> None:
+    async def _run_caller(self, load: AccountLoad, number: int) -> None:
         rng = random.Random(f"{self.seed}/{load.account}/{number}")
         while not self.stopping:
             size = rng.randint(*load.tokens)
             result = await self.route(load, size, self.tokens)
-            self.seen.append(result)
+            self.results.append(result)
             if result.status not in (200,):
                 await asyncio.sleep(0.1)
 
 
 def chat_body(model: str, tokens: int) -> bytes:
-    """Return a streamed chat request."""
+    """Return the body of a streaming chat request."""
     body = {"model": model, "max_tokens": tokens, "stream": True, "messages": []}
     return json.dumps(body).encode()
 
@@ -121,38 +123,40 @@
     key: str,
     account: str,
     body: bytes,
-    got: Counter[str],
-) -> Seen:
-    """Send a streamed chat and read its answer to the end.
+    token_counts: Counter[str],
+) -> RequestResult:
+    """Send a streaming chat request and read its answer to the end.
 
     Args:
         session: Client session.
-        url: Where to.
+        url: URL to send to.
         key: Bearer key.
         account: Account of the key.
-        body: The request.
-        got: Tokens by account, counted as they come.
+        body: Body of the request.
+        token_counts: Tokens by account, counted as they arrive.
     """
     headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
     start = time.monotonic()
-    first = 0.0
+    first_byte_at = 0.0
     status = 0
     data = bytearray()
     with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
         async with session.post(url, data=body, headers=headers) as resp:
             status = resp.status
             async for part in resp.content.iter_any():
-                first = first or time.monotonic()
+                first_byte_at = first_byte_at or time.monotonic()
                 data += part
-                got[account] += part.count(TOKEN)
+                token_counts[account] += part.count(TOKEN_MARKER)
     end = time.monotonic()
-    whole = status == 200 and data.endswith(CHUNK_END)
-    tokens = data.count(TOKEN)
-    code = _code(bytes(data)) if status not in (0, 200) else ""
-    return Seen(account, start, first, end, status, whole, tokens, code)
+    complete = status == 200 and data.endswith(STREAM_END)
+    tokens = data.count(TOKEN_MARKER)
+    code = _error_code(bytes(data)) if status not in (0, 200) else ""
+    return RequestResult(
+        account, start, first_byte_at, end, status, complete, tokens, code
+    )
 
 
-def _code(data: bytes) -> str:
+def _error_code(data: bytes) -> str:
     with contextlib.suppress(ValueError, KeyError, TypeError):
         return str(json.loads(data)["error"]["code"])
     return "unreadable"
@@ -161,16 +165,18 @@
 def entry_route(
     session: aiohttp.ClientSession, urls: dict[str, str], model: str
 ) -> Route:
-    """Send through entries, in turn for each account."""
+    """Return a route through entries, which each account uses in turn."""
     turns: dict[str, int] = {}
 
-    async def send(load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
+    async def send(
+        load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
         turn = turns.get(load.account, 0)
         turns[load.account] = turn + 1
         url = urls[load.entries[turn % len(load.entries)]]
         key = f"key-{load.account}"
         body = chat_body(model, tokens)
-        return await stream_chat(session, url, key, load.account, body, got)
+        return await stream_chat(session, url, key, load.account, body, token_counts)
 
     return send
 
@@ -181,36 +187,40 @@
     model: str,
     choose: Callable[[dict[str, int]], str],
 ) -> Route:
-    """Send straight to an upstream chosen on arrival, as a pushing entry would.
+    """Return a route directly to upstreams, each chosen when a request arrives.
+
+    This is what an entry would do that pushes work instead of binding it late.
 
     Args:
         session: Client session.
         upstreams: URLs of the upstreams.
-        model: Model to ask for.
-        choose: Picks a URL from the requests in flight at each, as one entry sees
-            them.
+        model: Model to request.
+        choose: Chooses a URL by the number of requests in flight at each, as known to
+            one entry.
     """
     in_flight: dict[str, dict[str, int]] = {}
 
-    async def send(load: AccountLoad, tokens: int, got: Counter[str]) -> Seen:
+    async def send(
+        load: AccountLoad, tokens: int, token_counts: Counter[str]
+    ) -> RequestResult:
         entry = load.entries[0]
         counts = in_flight.setdefault(entry, dict.fromkeys(upstreams, 0))
         url = choose(counts)
         counts[url] += 1
         body = chat_body(model, tokens)
         try:
-            return await stream_chat(session, url, "", load.account, body, got)
+            return await stream_chat(session, url, "", load.account, body, token_counts)
         finally:
             counts[url] -= 1
 
     return send
 
 
-def least_in_flight(counts: dict[str, int]) -> str:
-    """Choose the upstream with the fewest requests of this entry in flight."""
+def choose_least_in_flight(counts: dict[str, int]) -> str:
+    """Return the upstream with the fewest requests of this entry in flight."""
     return min(counts, key=lambda url: (counts[url], random.random()))
 
 
-def at_random(counts: dict[str, int]) -> str:
-    """Choose any upstream."""
+def choose_random(counts: dict[str, int]) -> str:
+    """Return a random upstream."""
     return random.choice(list(counts))
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,4 +1,4 @@
-"""Measure fairness gap, utilisation, control traffic and waits, policy by policy.
+"""Measure fairness gap, utilisation, control traffic and waits for each policy.
 
 Usage:
   measure [--seconds N] [--case NAME]
@@ -21,16 +21,16 @@
 
 from docopt import docopt
 
-from tools.faults import before_sidecar
+from tools.faults import proxy_sidecar
 from tools.fleet import Fleet
 from tools.gap import ServiceSamples, gap_bound, percentile
 from tools.load import (
     AccountLoad,
     Driver,
     Route,
-    at_random,
+    choose_least_in_flight,
+    choose_random,
     entry_route,
-    least_in_flight,
     push_route,
 )
 
@@ -39,21 +39,24 @@
 SLOTS = 4
 TOKEN_INTERVALS = (8, 8, 10, 10, 14, 20)
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-FLOOD = "menus"
+FLOOD_ACCOUNT = "menus"
 SAMPLE_INTERVAL = 0.2
-LAG = 0.3
-CUT = 6.0
+SERVICE_LAG = 0.3
+"""Seconds until service is known everywhere; a term of the stated bound of the gap."""
+CUT_TIME = 6.0
+"""Seconds for which an entry is cut from the engines of `CUT_ENGINES`."""
 CUT_ENGINES = ("engine-1", "engine-2", "engine-3")
-FILLING = 6.0
-TICKS = os.sysconf("SC_CLK_TCK")
+FILL_TIME = 6.0
+"""Seconds of load before utilisation and costs are measured."""
+CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 Disturbance = Callable[[Fleet], Coroutine[None, None, None]]
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """One row of the report."""
+class CaseResult:
+    """Result of one case; a row of the printed table."""
 
     case: str
     gap: float
@@ -67,8 +70,8 @@
     broken: int
 
 
-def riga(folder: Path) -> Fleet:
-    """Describe Riga: 6 engines, 3 services, 3 domains, 16 accounts, 3 entries."""
+def riga_fleet(folder: Path) -> Fleet:
+    """Return Riga's fleet: 6 engines, 3 services, 3 domains, 16 accounts, 3 entries."""
     fleet = Fleet(folder)
     domains = ("centrs", "pardaugava", "purvciems")
     fleet.add_control()
@@ -98,17 +101,17 @@
 
 
 async def restart_entry(fleet: Fleet) -> None:
-    """Kill an entry and start it without state."""
+    """Kill an entry and restart it without its state."""
     await restart(fleet, "entry-2")
 
 
 async def restart_sidecar(fleet: Fleet) -> None:
-    """Kill a sidecar and start it without state."""
+    """Kill a sidecar and restart it without its state."""
     await restart(fleet, "sidecar-engine-4")
 
 
 async def restart(fleet: Fleet, name: str) -> None:
-    """Kill a process and start it again."""
+    """Kill a process, restart it and wait until it is ready."""
     await asyncio.sleep(1)
     fleet.nodes[name].kill()
     fleet.start(name)
@@ -116,9 +119,9 @@
 
 
 def loads() -> list[AccountLoad]:
-    """One flood of long requests, five backlogged accounts, ten small ones."""
-    flood = AccountLoad(FLOOD, 200, ENTRIES, (40, 160))
-    tied = [
+    """Return one flood of long requests, five backlogged and ten small accounts."""
+    flood = AccountLoad(FLOOD_ACCOUNT, 200, ENTRIES, (40, 160))
+    steady = [
         AccountLoad(f"desk-{number}", 12, (ENTRIES[number % 3],), (5, 60))
         for number in range(5)
     ]
@@ -126,7 +129,7 @@
         AccountLoad(f"kiosk-{number}", 1, (ENTRIES[number % 3],), (4, 12))
         for number in range(10)
     ]
-    return [flood, *tied, *small]
+    return [flood, *steady, *small]
 
 
 def backlogged() -> dict[str, int]:
@@ -137,11 +140,11 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 class Observer:
-    """Samples service and costs while a driver runs."""
+    """Reads service and cost counters of a fleet while a driver runs."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.samples = ServiceSamples(backlogged())
@@ -149,7 +152,7 @@
         self._nodes = fleet.names("entry") + fleet.names("sidecar")
 
     async def busy_seconds(self) -> float:
-        """Return the time that the engines' slots were busy, as they count it."""
+        """Return the busy time of all engine slots, as counted by the engines."""
         total = 0.0
         for row in self._fleet.config["upstreams"]:
             if row["pool"] == "kiosk":
@@ -160,7 +163,7 @@
         return total
 
     async def grants(self) -> dict[str, float]:
-        """Return grants so far by how they ended, summed over the sidecars."""
+        """Return the number of grants by outcome, summed over the sidecars."""
         totals: dict[str, float] = {}
         for name in self._fleet.names("sidecar"):
             values = await self._fleet.metric(name, "grants_total")
@@ -169,7 +172,7 @@
         return totals
 
     async def control_bytes(self) -> dict[str, float]:
-        """Return control bytes sent so far by each entry and sidecar."""
+        """Return the control bytes sent so far by each entry and sidecar."""
         totals = {}
         for name in self._nodes:
             sent = await self._fleet.metric(name, "link_control_sent_bytes_total")
@@ -177,17 +180,19 @@
         return totals
 
     def cpu(self) -> float:
-        """Return processor seconds of entries and sidecars so far."""
+        """Return the processor seconds used so far by entries and sidecars."""
         return sum(cpu_seconds(self._fleet.nodes[name].pid) for name in self._nodes)
 
     @property
     def count(self) -> int:
-        """Number of nodes observed."""
+        """Number of observed nodes."""
         return len(self._nodes)
 
 
-async def sample(driver: Driver, samples: ServiceSamples, seconds: float) -> None:
-    """Sample service as callers receive it, token by token."""
+async def sample_service(
+    driver: Driver, samples: ServiceSamples, seconds: float
+) -> None:
+    """Sample the tokens that callers have received, for some seconds."""
     end = time.monotonic() + seconds
     while time.monotonic() < end and not driver.stopping:
         samples.add(dict(driver.tokens))
@@ -200,25 +205,25 @@
     route: Route,
     seconds: float,
     disturb: Disturbance | None = None,
-) -> Result:
+) -> CaseResult:
     """Run one case against a running fleet."""
     driver = Driver(loads(), route)
     observer = Observer(fleet)
-    running = asyncio.create_task(driver.run_for(FILLING + seconds))
-    await sample(driver, observer.samples, FILLING)
+    running = asyncio.create_task(driver.run_for(FILL_TIME + seconds))
+    await sample_service(driver, observer.samples, FILL_TIME)
     filled = len(observer.samples.rows)
     start = time.monotonic()
     bytes_before, cpu_before = await observer.control_bytes(), observer.cpu()
     busy_before = await observer.busy_seconds()
     disturbance = asyncio.create_task(disturb(fleet)) if disturb else None
-    await sample(driver, observer.samples, seconds)
+    await sample_service(driver, observer.samples, seconds)
     end = time.monotonic()
     elapsed = end - start
     if disturbance is not None:
         await disturbance
     busy = (await observer.busy_seconds() - busy_before) / elapsed
     bytes_after = await observer.control_bytes()
-    # A restarted process counts from zero again.
+    # The counter of a restarted process starts at zero again.
     control = {
         name: max(late - bytes_before[name], 0) / elapsed
         for name, late in bytes_after.items()
@@ -226,10 +231,12 @@
     cpu = (observer.cpu() - cpu_before) / elapsed
     await running
     print(f"{case}: grants {await observer.grants()}")
-    waits = [one.first - one.start for one in driver.seen if one.first]
+    waits = [
+        one.first_byte_at - one.start for one in driver.results if one.first_byte_at
+    ]
     totals = {name: round(got) for name, got in observer.samples.totals().items()}
     print(f"{case}: tokens by account {totals}")
-    return Result(
+    return CaseResult(
         case=case,
         gap=observer.samples.gap(),
         steady_gap=observer.samples.gap(skip=filled),
@@ -238,13 +245,13 @@
         cpu=100 * cpu / observer.count,
         wait_p50=percentile(waits, 0.5),
         wait_p95=percentile(waits, 0.95),
-        requests=len(driver.seen),
-        broken=sum(not one.whole for one in driver.seen),
+        requests=len(driver.results),
+        broken=sum(not one.complete for one in driver.results),
     )
 
 
-def report(results: list[Result]) -> str:
-    """Format the results as a table."""
+def format_table(results: list[CaseResult]) -> str:
+    """Return the results as a Markdown table."""
     lines = [
         "| case | gap, tokens | gap once filled | utilisation |"
         " control B/s, worst node | CPU % a node | wait p50 s | wait p95 s |"
@@ -265,8 +272,8 @@
     """Run all cases and print the table."""
     results = []
     with tempfile.TemporaryDirectory() as folder:
-        fleet = riga(Path(folder))
-        links = [await before_sidecar(fleet, name) for name in CUT_ENGINES]
+        fleet = riga_fleet(Path(folder))
+        links = [await proxy_sidecar(fleet, name) for name in CUT_ENGINES]
         try:
             await fleet.start_all()
             path = "/v1/chat/completions"
@@ -275,33 +282,37 @@
                 fleet.url(f"engine-{number + 1}", path) for number in range(ENGINES)
             ]
             http = fleet.http
-            bound = entry_route(http, urls, MODEL)
-            random_push = push_route(http, engines, MODEL, at_random)
-            least_push = push_route(http, engines, MODEL, least_in_flight)
+            late_binding = entry_route(http, urls, MODEL)
+            random_push = push_route(http, engines, MODEL, choose_random)
+            least_push = push_route(http, engines, MODEL, choose_least_in_flight)
 
-            async def cut(fleet: Fleet) -> None:
+            async def cut_from_half(fleet: Fleet) -> None:
                 pid = fleet.nodes["entry-2"].pid
-                await asyncio.gather(*(link.hold_peer(pid, CUT) for link in links))
+                await asyncio.gather(
+                    *(link.hold_process(pid, CUT_TIME) for link in links)
+                )
 
             cases: list[tuple[str, Route, Disturbance | None]] = [
                 ("push at random", random_push, None),
                 ("push, least in flight", least_push, None),
-                ("late binding", bound, None),
-                ("late binding, entry restarted", bound, restart_entry),
-                ("late binding, sidecar restarted", bound, restart_sidecar),
-                ("late binding, entry cut from half", bound, cut),
+                ("late binding", late_binding, None),
+                ("late binding, entry restarted", late_binding, restart_entry),
+                ("late binding, sidecar restarted", late_binding, restart_sidecar),
+                ("late binding, entry cut from half", late_binding, cut_from_half),
             ]
             for case, route, disturb in cases:
                 if only in (None, case):
                     result = await run_case(fleet, case, route, seconds, disturb)
                     results.append(result)
-                    print(report([result]).splitlines()[-1], flush=True)
+                    print(format_table([result]).splitlines()[-1], flush=True)
         finally:
             await fleet.close()
-    print(report(results))
+    print(format_table(results))
     slots = ENGINES * SLOTS
     rate = SLOTS * sum(1_000 / interval for interval in TOKEN_INTERVALS)
-    limit = gap_bound(slots=slots, sidecars=ENGINES, longest=160, rate=rate, lag=LAG)
+    limit = gap_bound(
+        slots=slots, sidecars=ENGINES, max_tokens=160, rate=rate, lag=SERVICE_LAG
+    )
     print(f"Stated bound of the gap: {limit:.0f} tokens.")
 
 
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -1,8 +1,8 @@
-"""Measure what a request costs that crashes each upstream which begins it.
+"""Measure the cost of a request that crashes each upstream which begins it.
 
-Two entries, four plain upstreams, real processes. Some callers send the request again
-0.3 s after each answer, through one entry after the other; others send good ones, each
-again until it is answered or the row ends.
+Two entries and four plain upstreams run as real processes. Some callers send the deadly
+request again 0.3 s after each answer, alternating between the entries. Others send good
+requests and resend each until it is answered or the row ends.
 
 Usage:
   measure_crashes [options]
@@ -10,12 +10,13 @@
 
 Options:
   --seconds S     Length of each row [default: 10].
-  --callers LIST  Callers of the deadly request, with commas [default: 1,2,4,8].
+  --callers LIST  Numbers of callers of the deadly request; one row for each
+                  [default: 1,2,4,8].
   --good N        Callers of good requests [default: 6].
   --run-time S    Seconds that a good request runs [default: 0.02].
-  --mass PART     Part of the upstreams that crash each second by themselves
+  --mass PART     Fraction of the upstreams that crash spontaneously each second
                   [default: 0].
-  --hot           All good callers send the same request, again and again.
+  --hot           All good callers send the same request repeatedly.
 """
 
 from __future__ import annotations
@@ -42,26 +43,26 @@
     from tools.platform.nodes import Answer
     from tools.platform.standin import Run
 
-GOOD_PAUSE = 0.02
-"""Seconds between two good requests of a caller."""
-DEADLY_PAUSE = 0.3
+GOOD_INTERVAL = 0.02
+"""Seconds between two good requests of one caller."""
+DEADLY_INTERVAL = 0.3
 MASS_INTERVAL = 0.1
-"""Seconds between two draws of upstreams that crash by themselves."""
+"""Seconds between two random choices of upstreams that crash spontaneously."""
 CONVICTION_WEIGHT = 3
-"""Upstreams after whose end a request is refused."""
-LOOKS = 100_000
-"""Calls of which the cost of a look is the mean."""
+"""Crashed upstreams after which a request is refused."""
+CHECKS = 100_000
+"""Number of calls over which the cost of a check is averaged."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What is there beside the deadly request.
+    """Load beside the deadly request.
 
     Args:
         seconds: Length of a row.
         good: Callers of good requests.
-        run_time: Seconds that one of these runs.
-        mass: Part of the upstreams that crash each second by themselves.
+        run_time: Seconds that a good request runs.
+        mass: Fraction of the upstreams that crash spontaneously each second.
         hot: Whether all good requests are the same.
     """
 
@@ -74,16 +75,16 @@
 
 @dataclass
 class Row:
-    """What one number of callers showed.
+    """Results for one number of callers.
 
     Args:
         callers: Callers of the deadly request.
         good: Good requests by status.
         deadly: Deadly requests by status.
-        crashes: Runs that crashed an upstream, in the order of time.
-        verdicts: Requests that are refused in the end.
-        by_themselves: Upstreams that crashed under no request.
-        innocent: Good requests that were refused as crashing upstreams.
+        crashes: Runs that crashed an upstream, in order of time.
+        verdicts: Requests that are refused at the end.
+        spontaneous: Upstreams that crashed without a request that caused it.
+        wrongly_refused: Paths of good requests that were refused as deadly.
     """
 
     callers: int
@@ -91,8 +92,8 @@
     deadly: Counter[int] = field(default_factory=Counter)
     crashes: list[Run] = field(default_factory=list)
     verdicts: int = 0
-    by_themselves: int = 0
-    innocent: set[str] = field(default_factory=set)
+    spontaneous: int = 0
+    wrongly_refused: set[str] = field(default_factory=set)
 
     def __str__(self) -> str:
         late = self.crashes[CONVICTION_WEIGHT:]
@@ -100,17 +101,17 @@
         return (
             f"| {self.callers} | {sum(self.deadly.values())} | {len(self.crashes)}"
             f" | {after:.2f} | {self.good[200]} / {self.good[502]} / {self.good[503]}"
-            f" | {self.verdicts} | {self.by_themselves} | {len(self.innocent)} |"
+            f" | {self.verdicts} | {self.spontaneous} | {len(self.wrongly_refused)} |"
         )
 
 
 class Experiment:
-    """Callers of one row.
+    """Runs the callers of one row.
 
     Args:
         platform: Running nodes and servers.
         callers: Callers of the deadly request.
-        load: What is there beside it.
+        load: Load beside the deadly request.
     """
 
     def __init__(self, platform: Platform, callers: int, load: Load) -> None:
@@ -121,13 +122,13 @@
         self.row = Row(callers)
 
     async def run(self) -> None:
-        """Call until the end."""
+        """Run all callers until the row ends, and collect its results."""
         async with asyncio.TaskGroup() as group:
             for number in range(self.row.callers):
                 group.create_task(self._call_deadly(number))
             for number in range(self._load.good):
                 group.create_task(self._call_good(number))
-            group.create_task(self._crash_by_themselves())
+            group.create_task(self._crash_spontaneously())
         servers = self._platform.servers_of("plain")
         runs = [run for server in servers for run in server.crashes]
         self.row.crashes = sorted(runs, key=lambda run: run.at)
@@ -139,7 +140,7 @@
                 return
             answer = await self._call(turn, "/safe/deadly")
             self.row.deadly[answer.status] += 1
-            await asyncio.sleep(DEADLY_PAUSE)
+            await asyncio.sleep(DEADLY_INTERVAL)
 
     async def _call_good(self, number: int) -> None:
         for turn in itertools.count(number):
@@ -152,17 +153,17 @@
                 status = answer.status
                 self.row.good[status] += 1
                 if b'"crashes_upstreams"' in answer.body:
-                    self.row.innocent.add(path)
-                await asyncio.sleep(GOOD_PAUSE)
+                    self.row.wrongly_refused.add(path)
+                await asyncio.sleep(GOOD_INTERVAL)
                 if status == 200:
                     break
 
-    async def _crash_by_themselves(self) -> None:
+    async def _crash_spontaneously(self) -> None:
         while time.monotonic() < self._end and self._load.mass:
             await asyncio.sleep(MASS_INTERVAL)
             for server in self._platform.servers_of("plain"):
                 if self._rng.random() < self._load.mass * MASS_INTERVAL:
-                    self.row.by_themselves += server.crash()
+                    self.row.spontaneous += server.crash()
 
     async def _call(self, turn: int, path: str) -> Answer:
         entries = self._platform.entry_ips
@@ -176,7 +177,7 @@
 
 
 async def measure(callers: int, load: Load) -> Row:
-    """Return what one number of callers shows."""
+    """Return the results for one number of callers."""
     with tempfile.TemporaryDirectory() as folder:
         platform = Platform(Path(folder))
         try:
@@ -193,8 +194,8 @@
             await platform.close()
 
 
-def cost_of_a_look() -> float:
-    """Return the microseconds of one look while nothing is suspected."""
+def check_cost() -> float:
+    """Return the microseconds of one check while no request is suspected."""
     guard = CrashGuard(
         feed=cast("Any", None),
         client=cast("Any", None),
@@ -202,8 +203,8 @@
         running=(),
     )
     admitted = cast("Any", SimpleNamespace(account="bank", body=b"x" * 2_000))
-    took = timeit.timeit(lambda: guard.refusal(admitted), number=LOOKS)
-    return took / LOOKS * 1e6
+    elapsed = timeit.timeit(lambda: guard.refusal(admitted), number=CHECKS)
+    return elapsed / CHECKS * 1e6
 
 
 def main() -> None:
@@ -223,7 +224,7 @@
     print("|---|---|---|---|---|---|---|---|")
     for callers in args["--callers"].split(","):
         print(asyncio.run(measure(int(callers), load)))
-    print(f"a look while nothing is suspected: {cost_of_a_look():.2f} us")
+    print(f"a look while nothing is suspected: {check_cost():.2f} us")
 
 
 if __name__ == "__main__":
--- a/tools/platform/standin.py
+++ b/tools/platform/standin.py
@@ -17,7 +17,7 @@
 from leadseam.platform import names
 from tools.platform.operator import open_session, post_bytes
 from tools.platform.pauses import Arrival, Pause
-from tools.waiting import until
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -183,7 +183,7 @@
         """Announce a planned end, and wait for the acknowledgement."""
         self.state = "draining"
         acks = self.acks
-        await until(
+        await wait_until(
             lambda: _as_awaitable(self.acks > acks + 1), "leaving is acknowledged"
         )
 
--- a/tools/slopes/decisions.py
+++ b/tools/slopes/decisions.py
@@ -1,4 +1,4 @@
-"""Costs of the parts that have no I/O: messages, decisions, what they hold."""
+"""Costs of the parts without I/O: messages, decisions, and the state they hold."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 )
 from leadseam.wire.feed import Current, Delta, LoadRow, LoadSums, UsageRow
 from tests.routing.samples import make_request, make_upstream
-from tools.slopes.sampling import cpu_of, memory_of
+from tools.slopes.sampling import measure_cpu, measure_memory
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -45,7 +45,7 @@
 
 
 def service_rows(count: int) -> tuple[ServiceRow, ...]:
-    """Return rows as large as they are after a month of service."""
+    """Return rows with counters as large as after a month of service."""
     return tuple(
         ServiceRow(f"account-{number:04d}", 10**12 + number, 10**6, 10**9)
         for number in range(count)
@@ -53,23 +53,23 @@
 
 
 def frame_size(count: int) -> float:
-    """Return the bytes of a frame with so many service rows."""
+    """Return the bytes of a frame with this many service rows."""
     return float(len(encode_frame([Service(service_rows(count))])))
 
 
 def backlog_size(count: int) -> float:
-    """Return the bytes of a frame with so many backlog rows."""
+    """Return the bytes of a frame with this many backlog rows."""
     rows = tuple(BacklogRow(f"account-{n:04d}", 40, 30_000) for n in range(count))
     return float(len(encode_frame([Backlog(rows)])))
 
 
 def snapshot_size(count: int) -> float:
-    """Return the bytes of a snapshot with so many accounts."""
+    """Return the bytes of a snapshot with this many accounts."""
     return float(len(state_with(count).save()))
 
 
 def state_with(count: int) -> ControlState:
-    """Return a control state with so many accounts."""
+    """Return a control state with this many accounts."""
     state = ControlState()
     rows = tuple(
         Put(Account(f"account-{n:04d}", key_hashes=(f"{n:064x}",)))
@@ -80,17 +80,17 @@
 
 
 def cpu_service_codec(count: int) -> float:
-    """Encode and decode a frame of service rows."""
+    """Return the cost of encoding and decoding a frame of service rows."""
     message = Service(service_rows(count))
 
-    def work() -> None:
+    def workload() -> None:
         decode_frame(encode_frame([message]))
 
-    return cpu_of(work, 40)
+    return measure_cpu(workload, 40)
 
 
 def cpu_merge(count: int) -> float:
-    """Merge and report rows at an entry that knows 10 sidecars."""
+    """Return the cost of merging and reporting rows at an entry with 10 sidecars."""
     merge = ServiceMerge()
     rows = service_rows(count)
     for number in range(10):
@@ -99,17 +99,17 @@
     names = [row.account for row in rows]
     tick = iter(range(1, 10**9))
 
-    def work() -> None:
+    def workload() -> None:
         grown = next(tick)
         changed = [ServiceRow(n, 10**13 + grown, 0, 0) for n in names]
         merge.update("s0", changed)
         merge.report("s1", names)
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def cpu_grant(count: int) -> float:
-    """Pick, grant, start and finish once with so many accounts waiting."""
+    """Return the cost of one grant, start and finish; this many accounts wait."""
     ledger = Ledger()
     scheduler = Scheduler(ledger, Picker(ledger), lambda _: 1)
     scheduler.slots = 1
@@ -117,35 +117,35 @@
         row = BacklogRow(f"account-{number:04d}", 10**6, 0)
         scheduler.set_backlog("entry-1", row, 0)
 
-    def work() -> None:
+    def workload() -> None:
         (lease,) = scheduler.schedule(0)
         scheduler.start("entry-1", lease.grant, lease.account)
         ledger.charge(lease.account, 1_000)
         ledger.reserve(lease.account, -lease.reserved)
         scheduler.finish(lease.account, 1_000)
 
-    return cpu_of(work, 100)
+    return measure_cpu(workload, 100)
 
 
 def cpu_change(count: int) -> float:
-    """Apply one change of an account to a state with so many."""
+    """Return the cost of changing one account in a state with this many accounts."""
     state = state_with(count)
     versions = iter(range(1, 10**6))
 
-    def work() -> None:
+    def workload() -> None:
         version = next(versions)
         operation = Put(Account("account-0000", share=1 + version % 9))
         state.apply(Change(f"c{version}", version, (operation,), "anna"))
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def cpu_claim_batch(count: int) -> float:
-    """Encode, decode and apply a batch of so many claims."""
+    """Return the cost of encoding, decoding and applying this many claims at once."""
     state = ControlState()
     numbers = iter(range(1, 10**9))
 
-    def work() -> None:
+    def workload() -> None:
         commands = tuple(
             Acquire("account-0001", f"key-{next(numbers)}", 1, "o" * 32)
             for _ in range(count)
@@ -153,11 +153,11 @@
         state.apply(Claims(commands, 1))
         encode(commands)
 
-    return cpu_of(work, 20)
+    return measure_cpu(workload, 20)
 
 
 def sums_size(count: int) -> float:
-    """Return the bytes of shared sums, half of the rows engines, half accounts."""
+    """Return the bytes of shared sums: half of the rows are engines, half accounts."""
     half = count // 2
     rows = tuple(
         LoadRow(Incarnation(f"i-{n:010x}").digest(), 9, 9_000, 250_000)
@@ -167,8 +167,8 @@
     return float(len(encode(LoadSums(rows, usage))))
 
 
-def cpu_placing(count: int) -> float:
-    """Place a request at one of so many engines, half of their slots in use."""
+def cpu_place(count: int) -> float:
+    """Return the cost of placing at this many engines, half of their slots in use."""
     rng = random.Random(1)
     balancer = Balancer(random.Random(1))
     profile = EngineProfile(slots=12, memory_tokens=559_032)
@@ -179,7 +179,7 @@
     for row in rows:
         balancer.loads.begin(row.incarnation, Load(requests=rng.randrange(13)))
 
-    def work() -> None:
+    def workload() -> None:
         parts = (
             PromptPart(f"subject-{rng.randrange(400)}", 568),
             PromptPart("own", 1_800),
@@ -188,11 +188,11 @@
         order = balancer.orders.order_for(Scope("p"), rows, req)
         balancer.place(order, req, profile, 212, 0, ahead=100)
 
-    return cpu_of(work, 2_000)
+    return measure_cpu(workload, 2_000)
 
 
 def waiting_requests(count: int) -> WaitingQueue:
-    """Return a queue of requests with bodies of 2 KB, without their HTTP side."""
+    """Return a queue of requests with bodies of 2 KB, without their HTTP objects."""
     queue = WaitingQueue(max_bytes=10**12)
     for number in range(count):
         req = CallerRequest(
@@ -212,7 +212,7 @@
 
 
 def claims_held(count: int) -> ControlState:
-    """Return a state that holds so many claims."""
+    """Return a control state that holds this many claims."""
     state = ControlState()
     commands = tuple(
         Acquire(f"account-{n % 100}", f"key-{n:08d}", n, f"{n:032x}")
@@ -223,7 +223,7 @@
 
 
 def merged_rows(count: int) -> ServiceMerge:
-    """Return an entry's merge of 10 sidecars with so many accounts each."""
+    """Return an entry's merge of 10 sidecars with this many accounts each."""
     merge = ServiceMerge()
     for number in range(10):
         merge.connect(f"s{number}", 1)
@@ -231,8 +231,8 @@
     return merge
 
 
-def plain_slopes() -> list[tuple[str, str, tuple[int, ...], Callable[[int], float]]]:
-    """List the slopes without I/O."""
+def compute_slopes() -> list[tuple[str, str, tuple[int, ...], Callable[[int], float]]]:
+    """Return name, unit, sizes and measurement of each slope without I/O."""
     return [
         ("service frame", "B/row", ACCOUNTS, frame_size),
         ("backlog frame", "B/row", ACCOUNTS, backlog_size),
@@ -242,31 +242,31 @@
         ("grant", "us/waiting account", ACCOUNTS, cpu_grant),
         ("apply a change", "us/account", ACCOUNTS, cpu_change),
         ("shared sums", "B/row", ACCOUNTS, sums_size),
-        ("placing", "us/engine", ENGINES, cpu_placing),
+        ("placing", "us/engine", ENGINES, cpu_place),
         ("claim batch", "us/claim", (16, 64, 256), cpu_claim_batch),
         (
             "waiting request, 2 KB body",
             "B/request",
             (500, 2_000, 8_000),
-            lambda count: memory_of(waiting_requests, count),
+            lambda count: measure_memory(waiting_requests, count),
         ),
         (
             "claim held",
             "B/claim",
             (500, 2_000, 8_000),
-            lambda count: memory_of(claims_held, count),
+            lambda count: measure_memory(claims_held, count),
         ),
         (
             "merge of 10 sidecars",
             "B/account",
             ACCOUNTS,
-            lambda count: memory_of(merged_rows, count),
+            lambda count: measure_memory(merged_rows, count),
         ),
     ]
 
 
 def message_sizes() -> dict[str, int]:
-    """Return the bytes of single frames that CAPACITY.md counts."""
+    """Return the bytes of the single frames that CAPACITY.md refers to."""
     row = BacklogRow("account-0001", 40, 30_000)
     operation = Put(Account("account-0001", share=5, key_hashes=("f" * 64,)))
     return {
--- a/tools/soak/callers.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers who keep their connections open until the entry is gone."""
+"""Closed-loop callers that keep their connections open until the entry closes them."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
-LIMIT = 5.0
-"""Seconds after which a route of the test document ends a request."""
-GIVE_UP = 12.0
-"""Seconds after which a caller hangs up, so that a run comes to its end."""
+ROUTE_TIME_LIMIT = 5.0
+"""Time limit of the routes in the test configuration, in seconds."""
+CALLER_TIMEOUT = 12.0
+"""Seconds after which a caller disconnects, so that a run ends in bounded time."""
 CALL_PAUSE = 0.02
-"""Seconds between two calls of a caller."""
+"""Seconds between two calls of one caller."""
 BODY = b"x" * 300
 
 
-class Kind(StrEnum):
-    """What a caller asks for, named as the routes of the test document."""
+class CallKind(StrEnum):
+    """Kind of a call; the values are the routes of the test configuration."""
 
     ONCE = "once"
     SAFE = "safe"
@@ -39,34 +39,34 @@
     STREAM_ONCE = "stream-fixed"
 
     @property
-    def streams(self) -> bool:
-        """Whether the answer is a sequence of events."""
-        return self in (Kind.STREAM, Kind.STREAM_ONCE)
+    def is_stream(self) -> bool:
+        """Whether the answer is an event stream."""
+        return self in (CallKind.STREAM, CallKind.STREAM_ONCE)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
-        return self in (Kind.SAFE, Kind.STREAM)
+        """Whether the request may run more than once."""
+        return self in (CallKind.SAFE, CallKind.STREAM)
 
 
 @dataclass(slots=True)
 class Call:
-    """One request and all that its caller saw.
+    """One request and its result as the caller saw it.
 
     Args:
-        request_id: Its identifier.
-        kind: What was asked for.
-        entry: Entry that was called.
+        request_id: Identifier of the request.
+        kind: Kind of the call.
+        entry: Address of the entry that was called.
         start: When it was sent, on the steady clock.
-        end: When the last byte came or the connection was cut.
-        status: Status of the answer; 0 without one.
-        body: Bytes of the answer's body.
-        headers: The answer's headers.
-        cut: Whether the connection was cut before the answer's end.
+        end: When the last byte arrived or the connection was cut.
+        status: HTTP status of the answer; 0 if there was none.
+        body: Body of the answer.
+        headers: Headers of the answer.
+        cut: Whether the connection was cut before the end of the answer.
     """
 
     request_id: str
-    kind: Kind
+    kind: CallKind
     entry: str
     start: float
     end: float = 0.0
@@ -77,61 +77,61 @@
 
     @property
     def path(self) -> str:
-        """The path that was asked for."""
+        """Path of the request."""
         return f"/{self.kind}/{self.request_id}"
 
 
 class Callers:
-    """Callers of one run.
+    """Callers of all entries in one run.
 
     Args:
-        world: What they call.
-        seed: Seed of their choices.
+        platform: The nodes, servers and links.
+        seed: Seed for the kinds of calls.
         on_call: Called with each finished call.
     """
 
     def __init__(
-        self, world: World, seed: int, on_call: Callable[[Call], None]
+        self, platform: SoakPlatform, seed: int, on_call: Callable[[Call], None]
     ) -> None:
-        self._world = world
+        self._platform = platform
         self._rng = random.Random(seed)
         self._on_call = on_call
-        self._numbers = itertools.count(1)
+        self._id_numbers = itertools.count(1)
         self._stopping = False
 
     async def run(self, callers: int) -> None:
-        """Call each entry from so many callers until told to stop."""
+        """Run this many callers for each entry until `stop` is called."""
         async with asyncio.TaskGroup() as group:
-            for entry in self._world.entry_ips:
+            for entry in self._platform.entry_ips:
                 for _ in range(callers):
-                    group.create_task(self._keep_calling(entry))
+                    group.create_task(self._call_until_stopped(entry))
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Start no new calls."""
         self._stopping = True
 
-    async def _keep_calling(self, entry: str) -> None:
-        timeout = aiohttp.ClientTimeout(total=GIVE_UP)
+    async def _call_until_stopped(self, entry: str) -> None:
+        timeout = aiohttp.ClientTimeout(total=CALLER_TIMEOUT)
         async with aiohttp.ClientSession(
             connector=LoopConnector(keepalive=DEFAULT_KEEPALIVE_S), timeout=timeout
         ) as http:
-            # A request that must not repeat is never sent again by the library.
+            # aiohttp must not resend a request that may run only once.
             http._retry_connection = False
             while not self._stopping:
-                kind = self._rng.choice(list(Kind))
-                call = Call(f"c{next(self._numbers)}", kind, entry, time.monotonic())
-                await self.make(http, call)
+                kind = self._rng.choice(list(CallKind))
+                call = Call(f"c{next(self._id_numbers)}", kind, entry, time.monotonic())
+                await self.send(http, call)
                 self._on_call(call)
                 await asyncio.sleep(CALL_PAUSE)
 
-    async def make(self, http: aiohttp.ClientSession, call: Call) -> None:
-        """Make a call and note what came back."""
-        url = f"http://{call.entry}:{self._world.front_port}{call.path}"
+    async def send(self, http: aiohttp.ClientSession, call: Call) -> None:
+        """Send a call and record its answer in it."""
+        url = f"http://{call.entry}:{self._platform.front_port}{call.path}"
         headers = {
             "Host": HOST,
             names.REQUEST_ID: call.request_id,
             names.AUTHORIZATION: names.BEARER + KEY,
-            names.DEADLINE: str(round(LIMIT * 1_000)),
+            names.DEADLINE: str(round(ROUTE_TIME_LIMIT * 1_000)),
         }
         try:
             async with http.post(url, data=BODY, headers=headers) as resp:
--- a/tools/soak/deadly.py
+++ b/tools/soak/deadly.py
@@ -1,4 +1,4 @@
-"""Callers who send again and again what crashes each server that begins it."""
+"""Callers that repeatedly send requests which crash each server that begins them."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import KEY
-from tools.soak.ledger import Span
-from tools.waiting import until
+from tools.soak.disturbances import Disturbance
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from tools.platform.nodes import Answer
     from tools.platform.standin import Run, Server
-    from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.promise_checker import PromiseChecker
+    from tools.soak.soak_platform import SoakPlatform
 
 PATHS = ("/safe/deadly", "/stream/deadly")
-"""What is asked for: a plain answer, and a stream that begins before the crash."""
+"""Paths of the requests: a plain answer, and a stream that begins before the crash."""
 BODY = b'{"deadly":true}'
-LONGEST_PAUSE = 0.5
-"""Seconds between two sends of one path, at the most."""
-DOWN = 0.8
-"""Seconds until a crashed server is back."""
-BORNE = 3
-"""Servers that end before a request is known, and later sends that are borne."""
-BOUND = 3.0
-"""Seconds after the third end from which sends count: the users' least bound."""
-WRITTEN = "verdict written"
-"""Line of a control box once a verdict outlives the loss of power everywhere."""
+MAX_SEND_PAUSE = 0.5
+"""Longest interval between two sends of one path, in seconds."""
+RESTART_TIME = 0.8
+"""Seconds until a crashed server has restarted."""
+MAX_ENDS = 3
+"""Servers that may crash before a request is refused, and, counted apart, crashes by
+later sends that are tolerated."""
+VERDICT_TIME_LIMIT = 3.0
+"""Seconds after the third crash until a verdict is due: the users' strictest bound."""
+VERDICT_WRITTEN = "verdict written"
+"""Log message of a control box once a verdict would survive a power loss of all."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """One send of a deadly request.
+class SentRequest:
+    """A deadly request that was sent.
 
     Args:
-        entry: Entry that it went to.
-        path: What it asked for.
-        at: When, on the steady clock.
+        entry: Entry that it was sent to.
+        path: Path of the request.
+        at: When it was sent, on the steady clock.
     """
 
     entry: str
@@ -49,112 +50,117 @@
     at: float
 
 
-class Deadly:
-    """Sends deadly requests for as long as a run lasts.
+class DeadlyCallers:
+    """Sends deadly requests throughout a run.
 
     Args:
-        world: Nodes and servers.
-        seed: Seed of the choices.
-        promises: Where broken promises are noted.
+        platform: The nodes, servers and links.
+        seed: Seed for entries and intervals.
+        promises: Records the checks.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 3)
         self._promises = promises
-        self._numbers = itertools.count(1)
-        self._sent: dict[str, Sent] = {}
+        self._id_numbers = itertools.count(1)
+        self._sent: dict[str, SentRequest] = {}
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests until cancelled."""
         async with asyncio.TaskGroup() as group:
             for path in PATHS:
-                group.create_task(self._keep_sending(path))
+                group.create_task(self._send_repeatedly(path))
 
-    async def wait_known(self) -> None:
-        """Wait until all entries refuse both, and that outlives a loss of power."""
-        await until(self._is_known, "deadly requests are refused")
-        await until(self._is_written, "verdicts are written")
+    async def wait_refused(self) -> None:
+        """Wait until all entries refuse both paths and both verdicts are on disk."""
+        await wait_until(self._all_refused, "deadly requests are refused")
+        await wait_until(self._verdicts_written, "verdicts are written")
 
-    async def check_known(self) -> None:
-        """Check that all entries refuse both at once."""
+    async def check_refused(self) -> None:
+        """Check that all entries refuse both paths at the first send."""
         for path in PATHS:
-            for entry in self._world.entry_ips:
+            for entry in self._platform.entry_ips:
                 refused = await self._is_refused(entry, path)
                 self._promises.check(
                     "deadly stays known", refused, f"{path} at {entry}"
                 )
 
-    def at_end(self, *, timed: bool) -> None:
-        """Check how often servers were reached after three had ended."""
-        self._note_crashes()
+    def check_at_end(self, *, timed: bool) -> None:
+        """Check how many servers were crashed by late sends after the third crash."""
+        self._log_crashes()
         for path in PATHS:
-            runs = sorted(self._runs_of(path), key=lambda run: run.at)
-            if len(runs) < BORNE:
+            runs = sorted(self._crashes_at(path), key=lambda run: run.at)
+            if len(runs) < MAX_ENDS:
                 continue
-            late = [run for run in runs if self._is_late(run, runs[BORNE - 1].at)]
+            late = [run for run in runs if self._is_late(run, runs[MAX_ENDS - 1].at)]
             detail = f"{path}: {len(runs)} servers ended, {len(late)} by late sends"
             if timed:
-                kept = len(late) <= BORNE
+                kept = len(late) <= MAX_ENDS
                 self._promises.check("deadly known in time", kept, detail)
 
-    def _note_crashes(self) -> None:
-        """Note crashes as disturbances of their servers, which cut what ran there."""
-        for server in self._world.ever:
+    def _log_crashes(self) -> None:
+        """Record crashes as disturbances: they cut what ran at the server."""
+        for server in self._platform.all_servers:
             for run in server.crashes:
-                span = Span(server.ip, run.at, planned=False, end=run.at + DOWN)
-                self._world.ledger.spans.append(span)
+                disturbance = Disturbance(
+                    server.ip, run.at, planned=False, end=run.at + RESTART_TIME
+                )
+                self._platform.disturbances.entries.append(disturbance)
 
-    async def _keep_sending(self, path: str) -> None:
+    async def _send_repeatedly(self, path: str) -> None:
         while True:
-            await self._send(self._rng.choice(self._world.entry_ips), path)
-            await asyncio.sleep(self._rng.uniform(0, LONGEST_PAUSE))
+            await self._send(self._rng.choice(self._platform.entry_ips), path)
+            await asyncio.sleep(self._rng.uniform(0, MAX_SEND_PAUSE))
 
     async def _send(self, entry: str, path: str) -> Answer:
-        for server in self._world.servers:
-            # Servers come and go; each of them crashes under it.
+        for server in self._platform.servers:
+            # Servers are replaced during a run; each one has to crash.
             server.actions["deadly"] = "crash"
-            server.restart_delay = DOWN
-        request_id = f"d{next(self._numbers)}"
-        self._sent[request_id] = Sent(entry, path, time.monotonic())
-        return await self._world.call(
+            server.restart_delay = RESTART_TIME
+        request_id = f"d{next(self._id_numbers)}"
+        self._sent[request_id] = SentRequest(entry, path, time.monotonic())
+        return await self._platform.call(
             entry, path, body=BODY, request_id=request_id, key=KEY
         )
 
-    async def _is_known(self) -> bool:
-        pairs = itertools.product(self._world.entry_ips, PATHS)
+    async def _all_refused(self) -> bool:
+        pairs = itertools.product(self._platform.entry_ips, PATHS)
         return all([await self._is_refused(entry, path) for entry, path in pairs])
 
     async def _is_refused(self, entry: str, path: str) -> bool:
         return b'"crashes_upstreams"' in (await self._send(entry, path)).body
 
-    async def _is_written(self) -> bool:
-        """Tell whether both verdicts are written, by whichever box it was.
+    async def _verdicts_written(self) -> bool:
+        """Return whether both verdicts are written, no matter by which box.
 
-        A box that was replaced since tells it too: what it wrote is the group's.
+        The logs of boxes that were replaced since count too: what such a box wrote was
+        committed by the group.
         """
-        boxes = [path.stem for path in self._world.folder.glob("*.log")]
-        lines = [line for box in boxes for line in self._world.log(box)]
+        boxes = [path.stem for path in self._platform.folder.glob("*.log")]
+        lines = [line for box in boxes for line in self._platform.log(box)]
         written = {
             fingerprint
             for line in lines
-            if line["message"] == WRITTEN
+            if line["message"] == VERDICT_WRITTEN
             for fingerprint in line["fingerprints"]
         }
         return len(written) >= len(PATHS)
 
-    def _runs_of(self, path: str) -> list[Run]:
-        servers: list[Server] = list(self._world.ever)
+    def _crashes_at(self, path: str) -> list[Run]:
+        servers: list[Server] = list(self._platform.all_servers)
         crashes = (run for server in servers for run in server.crashes)
         return [run for run in crashes if run.target == path]
 
-    def _is_late(self, run: Run, third: float) -> bool:
-        """Tell whether a send counts: late, and from an entry that was undisturbed."""
+    def _is_late(self, run: Run, third_end: float) -> bool:
+        """Return whether a crash came after the limit though no node was disturbed."""
         sent = self._sent[run.request_id]
-        if run.at <= third + BOUND:
+        if run.at <= third_end + VERDICT_TIME_LIMIT:
             return False
-        ledger = self._world.ledger
+        disturbances = self._platform.disturbances
         return not any(
-            ledger.touched(box, sent.at - BOUND, run.at)
-            for box in (sent.entry, *self._world.control_ips)
+            disturbances.was_disturbed(box, sent.at - VERDICT_TIME_LIMIT, run.at)
+            for box in (sent.entry, *self._platform.control_ips)
         )
--- a/tools/soak/injector.py
+++ b/tools/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injection of faults from outside: processes, disks, settings, links and servers."""
+"""Injects faults from outside: into processes, disks, settings, links and servers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     FullDisk,
     Kill,
     KillControl,
-    Planned,
+    PlannedFault,
     Reload,
     ReplaceBox,
     ServerCrash,
@@ -26,176 +26,182 @@
     Stop,
     Wipe,
 )
-from tools.soak.world import RESTART_DELAY
+from tools.soak.soak_platform import RESTART_DELAY
 
 if TYPE_CHECKING:
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
-LEAVING_PAUSE = 2.0
-"""Seconds that a leaving server serves on after its end was acknowledged."""
-GROUP_DOWN = 1.0
-"""Most seconds that all control processes are down together."""
+DRAIN_TIME = 2.0
+"""Seconds for which a leaving server still serves after its leave was acknowledged."""
+MAX_GROUP_DOWNTIME = 1.0
+"""Longest time for which all control processes are down together, in seconds."""
 
 
 class Injector:
-    """Does faults to a world and mends them.
+    """Injects faults into a running platform and repairs them.
 
     Args:
-        world: The nodes, servers and links.
+        platform: The nodes, servers and links.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._ledger = world.ledger
+    def __init__(self, platform: SoakPlatform) -> None:
+        self._platform = platform
+        self._disturbances = platform.disturbances
 
-    async def do(self, planned: Planned) -> None:
-        """Do a fault, for as long as it lasts, and mend it."""
+    async def inject(self, planned: PlannedFault) -> None:
+        """Inject a fault and repair it at its end."""
         match planned.fault:
             case Kill(box=box):
-                await self._killed([self._world.now_at(box)], planned.length)
+                await self._kill([self._platform.current_box(box)], planned.duration)
             case KillControl():
-                await self._killed(
-                    [*self._world.control_ips], min(planned.length, GROUP_DOWN)
+                await self._kill(
+                    [*self._platform.control_ips],
+                    min(planned.duration, MAX_GROUP_DOWNTIME),
                 )
             case Wipe(box=box):
-                await self._killed([self._world.now_at(box)], planned.length, wipe=True)
-            case ReplaceBox(box=box, planned=in_order):
-                await self._replaced(box, planned.length, in_order=in_order)
+                await self._kill(
+                    [self._platform.current_box(box)], planned.duration, wipe=True
+                )
+            case ReplaceBox(box=box, planned=graceful):
+                await self._replace_box(box, planned.duration, graceful=graceful)
             case Freeze(box=box):
-                await self._frozen(self._world.now_at(box), planned.length)
+                await self._freeze(self._platform.current_box(box), planned.duration)
             case Stop(box=box):
-                await self._stopped(box, planned.length)
+                await self._stop(box, planned.duration)
             case FullDisk(box=box):
-                await self._full(self._world.now_at(box), planned.length)
+                await self._fill_disk(self._platform.current_box(box), planned.duration)
             case Reload(box=box, signal=by_signal):
-                self._reload(self._world.now_at(box), by_signal=by_signal)
+                self._reload(self._platform.current_box(box), by_signal=by_signal)
             case BadLink() as fault:
-                await self._spoiled(fault, planned.length)
+                await self._disturb_link(fault, planned.duration)
             case ServerCrash(server=ip):
-                await self._server_crashed(ip, planned.length)
+                await self._crash_server(ip, planned.duration)
             case ServerLeaves(server=ip):
-                await self._server_left(ip, planned.length)
+                await self._drain_server(ip, planned.duration)
             case AnswersLost(server=ip):
-                await self._answers_lost(ip, planned.length)
+                await self._lose_answers(ip, planned.duration)
 
-    async def _killed(
-        self, boxes: list[str], length: float, *, wipe: bool = False
+    async def _kill(
+        self, boxes: list[str], duration: float, *, wipe: bool = False
     ) -> None:
-        boxes = [box for box in boxes if box not in self._world.down]
-        spans = [self._ledger.begin(box) for box in boxes]
-        self._world.down.update(boxes)
+        boxes = [box for box in boxes if box not in self._platform.down]
+        begun = [self._disturbances.begin(box) for box in boxes]
+        self._platform.down.update(boxes)
         for box in boxes:
-            self._world.kill(box)
+            self._platform.kill(box)
             if wipe:
-                shutil.rmtree(self._world.folder / f"data-{box}")
-        await asyncio.sleep(length)
-        for box, span in zip(boxes, spans, strict=True):
-            if box not in self._world.gone_boxes:
-                self._world.start(box, bootstrap=False)
-                self._world.down.discard(box)
-            self._ledger.end(span)
-
-    async def _replaced(self, box: str, length: float, *, in_order: bool) -> None:
-        gone = self._world.now_at(box)
-        if gone in self._world.down or not self._world.spare_ips:
+                shutil.rmtree(self._platform.folder / f"data-{box}")
+        await asyncio.sleep(duration)
+        for box, disturbance in zip(boxes, begun, strict=True):
+            if box not in self._platform.replaced_boxes:
+                self._platform.start(box, bootstrap=False)
+                self._platform.down.discard(box)
+            self._disturbances.end(disturbance)
+
+    async def _replace_box(self, box: str, duration: float, *, graceful: bool) -> None:
+        replaced = self._platform.current_box(box)
+        if replaced in self._platform.down or not self._platform.spare_ips:
             return
-        span = self._ledger.begin(gone, planned=in_order)
-        if in_order:
-            self._world.succeed(gone)
-            await asyncio.sleep(length)
-            await self._world.end_for_good(gone, in_order=True)
+        disturbance = self._disturbances.begin(replaced, planned=graceful)
+        if graceful:
+            self._platform.start_successor(replaced)
+            await asyncio.sleep(duration)
+            await self._platform.stop_for_good(replaced, graceful=True)
         else:
-            await self._world.end_for_good(gone, in_order=False)
-            await asyncio.sleep(length)
-            self._world.succeed(gone)
-        self._ledger.end(span)
-
-    async def lose_all_that_may_be_lost(self) -> None:
-        """Lose one control box's disk while all processes lose power."""
-        wiped, *others = self._world.control_ips
-        losing = self._killed([wiped], GROUP_DOWN, wipe=True)
-        stopping = self._killed([*others, *self._world.entry_ips], GROUP_DOWN)
-        await asyncio.gather(losing, stopping)
-
-    async def _frozen(self, box: str, length: float) -> None:
-        span = self._ledger.begin(box)
-        if self._world.suspendable:
-            await self._world.suspend(box, length)
-            self._ledger.end(span)
+            await self._platform.stop_for_good(replaced, graceful=False)
+            await asyncio.sleep(duration)
+            self._platform.start_successor(replaced)
+        self._disturbances.end(disturbance)
+
+    async def lose_one_disk_and_all_power(self) -> None:
+        """Wipe the disk of one control box while all processes lose power.
+
+        This is the largest loss that the group must tolerate.
+        """
+        wiped, *others = self._platform.control_ips
+        wiping = self._kill([wiped], MAX_GROUP_DOWNTIME, wipe=True)
+        stopping = self._kill([*others, *self._platform.entry_ips], MAX_GROUP_DOWNTIME)
+        await asyncio.gather(wiping, stopping)
+
+    async def _freeze(self, box: str, duration: float) -> None:
+        disturbance = self._disturbances.begin(box)
+        if self._platform.suspendable:
+            await self._platform.suspend(box, duration)
+            self._disturbances.end(disturbance)
             return
-        process = self._world.processes[box]
+        process = self._platform.processes[box]
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         process.send_signal(signal.SIGCONT)
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
-    async def _stopped(self, box: str, length: float) -> None:
-        if box in self._world.down:
+    async def _stop(self, box: str, duration: float) -> None:
+        if box in self._platform.down:
             return
-        self._world.down.add(box)
-        span = self._ledger.begin(box, planned=True)
-        process = self._world.processes[box]
+        self._platform.down.add(box)
+        disturbance = self._disturbances.begin(box, planned=True)
+        process = self._platform.processes[box]
         process.terminate()
         while process.poll() is None:
             await asyncio.sleep(RESTART_DELAY)
-        await asyncio.sleep(length)
-        self._world.start(box, bootstrap=False)
-        self._world.down.discard(box)
-        self._ledger.end(span)
+        await asyncio.sleep(duration)
+        self._platform.start(box, bootstrap=False)
+        self._platform.down.discard(box)
+        self._disturbances.end(disturbance)
 
-    async def _full(self, box: str, length: float) -> None:
-        span = self._ledger.begin(box)
+    async def _fill_disk(self, box: str, duration: float) -> None:
+        disturbance = self._disturbances.begin(box)
         with contextlib.suppress(ProcessLookupError):
-            pid = self._world.processes[box].pid
+            pid = self._platform.processes[box].pid
             _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, -1))
-            await asyncio.sleep(length)
+            await asyncio.sleep(duration)
             resource.prlimit(pid, resource.RLIMIT_FSIZE, (most, most))
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
 
     def _reload(self, box: str, *, by_signal: bool) -> None:
-        self._world.seeds = self._world.seeds[1:] + self._world.seeds[:1]
-        self._world.write_settings(box, bootstrap=False)
-        if by_signal and box not in self._world.down:
-            self._world.signal(box, signal.SIGHUP)
-
-    async def _spoiled(self, fault: BadLink, length: float) -> None:
-        source = self._world.now_at(fault.source)
-        target = self._world.now_at(fault.target)
-        spans = [self._ledger.begin(box) for box in (source, target) if box]
-        meant = dataclasses.replace(fault, source=source, target=target)
-        await self._world.links.spoil(meant, length)
-        for span in spans:
-            self._ledger.end(span)
-
-    async def _server_crashed(self, ip: str, length: float) -> None:
-        server = self._world.server_at(ip)
+        self._platform.seeds = self._platform.seeds[1:] + self._platform.seeds[:1]
+        self._platform.write_settings(box, bootstrap=False)
+        if by_signal and box not in self._platform.down:
+            self._platform.signal(box, signal.SIGHUP)
+
+    async def _disturb_link(self, fault: BadLink, duration: float) -> None:
+        source = self._platform.current_box(fault.source)
+        target = self._platform.current_box(fault.target)
+        begun = [self._disturbances.begin(box) for box in (source, target) if box]
+        resolved = dataclasses.replace(fault, source=source, target=target)
+        await self._platform.links.disturb(resolved, duration)
+        for disturbance in begun:
+            self._disturbances.end(disturbance)
+
+    async def _crash_server(self, ip: str, duration: float) -> None:
+        server = self._platform.server_at(ip)
         if server is None:
             return
-        span = self._ledger.begin(ip)
+        disturbance = self._disturbances.begin(ip)
         await server.stop()
-        await self._world.replace_server(server, length)
-        self._ledger.end(span)
+        await self._platform.replace_server(server, duration)
+        self._disturbances.end(disturbance)
 
-    async def _server_left(self, ip: str, length: float) -> None:
-        server = self._world.server_at(ip)
+    async def _drain_server(self, ip: str, duration: float) -> None:
+        server = self._platform.server_at(ip)
         if server is None or server.state != "ready":
             return
-        span = self._ledger.begin(ip, planned=True)
+        disturbance = self._disturbances.begin(ip, planned=True)
         await server.drain()
         server.left_at = time.monotonic()
-        await asyncio.sleep(LEAVING_PAUSE + length)
-        # It may have crashed meanwhile.
-        if self._world.server_at(ip) is server:
+        await asyncio.sleep(DRAIN_TIME + duration)
+        # A crash may have replaced it meanwhile.
+        if self._platform.server_at(ip) is server:
             await server.stop()
-            await self._world.replace_server(server, RESTART_DELAY)
-        self._ledger.end(span)
+            await self._platform.replace_server(server, RESTART_DELAY)
+        self._disturbances.end(disturbance)
 
-    async def _answers_lost(self, ip: str, length: float) -> None:
-        server = self._world.server_at(ip)
+    async def _lose_answers(self, ip: str, duration: float) -> None:
+        server = self._platform.server_at(ip)
         if server is None:
             return
-        span = self._ledger.begin(ip)
+        disturbance = self._disturbances.begin(ip)
         server.default_action = "lose"
-        await asyncio.sleep(length)
+        await asyncio.sleep(duration)
         server.default_action = "answer"
-        self._ledger.end(span)
+        self._disturbances.end(disturbance)
--- a/tools/soak/strangers.py
+++ b/tools/soak/invalid_registrations.py
@@ -1,4 +1,4 @@
-"""Somebody who writes to the control boxes what only looks like a registration."""
+"""Sends the control boxes documents that only look like a registration."""
 
 from __future__ import annotations
 
@@ -13,55 +13,57 @@
 from tools.platform.operator import post_bytes
 
 if TYPE_CHECKING:
-    from tools.soak.promises import Promises
-    from tools.soak.world import World
+    from tools.soak.promise_checker import PromiseChecker
+    from tools.soak.soak_platform import SoakPlatform
 
-PAUSE = 0.1
-"""Seconds between two documents."""
+SEND_PAUSE = 0.1
+"""Interval between two documents, in seconds."""
 REFUSED = 400
-OUT_OF_REACH = (0, 503)
-"""Answers of a box that is gone or stands still."""
+UNREACHABLE = (0, 503)
+"""Statuses of a box that is gone or frozen; 0 is no answer."""
 
 
-class Strangers:
-    """Writes documents that name no server, for ids and addresses of real ones.
+class InvalidRegistrations:
+    """Sends invalid registrations under the ids and addresses of real servers.
 
     Args:
-        world: The nodes and servers.
-        seed: Seed of what is written.
-        promises: Where it is checked that all of them are refused.
+        platform: The nodes, servers and links.
+        seed: Seed for the documents.
+        promises: Checks that all of them are refused.
     """
 
-    def __init__(self, world: World, seed: int, promises: Promises) -> None:
-        self._world = world
+    def __init__(
+        self, platform: SoakPlatform, seed: int, promises: PromiseChecker
+    ) -> None:
+        self._platform = platform
         self._rng = random.Random(seed + 2)
         self._promises = promises
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Send documents until cancelled."""
         while True:
-            await self._write()
-            await asyncio.sleep(PAUSE)
+            await self._send()
+            await asyncio.sleep(SEND_PAUSE)
 
-    async def _write(self) -> None:
-        control = self._rng.choice(self._world.controls)
-        server = self._rng.choice(self._world.servers)
+    async def _send(self) -> None:
+        control = self._rng.choice(self._platform.controls)
+        server = self._rng.choice(self._platform.servers)
         instance = self._rng.choice([server.instance, "i-stranger", "i%00", "%FF"])
         path = self._rng.choice([names.HEARTBEAT_PATH, names.LEAVE_PATH])
-        document = self._document(server.heartbeat(self._rng.randrange(10_000)))
+        document = self._malformed(server.heartbeat(self._rng.randrange(10_000)))
         if path == names.LEAVE_PATH:
-            # Only what states a wrong start is refused there.
+            # This path ignores all other fields; only a wrong start is refused.
             document = b'{"born":"%d"}' % self._rng.randrange(10_000)
         try:
             status = await post_bytes(control, path.format(instance=instance), document)
         except (aiohttp.ClientError, OSError, TimeoutError):
             status = 0
-        if status not in OUT_OF_REACH:
+        if status not in UNREACHABLE:
             detail = f"status {status} for {document[:80]!r} of {instance}"
-            self._promises.on_stranger(status == REFUSED, detail)
+            self._promises.on_invalid_registration(status == REFUSED, detail)
 
-    def _document(self, good: dict[str, Any]) -> bytes:
-        """Return a heartbeat with something wrong."""
+    def _malformed(self, good: dict[str, Any]) -> bytes:
+        """Return a malformed variant of a valid heartbeat."""
         field = self._rng.choice(["address", "service", "slots", "state", "sequence"])
         match self._rng.randrange(5):
             case 0:
--- a/tools/soak/promises.py
+++ b/tools/soak/promise_checker.py
@@ -1,4 +1,4 @@
-"""What the nodes promise, asked of what callers, servers and the operator saw."""
+"""Checks the nodes' promises against what callers, servers and operators observed."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 
 from leadseam.platform import names
 from tools.platform.standin import WHOLE_STREAM
-from tools.soak.callers import LIMIT
+from tools.soak.callers import ROUTE_TIME_LIMIT
 
 if TYPE_CHECKING:
     from tools.platform.standin import Run
     from tools.soak.callers import Call
-    from tools.soak.world import World
+    from tools.soak.soak_platform import SoakPlatform
 
-NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
-AFTERMATH = 4.0
-"""Seconds in which the effects of a fault last: a restart, an election, and the silence
-limit of links."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses which guarantee that a request has not run and never will."""
+FAULT_EFFECT_TIME = 4.0
+"""Seconds for which a fault has effects after its end: a restart, an election, and the
+silence limit of links."""
 ANSWER_SLACK = 0.5
-"""Seconds beyond a route's time limit in which its final answer is due."""
+"""Seconds beyond the time limit of a route until its answer must have ended."""
 LEAVING_SLACK = 2.0
-"""Seconds after which a leaving server gets nothing new: the bound of the tests."""
+"""Seconds after which a leaving server must get no new requests; the tests have the
+same bound."""
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class BrokenPromise:
     """A promise that was not kept.
 
     Args:
-        promise: Its name.
+        promise: Name of the promise.
         at: Seconds from the start of the run.
-        request_id: Request that shows it, or an empty text.
-        detail: What was seen.
+        request_id: Request that broke it; empty if there is none.
+        detail: What was observed.
     """
 
     promise: str
@@ -49,18 +50,18 @@
 
 
 @dataclass
-class Promises:
-    """Checks calls as they end, and all that can be told only later at the end.
+class PromiseChecker:
+    """Checks each call when it ends, and at the end what only then is certain.
 
     Args:
-        world: The nodes and servers.
-        timed: Whether bounds on time are checked, as a quiet machine allows.
+        platform: The nodes, servers and links.
+        timed: Whether time limits are checked, which needs an otherwise idle box.
     """
 
-    world: World
+    platform: SoakPlatform
     timed: bool
     started: float = field(default_factory=time.monotonic)
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[BrokenPromise] = field(default_factory=list)
     checked: Counter[str] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)
     calls: list[Call] = field(default_factory=list)
@@ -74,8 +75,8 @@
         if self.timed:
             self._check_time(call)
 
-    def at_end(self) -> None:
-        """Check what holds for good: a late run shows only now."""
+    def check_at_end(self) -> None:
+        """Check all calls once more: a request may have run after its answer."""
         for call in self.calls:
             self._check_not_run(call)
             self._check_once(call)
@@ -87,34 +88,34 @@
         """Check a configuration that was read back.
 
         Args:
-            document: What was read.
+            document: Configuration that was read.
             least: Version that was acknowledged before the read began.
-            newest: Highest version ever sent.
+            newest: Highest version sent so far.
         """
         version = json.loads(document)["version"]
         kept = least <= version <= newest
         self._check("configuration kept", kept, "", f"read {version}, had {least}")
 
-    def on_stranger(self, refused: bool, detail: str) -> None:
-        """Check what became of a document that names no server."""
+    def on_invalid_registration(self, refused: bool, detail: str) -> None:
+        """Check that a document that is no valid registration was refused."""
         self._check("strangers refused", refused, "", detail)
 
     def check(self, promise: str, kept: bool, detail: str) -> None:
-        """Note a check that another part has made."""
+        """Record a check that was made elsewhere."""
         self._check(promise, kept, "", detail)
 
     def fail(self, promise: str, detail: str) -> None:
-        """Note a promise that another part found broken."""
+        """Record a broken promise that was found elsewhere."""
         self._check(promise, False, "", detail)
 
     def _check(self, promise: str, kept: bool, request_id: str, detail: str) -> None:
         self.checked[promise] += 1
         if not kept:
             at = time.monotonic() - self.started
-            self.broken.append(Broken(promise, at, request_id, detail))
+            self.broken.append(BrokenPromise(promise, at, request_id, detail))
 
     def _check_answer(self, call: Call) -> None:
-        """An answer is whole, of this request, and signed by a server that ran it."""
+        """Check that an answer is whole, of this request, and signed by its server."""
         if call.status != 200:
             return
         mine = call.headers.get(names.REQUEST_ID) == call.request_id
@@ -122,7 +123,7 @@
         if call.cut:
             return
         instance = call.headers.get(names.SIGNATURE, "").removeprefix("signed-")
-        if call.kind.streams:
+        if call.kind.is_stream:
             expected = WHOLE_STREAM
         else:
             expected = f"{instance} {call.path}".encode()
@@ -130,40 +131,40 @@
         self._check("whole answer", whole, call.request_id, repr(call.body))
 
     def _check_not_run(self, call: Call) -> None:
-        if call.status in NOT_RUN and not call.cut:
-            runs = self.world.runs_of(call.request_id)
+        if call.status in NOT_RUN_STATUSES and not call.cut:
+            runs = self.platform.runs_of(call.request_id)
             detail = f"status {call.status}, ran {runs} times: {call.body!r}"
             self._check("not run is true", runs == 0, call.request_id, detail)
 
     def _check_once(self, call: Call) -> None:
         if not call.kind.repeatable:
-            runs = self.world.runs_of(call.request_id)
+            runs = self.platform.runs_of(call.request_id)
             self._check("at most once", runs <= 1, call.request_id, f"{runs} runs")
 
     def _check_time(self, call: Call) -> None:
-        if self._touched(call.entry, call):
+        if self._was_disturbed(call.entry, call):
             return
         took = call.end - call.start
-        kept = took <= LIMIT + ANSWER_SLACK
+        kept = took <= ROUTE_TIME_LIMIT + ANSWER_SLACK
         self._check("answered in time", kept, call.request_id, f"took {took:.2f} s")
 
     def _check_planned_stop(self, call: Call) -> None:
-        """A planned stop ends no request that was sent to the entry."""
-        ledger = self.world.ledger
-        if not ledger.planned_work_began(call.entry, call.start, call.end):
+        """Check that a planned stop cut no request that was sent to the entry."""
+        disturbances = self.platform.disturbances
+        if not disturbances.planned_work_began(call.entry, call.start, call.end):
             return
         if any(
-            self._touched(box, call, planned=False)
-            for box in (call.entry, *self.world.server_ips)
+            self._was_disturbed(box, call, planned=False)
+            for box in (call.entry, *self.platform.server_ips)
         ):
             return
         detail = f"status {call.status}, cut: {call.cut}"
         self._check("stop cuts nothing", not call.cut, call.request_id, detail)
 
     def _check_leaving(self) -> None:
-        """A server that has left gets nothing new from any undisturbed entry."""
+        """Check that undisturbed entries sent nothing new to a server that has left."""
         entries = {call.request_id: call.entry for call in self.calls}
-        for server in self.world.ever:
+        for server in self.platform.all_servers:
             if server.left_at is None:
                 continue
             for run in server.runs:
@@ -172,14 +173,18 @@
                     self._check_run(run, entry, server.instance, server.left_at)
 
     def _check_run(self, run: Run, entry: str, instance: str, left_at: float) -> None:
-        if self.world.ledger.touched(entry, left_at - AFTERMATH, run.at):
+        if self.platform.disturbances.was_disturbed(
+            entry, left_at - FAULT_EFFECT_TIME, run.at
+        ):
             return
         late = run.at - left_at
         detail = f"{late:.2f} s after {instance} had left"
         kept = late <= LEAVING_SLACK
         self._check("leaving is final", kept, run.request_id, detail)
 
-    def _touched(self, box: str, call: Call, *, planned: bool = True) -> bool:
-        """Tell whether a box was disturbed during a call or shortly before it."""
-        since = call.start - AFTERMATH
-        return self.world.ledger.touched(box, since, call.end, planned=planned)
+    def _was_disturbed(self, box: str, call: Call, *, planned: bool = True) -> bool:
+        """Return whether a box was disturbed during a call or shortly before it."""
+        since = call.start - FAULT_EFFECT_TIME
+        return self.platform.disturbances.was_disturbed(
+            box, since, call.end, planned=planned
+        )
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed from start to end."""
+"""Runs one seed of the soak from start to end."""
 
 from __future__ import annotations
 
@@ -9,48 +9,48 @@
 
 from tools.platform.nodes import document
 from tools.soak.callers import Callers
-from tools.soak.deadly import Deadly
+from tools.soak.deadly import DeadlyCallers
 from tools.soak.evacuations import Evacuations
 from tools.soak.injector import Injector
-from tools.soak.plan import draw
-from tools.soak.promises import Promises
-from tools.soak.rests import Rests
-from tools.soak.strangers import Strangers
-from tools.soak.world import World
-from tools.waiting import until
+from tools.soak.invalid_registrations import InvalidRegistrations
+from tools.soak.pauses import ServerPauses
+from tools.soak.plan import draw_faults
+from tools.soak.promise_checker import PromiseChecker
+from tools.soak.soak_platform import SoakPlatform
+from tools.waiting import wait_until
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from tools.soak.plan import Planned
-    from tools.soak.promises import Broken
+    from tools.soak.plan import PlannedFault
+    from tools.soak.promise_checker import BrokenPromise
 
-CHANGE_PAUSE = 0.7
-"""Longest pause between two changes of the configuration, in seconds."""
+MAX_CHANGE_PAUSE = 0.7
+"""Longest interval between two changes of the configuration, in seconds."""
 RECOVERY_LIMIT = 90
-"""Seconds in which all works again once every fault is mended; far above the platform's
-15, as a machine that runs other work is slow to start processes."""
-CONTEXT = 12
-"""Log lines printed for a request of a broken promise."""
+"""Seconds in which everything must work again once all faults are repaired; far above
+the users' 15, since a box that runs other work is slow to start processes."""
+MAX_LOG_LINES = 12
+"""Most log lines that are printed for the requests of broken promises."""
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
-    """How much is run.
+class SoakOptions:
+    """Size of a run, and what is run in it.
 
     Args:
-        seconds: Length of the time in which faults begin.
-        entries: Entry boxes.
-        callers: Callers of each entry.
-        timed: Whether bounds on time are checked.
-        same_ids: Whether servers start again under their ids, while somebody writes
-            registrations that name none.
+        seconds: Length of the interval in which faults begin.
+        entries: Number of entry boxes.
+        callers: Callers per entry.
+        timed: Whether time limits are checked.
+        same_ids: Whether servers restart under the same id, while invalid registrations
+            are sent to the control boxes.
         deadly: Whether some requests crash the servers that begin them.
-        suspended: Whether boxes that stand still leave that time out of their steady
-            clocks.
-        evacuations: Whether an operator empties a failure domain again and again.
-        rests: Whether servers turn all away and ask for rests, or leave by the word of
-            their answers only.
+        suspended: Whether frozen boxes are suspended, so that their steady clocks leave
+            out that time.
+        evacuations: Whether an operator repeatedly evacuates a failure domain.
+        pauses: Whether servers refuse everything and ask for pauses, or announce only
+            in answers that they leave.
     """
 
     seconds: float = 20.0
@@ -61,169 +61,179 @@
     deadly: bool = False
     suspended: bool = False
     evacuations: bool = False
-    rests: bool = False
+    pauses: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What a seed showed.
+    """Result of one seed.
 
     Args:
         seed: The seed.
-        faults: Faults injected, by kind.
-        answers: Calls by status of their answer; 0 for those that were cut.
-        checked: Checks by promise.
+        faults: Number of injected faults by kind.
+        answers: Number of calls by status; 0 for those that were cut.
+        checked: Number of checks by promise.
         broken: Promises that were not kept.
-        lines: Log lines on the requests of broken promises.
+        log_lines: Log lines of the requests of broken promises.
     """
 
     seed: int
     faults: dict[str, int]
     answers: dict[int, int]
     checked: dict[str, int]
-    broken: tuple[Broken, ...]
-    lines: tuple[str, ...]
+    broken: tuple[BrokenPromise, ...]
+    log_lines: tuple[str, ...]
 
     def __str__(self) -> str:
         verdict = "BROKEN" if self.broken else "kept"
         parts = [f"seed {self.seed}: {verdict}", f"faults {self.faults}"]
         parts += [f"answers {dict(sorted(self.answers.items()))}"]
         parts += [f"checked {self.checked}"]
-        return "\n  ".join([*parts, *map(str, self.broken), *self.lines])
+        return "\n  ".join([*parts, *map(str, self.broken), *self.log_lines])
 
 
-class Soak:
+class SoakRun:
     """Runs one seed.
 
     Args:
-        world: Nodes and servers, not started yet.
-        seed: Seed of faults and calls.
-        size: How much is run.
+        platform: The nodes, servers and links, not started yet.
+        seed: Seed for faults and calls.
+        options: Size of the run, and what is run in it.
     """
 
-    def __init__(self, world: World, seed: int, size: Size) -> None:
-        self._world = world
-        self._injector = Injector(world)
+    def __init__(self, platform: SoakPlatform, seed: int, options: SoakOptions) -> None:
+        self._platform = platform
+        self._injector = Injector(platform)
         self._seed = seed
-        self._size = size
+        self._options = options
         self._rng = random.Random(seed + 1)
-        self._acked = 1
-        self._sent = 1
+        self._acknowledged_version = 1
+        self._sent_version = 1
 
     async def run(self) -> Summary:
-        """Return what the seed showed."""
-        world = self._world
-        await world.open()
-        faults = draw(
+        """Run the seed and return its result."""
+        platform = self._platform
+        await platform.open()
+        faults = draw_faults(
             self._seed,
-            self._size.seconds,
-            world.boxes,
-            standstills=self._size.suspended,
+            self._options.seconds,
+            platform.boxes,
+            freezes=self._options.suspended,
         )
-        promises = Promises(world, self._size.timed)
-        callers = Callers(world, self._seed, promises.on_call)
-        calling = asyncio.create_task(callers.run(self._size.callers))
-        disturbing = [asyncio.create_task(self._keep_changing(promises))]
-        if self._size.same_ids:
-            strangers = Strangers(world, self._seed, promises)
-            disturbing.append(asyncio.create_task(strangers.run()))
-        deadly = Deadly(world, self._seed, promises)
-        if self._size.deadly:
-            disturbing.append(asyncio.create_task(deadly.run()))
-        evacuations = Evacuations(world, self._seed, promises)
-        if self._size.evacuations:
-            await evacuations.begin()
-            disturbing.append(asyncio.create_task(evacuations.run()))
-        rests = Rests(world, self._seed, promises)
-        if self._size.rests:
-            disturbing.append(asyncio.create_task(rests.run()))
-        await self._do_all(faults)
-        for task in disturbing:
+        promises = PromiseChecker(platform, self._options.timed)
+        callers = Callers(platform, self._seed, promises.on_call)
+        calling = asyncio.create_task(callers.run(self._options.callers))
+        background_tasks = [
+            asyncio.create_task(self._keep_changing_configuration(promises))
+        ]
+        if self._options.same_ids:
+            invalid_registrations = InvalidRegistrations(platform, self._seed, promises)
+            background_tasks.append(asyncio.create_task(invalid_registrations.run()))
+        deadly = DeadlyCallers(platform, self._seed, promises)
+        if self._options.deadly:
+            background_tasks.append(asyncio.create_task(deadly.run()))
+        evacuations = Evacuations(platform, self._seed, promises)
+        if self._options.evacuations:
+            await evacuations.assign_domain()
+            background_tasks.append(asyncio.create_task(evacuations.run()))
+        pauses = ServerPauses(platform, self._seed, promises)
+        if self._options.pauses:
+            background_tasks.append(asyncio.create_task(pauses.run()))
+        await self._inject_all(faults)
+        for task in background_tasks:
             task.cancel()
-        await asyncio.gather(*disturbing, return_exceptions=True)
-        await self._recover_in_time(promises)
-        if self._size.deadly:
-            await self._wait_known(deadly, promises)
-        if self._size.evacuations:
-            await evacuations.hold()
-        await self._injector.lose_all_that_may_be_lost()
-        await self._recover_in_time(promises)
-        if self._size.evacuations:
-            await evacuations.check_held()
+        await asyncio.gather(*background_tasks, return_exceptions=True)
+        await self._check_recovery_in_time(promises)
+        if self._options.deadly:
+            await self._wait_refused(deadly, promises)
+        if self._options.evacuations:
+            await evacuations.evacuate()
+        await self._injector.lose_one_disk_and_all_power()
+        await self._check_recovery_in_time(promises)
+        if self._options.evacuations:
+            await evacuations.check_still_evacuated()
         callers.stop()
         await calling
-        if self._size.deadly:
-            await deadly.check_known()
-            deadly.at_end(timed=self._size.timed)
-        if self._size.evacuations:
-            evacuations.at_end(timed=self._size.timed)
-        if self._size.rests:
-            rests.at_end(timed=self._size.timed)
-        promises.at_end()
+        if self._options.deadly:
+            await deadly.check_refused()
+            deadly.check_at_end(timed=self._options.timed)
+        if self._options.evacuations:
+            evacuations.check_at_end(timed=self._options.timed)
+        if self._options.pauses:
+            pauses.check_at_end(timed=self._options.timed)
+        promises.check_at_end()
         return self._summary(faults, promises)
 
-    async def _do_all(self, faults: tuple[Planned, ...]) -> None:
+    async def _inject_all(self, faults: tuple[PlannedFault, ...]) -> None:
         async with asyncio.TaskGroup() as group:
             for planned in faults:
-                group.create_task(self._do_later(planned))
+                group.create_task(self._inject_later(planned))
 
-    async def _do_later(self, planned: Planned) -> None:
+    async def _inject_later(self, planned: PlannedFault) -> None:
         await asyncio.sleep(planned.at)
-        await self._injector.do(planned)
+        await self._injector.inject(planned)
 
-    async def _keep_changing(self, promises: Promises) -> None:
-        """Change the configuration again and again, and read it back."""
+    async def _keep_changing_configuration(self, promises: PromiseChecker) -> None:
+        """Repeatedly change the configuration and read it back."""
         while True:
-            self._sent += self._rng.randint(1, 5)
-            status = await self._world.operator.replace(document(self._sent))
+            self._sent_version += self._rng.randint(1, 5)
+            status = await self._platform.operator.replace(document(self._sent_version))
             if status == 200:
-                self._acked = self._sent
+                self._acknowledged_version = self._sent_version
             else:
                 promises.fail("valid change taken", f"status {status}")
-            await self._read(promises)
-            await asyncio.sleep(self._rng.uniform(0, CHANGE_PAUSE))
+            await self._check_read_back(promises)
+            await asyncio.sleep(self._rng.uniform(0, MAX_CHANGE_PAUSE))
 
-    async def _read(self, promises: Promises) -> None:
-        least = self._acked
-        promises.on_read(await self._world.operator.read(), least, self._sent)
+    async def _check_read_back(self, promises: PromiseChecker) -> None:
+        least = self._acknowledged_version
+        promises.on_read(
+            await self._platform.operator.read(), least, self._sent_version
+        )
 
-    async def _wait_known(self, deadly: Deadly, promises: Promises) -> None:
+    async def _wait_refused(
+        self, deadly: DeadlyCallers, promises: PromiseChecker
+    ) -> None:
         try:
-            await deadly.wait_known()
+            await deadly.wait_refused()
         except AssertionError as exc:
             promises.fail("deadly known", str(exc))
 
-    async def _recover_in_time(self, promises: Promises) -> None:
+    async def _check_recovery_in_time(self, promises: PromiseChecker) -> None:
         try:
             async with asyncio.timeout(RECOVERY_LIMIT):
-                await self._recover(promises)
+                await self._check_recovery(promises)
         except (TimeoutError, AssertionError) as exc:
             promises.fail("recovered", f"not within {RECOVERY_LIMIT} s: {exc}")
 
-    async def _recover(self, promises: Promises) -> None:
-        """With all faults mended, everything works again."""
-        await self._read(promises)
-        for entry in self._world.entry_ips:
-            await self._world.wait_ready(entry)
-            await self._world.wait_served(entry)
-        await self._read(promises)
-        await until(self._is_whole, "each control box votes, and none that is gone")
+    async def _check_recovery(self, promises: PromiseChecker) -> None:
+        """Check that everything works again once all faults are repaired."""
+        await self._check_read_back(promises)
+        for entry in self._platform.entry_ips:
+            await self._platform.wait_ready(entry)
+            await self._platform.wait_served(entry)
+        await self._check_read_back(promises)
+        await wait_until(
+            self._group_is_complete, "exactly the running control boxes are voters"
+        )
         promises.checked["recovered"] += 1
 
-    async def _is_whole(self) -> bool:
-        """Tell whether the group is made of the control boxes that run.
+    async def _group_is_complete(self) -> bool:
+        """Return whether the voters of the group are exactly the running control boxes.
 
-        Each of them has to say so: a box that lost its disk votes under its old name
-        until it has caught up, and then knows of no voters, or of a learner.
+        Each box has to report so: a box that lost its disk is a voter under its old
+        name until it has caught up; until then it knows no voters, or knows a learner.
         """
-        world = self._world
-        wanted = set(world.control_ips)
+        platform = self._platform
+        expected = set(platform.control_ips)
         return all(
-            world.last_voters(box) == wanted and not world.last_learners(box)
-            for box in wanted
+            platform.last_voters(box) == expected and not platform.last_learners(box)
+            for box in expected
         )
 
-    def _summary(self, faults: tuple[Planned, ...], promises: Promises) -> Summary:
+    def _summary(
+        self, faults: tuple[PlannedFault, ...], promises: PromiseChecker
+    ) -> Summary:
         kinds = [type(planned.fault).__name__ for planned in faults]
         return Summary(
             seed=self._seed,
@@ -231,29 +241,29 @@
             answers=dict(promises.answers),
             checked=dict(promises.checked),
             broken=tuple(promises.broken),
-            lines=self._lines(promises.broken),
+            log_lines=self._log_lines(promises.broken),
         )
 
-    def _lines(self, broken: list[Broken]) -> tuple[str, ...]:
-        """Return the nodes' lines on the requests of broken promises."""
-        wanted = {one.request_id for one in broken if one.request_id}
-        lines = []
-        for log in sorted(self._world.folder.glob("*.log")):
+    def _log_lines(self, broken: list[BrokenPromise]) -> tuple[str, ...]:
+        """Return the nodes' log lines of the requests of broken promises."""
+        expected = {one.request_id for one in broken if one.request_id}
+        log_lines = []
+        for log in sorted(self._platform.folder.glob("*.log")):
             for line in log.read_text().splitlines():
-                if any(f'"{request_id}"' in line for request_id in wanted):
-                    lines.append(line)
-        return tuple(lines[:CONTEXT])
+                if any(f'"{request_id}"' in line for request_id in expected):
+                    log_lines.append(line)
+        return tuple(log_lines[:MAX_LOG_LINES])
 
 
-async def run_seed(folder: Path, seed: int, size: Size) -> Summary:
-    """Run one seed in an empty folder and return what it showed."""
-    world = World(
+async def run_seed(folder: Path, seed: int, options: SoakOptions) -> Summary:
+    """Run one seed in an empty folder and return its result."""
+    platform = SoakPlatform(
         folder,
-        entries=size.entries,
-        reports_starts=size.same_ids,
-        suspendable=size.suspended,
+        entries=options.entries,
+        reports_starts=options.same_ids,
+        suspendable=options.suspended,
     )
     try:
-        return await Soak(world, seed, size).run()
+        return await SoakRun(platform, seed, options).run()
     finally:
-        await world.close()
+        await platform.close()
--- a/tools/soak/world.py
+++ b/tools/soak/soak_platform.py
@@ -1,4 +1,4 @@
-"""The nodes, servers and links of a run."""
+"""The nodes, servers and links of a soak run."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from tools.platform.nodes import Platform, free_port
-from tools.soak.ledger import Ledger
-from tools.soak.links import Links
+from tools.soak.disturbances import DisturbanceLog
+from tools.soak.links import FaultyLinks
 from tools.soak.plan import Boxes
 
 if TYPE_CHECKING:
@@ -19,45 +19,45 @@
     from tools.platform.standin import Server
 
 RESTART_DELAY = 0.2
-"""Seconds after which a process that has ended by itself is started again."""
-SPARES = 4
-"""Control boxes that may come in a run; a seed of 20 s replaces one or two."""
+"""Interval of the checks that restart processes which ended by themselves."""
+SPARE_BOXES = 4
+"""Spare control boxes of a run; a seed of 20 s replaces one or two boxes."""
 EVENT_PAUSE = 0.05
-"""Seconds between the events of a stream, so that faults find streams under way."""
+"""Seconds between the events of a stream, so that faults hit open streams."""
 
 
 @dataclass
-class World(Platform):
-    """Real nodes whose inner links and ways to servers run through proxies.
+class SoakPlatform(Platform):
+    """Real nodes whose inner links and connections to servers run through proxies.
 
     Args:
         entries: Number of entry boxes.
-        ledger: Where disturbances are noted.
+        disturbances: Log of disturbances.
         links: The proxies.
-        gone: Servers that have ended.
+        ended_servers: Servers that have ended and were replaced.
 
     Attributes:
-        down: Boxes whose process is to stay ended until a fault is mended.
-        gone_boxes: Control boxes that were replaced.
+        down: Boxes whose process must not be restarted until a fault is repaired.
+        replaced_boxes: Control boxes that were replaced.
     """
 
     entries: int = 2
-    ledger: Ledger = field(default_factory=Ledger)
-    links: Links = field(default_factory=Links)
-    gone: list[Server] = field(default_factory=list)
+    disturbances: DisturbanceLog = field(default_factory=DisturbanceLog)
+    links: FaultyLinks = field(default_factory=FaultyLinks)
+    ended_servers: list[Server] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self.entry_ips = [f"127.0.1.{number + 1}" for number in range(self.entries)]
-        self.spare_ips = [f"127.0.2.{number + 1}" for number in range(SPARES)]
-        self.gone_boxes: set[str] = set()
+        self.spare_ips = [f"127.0.2.{number + 1}" for number in range(SPARE_BOXES)]
+        self.replaced_boxes: set[str] = set()
         self._successors: dict[str, str] = {}
         nodes = [*self.control_ips, *self.spare_ips, *self.entry_ips]
         every = [*nodes, *self.server_ips]
-        self._inner = {ip: free_port(every) for ip in nodes}
-        self._proxied = free_port(self.server_ips)
+        self._inner_ports = {ip: free_port(every) for ip in nodes}
+        self._proxy_port = free_port(self.server_ips)
         self.down: set[str] = set()
-        self._keeper: asyncio.Task[None] | None = None
+        self._restarter: asyncio.Task[None] | None = None
 
     @property
     def boxes(self) -> Boxes:
@@ -66,56 +66,56 @@
         return Boxes(tuple(self.control_ips), tuple(self.entry_ips), servers)
 
     def internal_port_of(self, ip: str) -> int:
-        """Return the inner port of a box, which is its own."""
-        return self._inner[ip]
+        """Return the inner port of a box; each box has its own."""
+        return self._inner_ports[ip]
 
     def advertised(self, ip: str) -> str:
         """Return the address of a server's proxy."""
-        return f"{ip}:{self._proxied}"
+        return f"{ip}:{self._proxy_port}"
 
     async def open(self) -> None:
-        """Start everything."""
+        """Start all proxies, nodes and servers."""
         controls = [*self.control_ips, *self.spare_ips]
         nodes = [*controls, *self.entry_ips]
         await self.links.add_mesh(nodes, controls, self.internal_port_of)
         for ip in self.server_ips[:4]:
-            await self.links.add_server(ip, self.server_port, self._proxied)
+            await self.links.add_server(ip, self.server_port, self._proxy_port)
         await self.start_all()
         for server in self.servers:
             server.delay = EVENT_PAUSE
-        self._keeper = asyncio.create_task(self._keep_running())
+        self._restarter = asyncio.create_task(self._restart_ended())
 
     async def close(self) -> None:
-        """End everything that was started."""
-        if self._keeper is not None:
-            self._keeper.cancel()
+        """Stop everything that was started."""
+        if self._restarter is not None:
+            self._restarter.cancel()
         await super().close()
         await self.links.close()
 
-    async def _keep_running(self) -> None:
-        """Start processes again that have ended by themselves, as the platform does."""
+    async def _restart_ended(self) -> None:
+        """Restart processes that ended by themselves, as the users' platform does."""
         while True:
             await asyncio.sleep(RESTART_DELAY)
             for ip, process in list(self.processes.items()):
                 if ip not in self.down and process.poll() is not None:
                     self.start(ip, bootstrap=False)
 
-    def now_at(self, box: str) -> str:
-        """Return the box itself, or the one that has come in its place."""
+    def current_box(self, box: str) -> str:
+        """Return the address of the box itself, or of its latest successor."""
         while box in self._successors:
             box = self._successors[box]
         return box
 
-    def succeed(self, gone: str) -> None:
-        """Start an empty control box in place of one."""
-        self._successors[gone] = self.replace_control(gone)
+    def start_successor(self, replaced: str) -> None:
+        """Start an empty control box as the successor of one."""
+        self._successors[replaced] = self.replace_control(replaced)
 
-    async def end_for_good(self, box: str, *, in_order: bool) -> None:
-        """End a control box's process; it is not started again."""
-        self.gone_boxes.add(box)
+    async def stop_for_good(self, box: str, *, graceful: bool) -> None:
+        """End the process of a control box for good, by a planned stop or a kill."""
+        self.replaced_boxes.add(box)
         self.down.add(box)
         process = self.processes[box]
-        if not in_order:
+        if not graceful:
             self.kill(box)
             return
         process.send_signal(signal.SIGCONT)
@@ -127,13 +127,13 @@
         """Start a new server in place of one that has ended.
 
         Args:
-            old: The server that has ended.
-            pause: Seconds until the new one starts.
+            old: Server that has ended.
+            pause: Seconds until the new server starts.
         """
         if old not in self.servers:
-            # Another fault that overlaps has replaced it.
+            # Another, overlapping fault has already replaced it.
             return
-        self.gone.append(old)
+        self.ended_servers.append(old)
         self.servers.remove(old)
         await asyncio.sleep(pause)
         server = await self.add_server(
@@ -146,10 +146,10 @@
         return next((one for one in self.servers if one.ip == ip), None)
 
     def runs_of(self, request_id: str) -> int:
-        """Return how often a request ran, at servers that are gone too."""
-        return sum(server.count(request_id) for server in self.ever)
+        """Return how often a request ran, including at servers that have ended."""
+        return sum(server.count(request_id) for server in self.all_servers)
 
     @property
-    def ever(self) -> Iterator[Server]:
-        """All servers of the run, those that are gone included."""
-        return itertools.chain(self.servers, self.gone)
+    def all_servers(self) -> Iterator[Server]:
+        """All servers of the run, including those that have ended."""
+        return itertools.chain(self.servers, self.ended_servers)
